--- a/features/steps/arrivals_steps.py
+++ b/features/steps/arrivals_steps.py
@@ -139,20 +139,20 @@
     context.arrivals = Arrivals()
     for number in range(count):
         one = group(f'r{number}', key=f'k{number}', ends=ends)
-        context.arrivals.waited(one, 0.0)
+        context.arrivals.seconds_since_first(one, 0.0)
 
 
 @when('{later:g} seconds later another caller comes')
 def when_another(context, later):
     one = group('another', key='another', ends=later + 6.0)
-    assert context.arrivals.waited(one, later) == 0
+    assert context.arrivals.seconds_since_first(one, later) == 0
 
 
 @then('one first arrival is remembered')
 def then_one(context):
-    assert len(context.arrivals.seen) == 1, len(context.arrivals.seen)
+    assert len(context.arrivals.by_key) == 1, len(context.arrivals.by_key)
 
 
 @then('at most {most:d} first arrivals are remembered')
 def then_most(context, most):
-    assert len(context.arrivals.seen) <= most, len(context.arrivals.seen)
+    assert len(context.arrivals.by_key) <= most, len(context.arrivals.by_key)
--- a/features/steps/askers_steps.py
+++ b/features/steps/askers_steps.py
@@ -167,7 +167,9 @@
 )
 def given_told(context, seconds, service, wait):
     _host_apart(context, service)
-    context.host.client.backlogs.note(service, GroupDone((), wait, tight=True))
+    context.host.client.backlogs.record(
+        service, GroupDone((), wait, tight=True)
+    )
     context.fleet.advance(seconds)
     context.questions = []
     subjects = context.owner.hub.requests.subjects
--- a/features/steps/passing_steps.py
+++ b/features/steps/passing_steps.py
@@ -99,12 +99,12 @@
 @when('a host that does not own "{service}" gets a group that was passed on')
 def when_passed(context, service):
     fleet = context.fleet
-    asker = context.apart[0]
+    requester = context.apart[0]
     context.asked = context.apart[1]
     now = fleet.clock.seconds()
     one = replace(group('r', due=now + 2, ends=now + 5), service=service)
     body = group_bytes(replace(one, passed_on=True), now)
-    answer = context.asked.hub.requests.subjects[ASK](asker.name, body)
+    answer = context.asked.hub.requests.subjects[ASK](requester.name, body)
     context.answered = []
     answer.addBoth(context.answered.append)
     fleet.advance(2.0)
--- a/features/steps/stagework_heavy_steps.py
+++ b/features/steps/stagework_heavy_steps.py
@@ -19,11 +19,11 @@
     Plan,
     StageClient,
     admitted,
-    ahead_of,
+    count_ahead,
     expected_wait,
     full_seconds,
     usual_seconds,
-    waits_for_others,
+    should_delay_step,
 )
 from pollenstile.stagework._backlogs import Backlog
 
@@ -52,7 +52,7 @@
 
 def _ahead(context, urgency, due):
     one = group('new', 1, 10, due=due, urgency=urgency)
-    return ahead_of(one, context.queue.owner.waiting, 0, _WORK)
+    return count_ahead(one, context.queue.owner.waiting, 0, _WORK)
 
 
 @then(
@@ -75,7 +75,7 @@
 def given_flying(context, count):
     context.workers = workers('a', 'b', 'c', 'd', 'a', 'b', 'c', 'd')
     for worker in context.workers:
-        worker.flying = count // len(context.workers)
+        worker.pieces_in_flight = count // len(context.workers)
 
 
 @then(
@@ -93,7 +93,7 @@
     context.clock = Clock()
     context.client = StageClient('host', None, context.clock, None)
     context.client.limits = {'portal': LIMITS}
-    context.client.backlogs.told['portal'] = Backlog(wait, False, 0.0)
+    context.client.backlogs.by_service['portal'] = Backlog(wait, False, 0.0)
 
 
 @then('{later:g} seconds later a step there takes {seconds:g} seconds')
@@ -126,7 +126,7 @@
 
 def _waits(context, number, done):
     full = full_seconds(LIMITS)
-    return waits_for_others(
+    return should_delay_step(
         _PLAN, number, done, context.times.__getitem__, full
     )
 
--- a/pollenstile/stagework/__init__.py
+++ b/pollenstile/stagework/__init__.py
@@ -1,7 +1,7 @@
-"""Stage work: pieces of many requests, made in batches by one owner host."""
+"""Stage work: one queue per stage service batches pieces of many requests."""
 
 from pollenstile.stagework._arrivals import Arrivals
-from pollenstile.stagework._batching import batch_for, spare_bytes
+from pollenstile.stagework._batching import batch_for, unreserved_bytes
 from pollenstile.stagework._calltimes import full_seconds, long_wait
 from pollenstile.stagework._chain import Chain, ChainFailed
 from pollenstile.stagework._client import StageClient
@@ -11,17 +11,17 @@
     group_bytes,
     group_from,
 )
-from pollenstile.stagework._nearness import eligible, frees_by_domain
+from pollenstile.stagework._locality import eligible, frees_by_domain
 from pollenstile.stagework._owner import Owner
-from pollenstile.stagework._placing import owner_order
+from pollenstile.stagework._ownerorder import owner_order
 from pollenstile.stagework._plan import (
     Plan,
     crowded_seconds,
     plan_of,
     usual_seconds,
-    waits_for_others,
+    should_delay_step,
 )
-from pollenstile.stagework._ranking import ahead_of, ranked
+from pollenstile.stagework._ranking import count_ahead, ranked
 from pollenstile.stagework._service import StageService
 from pollenstile.stagework._types import (
     CallLost,
--- a/pollenstile/stagework/_admission.py
+++ b/pollenstile/stagework/_admission.py
@@ -1,22 +1,22 @@
-"""Which groups may wait in an owner's queue, and for how long they would."""
+"""Admission of new groups to an owner's queue, by their expected wait."""
 
 from pollenstile.stagework import events
 from pollenstile.stagework._batching import is_tight
 from pollenstile.stagework._calltimes import full_seconds
-from pollenstile.stagework._ranking import ahead_of
+from pollenstile.stagework._ranking import count_ahead
 from pollenstile.stagework._waiting import admitted, expected_wait
 
 _MS = 1000
 
 
 class Admission:
-    """Judges new groups by what waits before them.
+    """Decides whether new groups may join a queue.
 
     Parameters
     ==========
 
     owner : Owner
-        Whose queue it is.
+        Owner of the queue.
     """
 
     __slots__ = ('owner',)
@@ -25,29 +25,29 @@
         self.owner = owner
 
     def wait(self, count):
-        """Return seconds until pieces behind all others would be made."""
+        """Return expected seconds of wait for pieces that join the queue."""
         return self._wait_behind(len(self.owner.waiting) + count)
 
     def is_tight(self):
-        """Return whether the stage is short of room for results."""
+        """Return whether the stage is short of memory for results."""
         owner = self.owner
         if owner.limits is None:
             return False
         now = owner.clock.seconds()
         return is_tight(owner.workers.values(), owner.limits, now)
 
-    def takes(self, group):
-        """Return whether a group may wait; log it when it may not."""
+    def admits(self, group):
+        """Return whether a group may join the queue, and log a refusal."""
         owner = self.owner
         now = owner.clock.seconds()
         full = full_seconds(owner.limits)
-        ahead = ahead_of(group, owner.waiting, now, full)
+        ahead = count_ahead(group, owner.waiting, now, full)
         wait = self._wait_behind(ahead + group.count)
-        share = owner.pace.share(group.urgency)
-        taken = admitted(group, wait, now, full, share)
+        share = owner.pace.admitted_share(group.urgency)
+        accepted = admitted(group, wait, now, full, share)
         if group.is_first:
-            owner.pace.note_taken(group.urgency, taken=taken)
-        if not taken:
+            owner.pace.record_admission(group.urgency, accepted=accepted)
+        if not accepted:
             owner.log(
                 events.STAGE_REFUSED,
                 request=group.request,
@@ -60,7 +60,7 @@
                 due_ms=int((group.due - now) * _MS),
                 share=round(share, 2),
             )
-        return taken
+        return accepted
 
     def _wait_behind(self, ahead):
         owner = self.owner
--- a/pollenstile/stagework/_arrivals.py
+++ b/pollenstile/stagework/_arrivals.py
@@ -1,38 +1,49 @@
-"""When callers came first, as the owner of their first stage has seen it."""
+"""First arrival times of callers, as recorded by the owner of a first stage."""
 
 from dataclasses import dataclass
 
-# Keys that are remembered at most: a burst of ten times the usual load, for as
-# long as callers wait.
-_MOST_KEYS = 20_000
+# Limit of remembered keys: ten times the usual load, for as long as callers
+# wait.
+_MAX_KEYS = 20_000
 
 
 @dataclass(slots=True)
 class _Arrival:
-    """A caller's attempts so far."""
+    """A caller's attempts so far.
+
+    Attributes
+    ==========
+
+    request : str
+        Latest attempt.
+    first_at, deadline : float
+        On the clock.
+    waited : float
+        Seconds from the first arrival to the latest attempt's.
+    """
 
     request: str
-    first: float
-    ends: float
+    first_at: float
+    deadline: float
     waited: float = 0.0
 
 
 class Arrivals:
-    """First arrivals by the key of the stage work.
+    """First arrival times by the key of the stage work.
 
     Explanation
     ===========
 
-    A caller that was refused comes back under another attempt, at another
-    host, with less time left; the key of its stage work stays. Its aim counts
-    from the first time. Guessed from the time left, against the most patient
-    caller, seven in eight new callers counted as having come before, by a
-    third of their aim.
+    A refused caller retries as another attempt, possibly at another host and
+    with less time remaining, but with the same stage key. Its target latency
+    counts from the first arrival. An estimate from the remaining time, relative
+    to the most patient caller, classified seven in eight new callers as
+    retries, by a third of their target latency.
 
     Attributes
     ==========
 
-    seen : dict
+    by_key : dict
         Latest attempt, first arrival and deadline by key; oldest first.
 
     Examples
@@ -41,35 +52,41 @@
     >>> from pollenstile.stagework import Group
     >>> arrivals = Arrivals()
     >>> first = Group('a', 's', 0, 1, key='k', ends=6.0)
-    >>> arrivals.waited(first, 1.0), arrivals.waited(first, 1.5)
-    (0.0, 0.0)
-    >>> arrivals.waited(Group('b', 's', 0, 1, key='k', ends=6.0), 2.5)
+    >>> arrivals.seconds_since_first(first, 1.0)
+    0.0
+    >>> arrivals.seconds_since_first(first, 1.5)
+    0.0
+    >>> retry = Group('b', 's', 0, 1, key='k', ends=6.0)
+    >>> arrivals.seconds_since_first(retry, 2.5)
     1.5
     """
 
-    __slots__ = ('seen',)
+    __slots__ = ('by_key',)
 
     def __init__(self):
-        self.seen = {}
+        self.by_key = {}
 
-    def waited(self, group, now):
-        """Return seconds from a caller's first arrival to this one's."""
+    def seconds_since_first(self, group, now):
+        """Return seconds from a caller's first arrival to this attempt's."""
         if not group.key:
             return 0.0
-        known = self.seen.get(group.key)
-        if known is None or known.ends < now:
-            self._forget(now)
-            self.seen[group.key] = _Arrival(group.request, now, group.ends)
+        known = self.by_key.get(group.key)
+        if known is None or known.deadline < now:
+            self._evict(now)
+            self.by_key[group.key] = _Arrival(group.request, now, group.ends)
             return 0.0
         if known.request != group.request:
             known.request = group.request
-            known.waited = now - known.first
-            known.ends = max(known.ends, group.ends)
+            known.waited = now - known.first_at
+            known.deadline = max(known.deadline, group.ends)
         return known.waited
 
-    def _forget(self, now):
-        while self.seen:
-            key = next(iter(self.seen))
-            if self.seen[key].ends >= now and len(self.seen) < _MOST_KEYS:
+    def _evict(self, now):
+        while self.by_key:
+            key = next(iter(self.by_key))
+            if (
+                self.by_key[key].deadline >= now
+                and len(self.by_key) < _MAX_KEYS
+            ):
                 return
-            self.seen.pop(key)
+            self.by_key.pop(key)
--- a/pollenstile/stagework/_backlogs.py
+++ b/pollenstile/stagework/_backlogs.py
@@ -1,63 +1,63 @@
-"""What owners told of their queues."""
+"""Latest backlogs that owners of queues have reported."""
 
 from dataclasses import dataclass
 
-# Seconds for which word of a backlog says something.
-_WORD_SECONDS = 2.0
+# Seconds for which a reported backlog is used.
+_BACKLOG_VALID_SECONDS = 2.0
 
 
 @dataclass(slots=True, frozen=True)
 class Backlog:
-    """What an owner told of its queue.
+    """A queue's backlog as its owner reported it.
 
     Parameters
     ==========
 
     wait : float
-        Seconds until a new piece would be made.
+        Expected wait of a new piece, in seconds.
     tight : bool
-        Whether the stage is short of room for results.
-    told_at : float
-        On the clock.
+        Whether the stage is short of memory for results.
+    received_at : float
+        Time of receipt on the clock.
     """
 
     wait: float
     tight: bool
-    told_at: float
+    received_at: float
 
 
 class Backlogs:
-    """The latest word of each owner.
+    """Latest reported backlog of each service.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        Dates it.
+        Source of the receipt times.
 
     Attributes
     ==========
 
-    told : dict
+    by_service : dict
         :class:`Backlog` by service.
     """
 
-    __slots__ = ('clock', 'told')
+    __slots__ = ('clock', 'by_service')
 
     def __init__(self, clock):
         self.clock = clock
-        self.told = {}
+        self.by_service = {}
 
-    def note(self, service, outcome):
-        """Take what an owner answered a group with."""
+    def record(self, service, outcome):
+        """Record the backlog in an owner's answer."""
         tight = getattr(outcome, 'tight', False)
         now = self.clock.seconds()
-        self.told[service] = Backlog(outcome.wait, tight, now)
+        self.by_service[service] = Backlog(outcome.wait, tight, now)
 
-    def latest(self, service, within=_WORD_SECONDS):
-        """Return what an owner told in the last seconds, or None."""
-        backlog = self.told.get(service)
+    def latest(self, service, within=_BACKLOG_VALID_SECONDS):
+        """Return the backlog received within some seconds, or None."""
+        backlog = self.by_service.get(service)
         if backlog is None:
             return None
-        age = self.clock.seconds() - backlog.told_at
+        age = self.clock.seconds() - backlog.received_at
         return backlog if age < within else None
--- a/pollenstile/stagework/_batching.py
+++ b/pollenstile/stagework/_batching.py
@@ -1,26 +1,28 @@
-"""What goes into one call, by places and room, without I/O."""
+"""Selection of a batch's pieces by call size and result memory, without I/O."""
 
-# Results without a size: as many as a call holds.
-_ANY_NUMBER = 1000
-# Share of the room of all workers that is planned with, from which a stage is
-# short of it: calls then go out with less than they could hold.
+# Number of results without a known size that fit in memory: more than a call
+# holds.
+_UNBOUNDED_COUNT = 1000
+# Share of all workers' planned memory in use from which a stage is short of
+# memory: calls are then sent with less than they could hold.
 _TIGHT_SHARE = 0.6
 
 
-def apart(pieces, is_suspect):
-    """Return the pieces that may go into one call together.
+def batchable(pieces, is_suspect):
+    """Return the pieces that may be sent in one call together.
 
     Explanation
     ===========
 
-    A suspect's group goes alone: a worker has crashed under it, and the next
-    call tells whether it is to blame, or what was beside it.
+    The group of a suspect request is sent alone: a worker has crashed while it
+    processed the group, and the next call shows whether this group or another
+    one of the same call was the cause.
 
     Parameters
     ==========
 
     pieces : list of Piece
-        Ranked, those of a group in a row.
+        In rank order, the pieces of a group adjacent.
     is_suspect : function
         Takes the fingerprint of a request.
     """
@@ -32,16 +34,16 @@
     return [piece for piece in pieces if not is_suspect(piece.group.content)]
 
 
-def spare_bytes(pieces, started, workers, limits, now):
-    """Return room that no group under way will need, over all workers.
+def unreserved_bytes(pieces, started, workers, limits, now):
+    """Return the free memory of all workers that no started group needs.
 
     Parameters
     ==========
 
     pieces : list of Piece
-        Those that wait.
+        Waiting pieces.
     started : set
-        Identifiers of groups of which some piece is made or being made.
+        Identifiers of groups with a piece that is done or in a call.
     """
     spare = sum(worker.free_bytes(limits, now) for worker in workers)
     for piece in pieces:
@@ -51,73 +53,81 @@
 
 
 def is_tight(workers, limits, now):
-    """Return whether a stage is short of room for results."""
-    free = sum(max(0, one.free_bytes(limits, now)) for one in workers)
-    planned = sum(one.planned_bytes(limits) for one in workers)
+    """Return whether a stage is short of memory for results."""
+    free = sum(max(0, worker.free_bytes(limits, now)) for worker in workers)
+    planned = sum(worker.planned_bytes(limits) for worker in workers)
     return free < (1 - _TIGHT_SHARE) * planned
 
 
 def batch_for(pieces, worker, limits, now, started, spare):
-    """Return the pieces that a free worker takes now.
+    """Return the pieces to send to a free worker now.
 
     Explanation
     ===========
 
-    As many as a call may hold, in order, as far as there is room for the
-    results. A result that does not fit is refused by the upstream after the
-    piece has waited for its turn; so it is not sent.
+    Takes as many pieces as a call may hold, in rank order, as far as the
+    results fit in the worker's memory. An upstream refuses a result that does
+    not fit only after the piece has waited for its turn, so such a piece is not
+    sent.
 
-    Groups go whole, all but the first: a result is held until the last of its
-    group is made and read, so a group in two calls holds its room for twice
-    the time. And room is granted to whole groups: by pieces, a burst would
-    fill all room with parts of many requests, none of which could be finished
-    until the results lapse, seconds later.
+    All groups but the first are taken completely or not at all: a result is
+    held until the last one of its group is made and read, so a group that is
+    split over two calls holds its memory for twice the time. Memory is also
+    reserved for complete groups. If it were reserved by pieces, a burst would
+    fill it with parts of many requests, none of which could finish until the
+    results expire, seconds later.
 
     Parameters
     ==========
 
     pieces : list of Piece
-        Ranked, those of a group in a row.
+        In rank order, the pieces of a group adjacent.
     started, spare
-        See :func:`spare_bytes`; ``started`` gets the groups that are begun.
+        See :func:`unreserved_bytes`; newly started groups are added to
+        ``started``.
     """
-    room = worker.free_bytes(limits, now)
-    # After a call that made nothing for want of room, fewer and fewer ask.
-    places = max(1, limits.batch >> worker.refusals)
+    free_bytes = worker.free_bytes(limits, now)
+    # Halve the batch for each call in a row that made nothing for lack of
+    # memory.
+    free_pieces = max(1, limits.batch >> worker.refusals)
     batch = []
-    for group, mine in _by_group(pieces):
+    for group, members in _by_group(pieces):
         size = group.result_bytes
-        fitting = min(len(mine), places, _fitting(room, size))
+        fitting = min(
+            len(members), free_pieces, _fitting_count(free_bytes, size)
+        )
         if not fitting and not batch and not worker.held:
-            # Larger than all the room there is, by what the operator says.
+            # The operator's settings make it larger than all result memory.
             fitting = 1
-        whole = 0 if group.ident in started else group.count * size
+        group_bytes = 0 if group.ident in started else group.count * size
         empty = not started and not worker.held
-        if not _may_begin(mine, fitting, batch, empty or whole <= spare):
+        if not _may_begin(
+            members, fitting, batch, empty or group_bytes <= spare
+        ):
             continue
-        spare -= whole
+        spare -= group_bytes
         started.add(group.ident)
-        batch.extend(mine[:fitting])
-        room -= fitting * size
-        places -= fitting
+        batch.extend(members[:fitting])
+        free_bytes -= fitting * size
+        free_pieces -= fitting
     return batch
 
 
 def _by_group(pieces):
-    """Return groups in their order, each with its pieces."""
-    found = {}
+    """Return pairs of a group and its pieces, in order of first appearance."""
+    by_ident = {}
     for piece in pieces:
-        found.setdefault(piece.group.ident, []).append(piece)
-    return [(mine[0].group, mine) for mine in found.values()]
+        by_ident.setdefault(piece.group.ident, []).append(piece)
+    return [(members[0].group, members) for members in by_ident.values()]
 
 
-def _fitting(room, size):
-    """Return how many results of a size fit."""
-    return max(0, int(room // size)) if size else _ANY_NUMBER
+def _fitting_count(free_bytes, size):
+    """Return how many results of a size fit in memory."""
+    return max(0, int(free_bytes // size)) if size else _UNBOUNDED_COUNT
 
 
-def _may_begin(mine, fitting, batch, has_room):
-    """Return whether a group goes into a batch: whole, unless it is first."""
-    if not fitting or (batch and fitting < len(mine)):
+def _may_begin(members, fitting, batch, has_memory):
+    """Return whether a group joins a batch; only the first may be split."""
+    if not fitting or (batch and fitting < len(members)):
         return False
-    return has_room
+    return has_memory
--- a/pollenstile/stagework/_calltimes.py
+++ b/pollenstile/stagework/_calltimes.py
@@ -1,33 +1,35 @@
-"""Times of calls: the unit of all margins of a stage's queue.
+"""Call durations, the unit of all margins of a stage's queue.
 
 Explanation
 ===========
 
-A call costs its fixed time whatever it holds, so a stage carries most when a
-free upstream takes all that waits.
+A call has a fixed cost regardless of its size, so a stage has the highest
+throughput when each free upstream takes as many waiting pieces as fit.
 """
 
-# Calls past its due time up to which a group is taken. The estimate ends with
-# a whole call, of which a piece waits half on average.
+# Calls past its due time up to which a group is admitted. The estimate ends
+# with a full call, of which a piece waits half on average.
 LATE_CALLS = 0.55
-# Calls of a later step's queue from which it takes nothing that is late: fewer
-# refuse what would be answered late, and bring no more in time.
+# Calls of wait in a later step's queue from which late requests are not
+# admitted. Lower values refuse requests that would be answered late, and do not
+# increase the number answered in time.
 _LONG_CALLS = 1.8
 
 
 def call_seconds(limits, count):
-    """Return the time that a call of some pieces takes at usual speed."""
+    """Return the duration of a call with some pieces at usual speed."""
     return limits.call_seconds + count * limits.piece_seconds
 
 
 def full_seconds(limits):
-    """Return the time of a call that holds all it can.
+    """Return the duration of a call with a full batch.
 
     Explanation
     ===========
 
-    The unit of all margins of a queue: seconds that suit one service's calls
-    make another one refuse what it could serve.
+    All margins of a queue are multiples of this duration: margins in seconds
+    that suit one service's calls make another service refuse requests that it
+    could serve in time.
 
     Examples
     ========
@@ -41,5 +43,5 @@
 
 
 def long_wait(limits):
-    """Return the wait from which a queue takes nothing that is late."""
+    """Return the wait from which a queue admits no late requests."""
     return _LONG_CALLS * full_seconds(limits)
--- a/pollenstile/stagework/_chain.py
+++ b/pollenstile/stagework/_chain.py
@@ -1,4 +1,4 @@
-"""The stage work of one request, step after step."""
+"""Execution of one request's stage steps in dependency order."""
 
 from dataclasses import dataclass
 from functools import partial
@@ -10,20 +10,21 @@
     final_steps,
     input_bytes,
     moved_bytes,
-    waits_for_others,
+    should_delay_step,
 )
 from pollenstile.stagework._types import Group, GroupDone
 
-# Bytes between failure domains from which pieces wait for a worker near their
-# inputs. Each piece of a step reads all results of the step before; a step
-# that reads half a megabyte in all waited 0.1 s at the median to spare what
-# one result of another step weighs six times.
-_WORTH_WAITING = 1_000_000
+# Bytes that a step reads from which its pieces wait for a worker in the failure
+# domain of their inputs. Each piece of a step reads all results of the step
+# before. With a lower limit, a step that reads half a megabyte in all waited
+# 0.1 s at the median to save a transfer of a sixth of the size of one result of
+# another step.
+_LOCALITY_MIN_BYTES = 1_000_000
 
 
 @dataclass(slots=True, frozen=True)
 class ChainFailed:
-    """A step has no results; the request itself was not run."""
+    """A step has no results, so the request itself was not run."""
 
     reason: str
     step: str
@@ -31,43 +32,43 @@
 
 
 class Chain:
-    """Runs a plan's steps, and releases what is not needed any more.
+    """Runs the steps of a plan and releases results that are no longer needed.
 
     Parameters
     ==========
 
     client : StageClient
-        Finds the owners of stages.
+        Submits groups to the owners of stages.
     plan : Plan
-        What is needed.
+        Steps to run.
 
     Attributes
     ==========
 
     held : dict
-        Results that were not released, by step: owner host and handles.
-    asked : dict
-        Owner hosts' groups under way, by step.
+        Unreleased results by step: owner host and handles.
+    pending : dict
+        Deferreds of submitted groups, by step.
     done, read : set
-        Steps that are made, and those whose inputs were fetched.
-    nears : dict
-        Failure domain in which most of a step's inputs lie, by step.
+        Steps that are made, and steps whose inputs were fetched.
+    near_domains : dict
+        Failure domain that holds most of a step's inputs, by step.
     crossed : int
-        Bytes that its steps read in another failure domain.
+        Bytes that steps read from another failure domain.
     unused : int
-        Results that were given up unread.
+        Number of results that were released unread.
     waited : float
-        Seconds since the caller's first arrival, as far as an owner knew it.
+        Seconds since the caller's first arrival, as reported by owners.
     """
 
     __slots__ = (
-        'asked',
+        'pending',
         'client',
         'crossed',
         'done',
         'failure',
         'held',
-        'nears',
+        'near_domains',
         'plan',
         'read',
         'unused',
@@ -78,21 +79,21 @@
         self.client = client
         self.plan = plan
         self.held = {}
-        self.asked = {}
+        self.pending = {}
         self.done = set()
         self.read = set()
         self.failure = None
-        self.nears = {}
+        self.near_domains = {}
         self.crossed = 0
         self.unused = 0
         self.waited = 0.0
 
     async def handles(self):
-        """Return the last steps' handles, or ``ChainFailed``."""
+        """Return the handles of the final steps, or ``ChainFailed``."""
         finished = Deferred()
-        self._follow(self._start_ready(), finished)
+        self._add_callbacks(self._start_ready(), finished)
         try:
-            if self.asked:
+            if self.pending:
                 await finished
         except CancelledError:
             self.withdraw()
@@ -107,17 +108,17 @@
         )
 
     def held_bytes(self):
-        """Return bytes of the results that are held, by failure domain."""
-        found = {}
+        """Return the size of unreleased results by failure domain."""
+        sizes = {}
         for number, (_, handles) in self.held.items():
             size = self.plan.steps[number].result_bytes
             for handle in handles:
                 domain = self.client.domain_of((handle,))
-                found[domain] = found.get(domain, 0) + size
-        return found
+                sizes[domain] = sizes.get(domain, 0) + size
+        return sizes
 
     def link_rate(self):
-        """Return bytes a second of the slowest link that results come over."""
+        """Return bytes per second of the slowest link that carries results."""
         rates = [
             self.client.limits_of(self.plan.steps[number].service).link_rate
             for number in self.held
@@ -125,16 +126,16 @@
         return min(rates, default=1.0)
 
     def withdraw(self):
-        """Give up: nothing more is made, and all results are released."""
-        for number, asked in list(self.asked.items()):
+        """Cancel pending groups and release all results."""
+        for number, answer in list(self.pending.items()):
             self.client.cancel(self.plan.steps[number].service, self.plan)
-            asked.cancel()
-        self.asked = {}
+            answer.cancel()
+        self.pending = {}
         self.unused += sum(len(handles) for _, handles in self.held.values())
         self.release()
 
     def release(self):
-        """Release all results that are left."""
+        """Release all remaining results."""
         for number in list(self.held):
             self._release_step(number)
 
@@ -143,40 +144,40 @@
         for number, step in enumerate(self.plan.steps):
             if not self._may_start(number, step):
                 continue
-            needs = [one for one in step.after if self.plan.counts[one]]
-            asked = self.client.submit(
+            needs = [need for need in step.after if self.plan.counts[need]]
+            answer = self.client.submit(
                 self._group(number, step, needs),
                 partial(self._inputs_read, number),
             )
-            self.asked[number] = asked
-            asked.addCallback(_with_number, number)
-            started.append(asked)
+            self.pending[number] = answer
+            answer.addCallback(_with_number, number)
+            started.append(answer)
         return started
 
     def _may_start(self, number, step):
-        known = number in self.done or number in self.asked
+        known = number in self.done or number in self.pending
         counts = self.plan.counts
         if known or not counts[number]:
             return False
-        if any(counts[one] and one not in self.done for one in step.after):
+        if any(counts[need] and need not in self.done for need in step.after):
             return False
         done = self.done
-        return not waits_for_others(
+        return not should_delay_step(
             self.plan,
             number,
             done,
-            self._seconds,
+            self._step_seconds,
             full_seconds(self.client.limits_of(step.service)),
         )
 
-    def _seconds(self, number):
+    def _step_seconds(self, number):
         service = self.plan.steps[number].service
         return self.client.seconds(service, self.plan.counts[number])
 
-    def _follow(self, started, finished):
-        for asked in started:
-            asked.addCallback(self._step_ended, finished)
-            asked.addErrback(self._step_failed, finished)
+    def _add_callbacks(self, started, finished):
+        for answer in started:
+            answer.addCallback(self._step_ended, finished)
+            answer.addErrback(self._step_failed, finished)
 
     def _step_failed(self, failure, finished):
         if failure.check(CancelledError):
@@ -188,8 +189,9 @@
         inputs = tuple(
             handle for need in needs for handle in self.held[need][1]
         )
-        # The owner of a step with a key takes off itself what it knows of the
-        # caller's first arrival; taken off here as well, it would count twice.
+        # The owner of a step with a key subtracts the time since the caller's
+        # first arrival itself; subtracting it here as well would count it
+        # twice.
         waited = self.waited if inputs else 0
         return Group(
             request=self.plan.request,
@@ -200,9 +202,9 @@
             inputs=inputs,
             result_bytes=step.result_bytes,
             urgency=self.plan.urgency,
-            due=self.plan.latest[number] - waited,
-            ends=self.plan.ends,
-            near=self._near(number, inputs),
+            due=self.plan.due_times[number] - waited,
+            ends=self.plan.deadline,
+            near=self._preferred_domains(number, inputs),
             is_first=not self.done,
             later_crowded=self._is_later_crowded(number),
             content=self.plan.content,
@@ -217,32 +219,32 @@
             if other not in self.done and other != number
         )
 
-    def _near(self, number, inputs):
-        """Return the domains in which a step is best made, empty for any.
+    def _preferred_domains(self, number, inputs):
+        """Return the failure domains preferred for a step, empty for any.
 
         Explanation
         ===========
 
-        Where much lies that it reads; else where there are workers for the
-        steps that will read much of it. Without the latter, a third of all
-        chains crossed while one of three domains had lost its only worker of
-        the last step.
+        A step with large inputs is made where they are held. Otherwise, a step
+        whose results are large inputs of another step is made where that step
+        has workers. Without the latter, a third of all chains crossed domains
+        while one of three domains had lost its only worker of the last step.
         """
         plan = self.plan
         if inputs:
-            self.nears[number] = self.client.domain_of(inputs)
-        if inputs and moved_bytes(plan, number) > _WORTH_WAITING:
-            return (self.nears[number],)
+            self.near_domains[number] = self.client.domain_of(inputs)
+        if inputs and moved_bytes(plan, number) > _LOCALITY_MIN_BYTES:
+            return (self.near_domains[number],)
         for reader, step in enumerate(plan.steps):
-            heavy = moved_bytes(plan, reader) > _WORTH_WAITING
+            heavy = moved_bytes(plan, reader) > _LOCALITY_MIN_BYTES
             if number in step.after and heavy:
                 return self.client.domains_with(step.service)
         is_final = number in final_steps(plan)
         return (plan.near,) if plan.near and is_final else ()
 
-    def _step_ended(self, ended, finished):
-        number, owner, outcome = ended
-        self.asked.pop(number, None)
+    def _step_ended(self, result, finished):
+        number, owner, outcome = result
+        self.pending.pop(number, None)
         self.waited = max(self.waited, outcome.waited)
         if not isinstance(outcome, GroupDone):
             step = self.plan.steps[number].service
@@ -255,36 +257,38 @@
             return
         self.done.add(number)
         self.read.add(number)
-        near = self.nears.get(number)
+        near = self.near_domains.get(number)
         if near:
-            domains = [self.client.domain_of((one,)) for one in outcome.handles]
+            domains = [
+                self.client.domain_of((handle,)) for handle in outcome.handles
+            ]
             far = len(domains) - domains.count(near)
             self.crossed += far * input_bytes(self.plan, number)
         self.held[number] = (owner, outcome.handles)
-        self._follow(self._start_ready(), finished)
+        self._add_callbacks(self._start_ready(), finished)
         self._release_read()
-        if not self.asked:
+        if not self.pending:
             _fire(finished)
 
     def _inputs_read(self, number):
-        """Release inputs early, if the stage that made them is short of room.
+        """Release inputs early if their stage is short of memory.
 
         Explanation
         ===========
 
-        One piece in 500 fails, and has to read its inputs again. Released
-        while its call ran, they would be gone and the request lost with them;
-        kept, they only cost room, which on most days is there.
+        One piece in 500 fails and reads its inputs again. If they were released
+        while the first call ran, the request would be lost with them; kept,
+        they only take up memory, which is usually free.
         """
         needs = self.plan.steps[number].after
         services = {self.plan.steps[need].service for need in needs}
-        if not any(self.client.is_crowded(one) for one in services):
+        if not any(self.client.is_crowded(service) for service in services):
             return
         self.read.add(number)
         self._release_read()
 
     def _release_read(self):
-        """Release results that all their readers have read."""
+        """Release results that all dependent steps have read."""
         finals = final_steps(self.plan)
         for number in list(self.held):
             if number in finals:
@@ -302,8 +306,8 @@
         self.client.release(owner, self.plan.steps[number].service, handles)
 
 
-def _with_number(ended, number):
-    owner, outcome = ended
+def _with_number(result, number):
+    owner, outcome = result
     return number, owner, outcome
 
 
--- a/pollenstile/stagework/_client.py
+++ b/pollenstile/stagework/_client.py
@@ -1,4 +1,4 @@
-"""Stage work handed to the hosts that own the queues."""
+"""Submission of stage work to the hosts that own the queues."""
 
 from functools import partial
 
@@ -18,23 +18,23 @@
 )
 from pollenstile.stagework._ownership import Ownership
 from pollenstile.stagework._plan import crowded_seconds, usual_seconds
-from pollenstile.stagework._refreshing import refreshed
+from pollenstile.stagework._backlogqueries import refreshed
 from pollenstile.stagework._subjects import (
     ASK,
     CANCEL,
     RELEASE,
-    WORD_SECONDS,
+    NOTICE_TIMEOUT_SECONDS,
     is_final,
 )
 from pollenstile.stagework._types import GroupRefused
 
-# Seconds for the answer of an owner beyond the group's own end.
-_ANSWER_MARGIN = 0.5
+# Seconds to wait for an owner's answer beyond the group's deadline.
+_ANSWER_MARGIN_SECONDS = 0.5
 _USUAL_LIMITS = StageLimits()
 
 
 class StageClient:
-    """Finds the owner of a stage, also when one dies, and asks it.
+    """Submits groups to the owners of stages, with failover to other hosts.
 
     Parameters
     ==========
@@ -44,7 +44,7 @@
     hub : Hub
         Links to peers.
     clock : IReactorTime
-        Measures what is left.
+        Source of the current time.
     owner : function
         Takes a service, returns this host's own :class:`Owner` of it.
     log : function
@@ -54,16 +54,16 @@
     ==========
 
     ownership : Ownership
-        Who owns which queue.
+        Owners of all queues.
     backlogs : Backlogs
-        What owners told last.
+        Latest backlogs that owners reported.
     limits : dict
-        Of stage services, by name.
+        Limits of stage services, by name.
     domains : dict
         Failure domains of upstreams, by address.
     leaving : bool
-        Whether this host takes no new work.
-    reading : dict
+        Whether this host accepts no new work.
+    read_callbacks : dict
         Functions to call when a group's inputs were fetched, by group.
     """
 
@@ -78,7 +78,7 @@
         'log',
         'owner',
         'ownership',
-        'reading',
+        'read_callbacks',
     )
 
     def __init__(self, host, hub, clock, owner, log=silent_log):
@@ -91,18 +91,18 @@
         self.limits = {}
         self.domains = {}
         self.backlogs = Backlogs(clock)
-        self.reading = {}
+        self.read_callbacks = {}
         self.leaving = False
 
     def seconds(self, service, count):
-        """Return what pieces of a service take at its last known backlog.
+        """Return the time that pieces of a service need, by its latest backlog.
 
         Explanation
         ===========
 
-        The backlog is taken as it was told: under a burst it is made up as
-        fast as it is worked off, and counted down by its age it let requests
-        in that were late at the next stage.
+        The reported backlog is not reduced by its age. In a burst, new pieces
+        arrive as fast as others are made, so a reduced backlog admitted
+        requests that were late at the next stage.
         """
         limits = self.limits.get(service)
         if limits is None:
@@ -112,7 +112,7 @@
         return max(usual, backlog.wait) if backlog else usual
 
     def is_crowded(self, service):
-        """Return whether room of a service is worth saving."""
+        """Return whether results of a service should be released early."""
         limits = self.limits.get(service)
         backlog = self.backlogs.latest(service)
         if limits is None or backlog is None:
@@ -120,7 +120,7 @@
         return backlog.tight or backlog.wait > crowded_seconds(limits)
 
     def is_long(self, service):
-        """Return whether a service's queue has no place for what is late."""
+        """Return whether a service's queue is too long for late requests."""
         limits = self.limits.get(service)
         backlog = self.backlogs.latest(service)
         if limits is None or backlog is None:
@@ -128,15 +128,15 @@
         return backlog.wait > long_wait(limits)
 
     def refreshed(self, services):
-        """Ask owners anew whose last word would keep a request out."""
+        """Query the owners whose latest backlog would refuse a request."""
         return refreshed(self, services)
 
     def limits_of(self, service):
-        """Return a service's limits, the usual ones when they are not known."""
+        """Return a service's limits, or the defaults when they are unknown."""
         return self.limits.get(service, _USUAL_LIMITS)
 
     def domain_of(self, handles):
-        """Return the failure domain in which most results lie."""
+        """Return the failure domain that holds most of some results."""
         domains = [
             self.domains.get(handle.partition('/')[0], '') for handle in handles
         ]
@@ -145,10 +145,10 @@
     def domains_with(self, service):
         """Return the failure domains that have upstreams of a service."""
         workers = self.owner(service).workers.values()
-        return tuple(sorted({one.domain for one in workers}))
+        return tuple(sorted({worker.domain for worker in workers}))
 
     def review(self, owners, *, leaving):
-        """Hand queues over that another host owns now.
+        """Hand over queues that another host owns now.
 
         Parameters
         ==========
@@ -156,7 +156,7 @@
         owners : dict
             This host's queues, by service.
         leaving : bool
-            Whether this host takes no new work.
+            Whether this host accepts no new work.
         """
         self.leaving = leaving
         for service, owner in owners.items():
@@ -166,7 +166,7 @@
                 owner.hand_over()
 
     def submit(self, group, on_read):
-        """Return a Deferred of owner host and the group's outcome.
+        """Return a Deferred of the owner host and the group's outcome.
 
         Parameters
         ==========
@@ -174,60 +174,62 @@
         on_read : function
             Called when the group's inputs were fetched and may be released.
         """
-        self.reading[group.ident] = on_read
+        self.read_callbacks[group.ident] = on_read
         work = Deferred.fromCoroutine(self._outcome(group))
-        return work.addBoth(_forgotten, self.reading, group.ident)
+        return work.addBoth(
+            _without_read_callback, self.read_callbacks, group.ident
+        )
 
     def cancel(self, service, plan):
-        """Tell whoever may own a service that a request is over."""
+        """Cancel a request at all hosts that may own a service."""
         self.owner(service).cancel(plan.request)
         body = cancel_bytes(service, plan.request)
         for host in self.candidates(service):
             if host != self.host:
-                self.hub.ask(host, CANCEL, body, WORD_SECONDS)
+                self.hub.ask(host, CANCEL, body, NOTICE_TIMEOUT_SECONDS)
 
     def release(self, host, service, handles):
-        """Tell an owner that results are not needed any more.
+        """Release results at the owner that had them made.
 
         Explanation
         ===========
 
-        An owner that is gone can't release them; this host does, since
-        results that nobody releases take up room for seconds.
+        When the owner is unreachable, this host releases them itself, because
+        unreleased results take up memory for seconds.
         """
         if host == self.host or host not in self.hub.links:
             self.owner(service).release(handles)
             return
         body = release_bytes(service, handles)
-        self.hub.ask(host, RELEASE, body, WORD_SECONDS)
+        self.hub.ask(host, RELEASE, body, NOTICE_TIMEOUT_SECONDS)
 
     def inputs_read(self, ident):
-        """Note that a group's inputs were fetched."""
-        on_read = self.reading.pop(ident, None)
+        """Run the callback of a group whose inputs were fetched."""
+        on_read = self.read_callbacks.pop(ident, None)
         if on_read is not None:
             on_read()
 
     def candidates(self, service):
-        """Return reachable hosts in the order in which they own a service."""
+        """Return reachable hosts in the order of ownership of a service."""
         return self.ownership.candidates(service, leaving=self.leaving)
 
     def owning_host(self, service):
-        """Return the host that owns a service's queue, as this one sees it."""
-        return self.ownership.first(service, leaving=self.leaving)
+        """Return the host that owns a service's queue in this host's view."""
+        return self.ownership.first_candidate(service, leaving=self.leaving)
 
     async def _outcome(self, group):
         tried = set()
         while True:
             untried = [
-                one
-                for one in self.candidates(group.service)
-                if one not in tried
+                candidate
+                for candidate in self.candidates(group.service)
+                if candidate not in tried
             ]
             host = untried[0] if untried else self.host
-            ask = self._own if host == self.host else self.remote
+            ask = self._ask_own_queue if host == self.host else self.ask_host
             outcome = await ask(host, group)
             if is_final(outcome):
-                self.backlogs.note(group.service, outcome)
+                self.backlogs.record(group.service, outcome)
                 return host, outcome
             self.log(
                 events.STAGE_OWNER_LOST,
@@ -243,21 +245,21 @@
                 return host, GroupRefused('late')
             tried.add(host)
 
-    async def _own(self, host, group):
+    async def _ask_own_queue(self, host, group):
         on_read = partial(self.inputs_read, group.ident)
-        asked = self.owner(group.service).submit(group, on_read)
+        answer = self.owner(group.service).submit(group, on_read)
         try:
-            return await asked
+            return await answer
         except CancelledError:
             self.owner(group.service).cancel(group.request)
             raise
 
-    async def remote(self, host, group):
-        """Return a group's outcome by another host, or ``Unanswered``."""
+    async def ask_host(self, host, group):
+        """Return the outcome of a group at another host, or ``Unanswered``."""
         now = self.clock.seconds()
         body = group_bytes(group, now)
-        left = max(0, group.ends - now) + _ANSWER_MARGIN
-        answer = await self.hub.ask(host, ASK, body, left)
+        remaining = max(0, group.ends - now) + _ANSWER_MARGIN_SECONDS
+        answer = await self.hub.ask(host, ASK, body, remaining)
         if isinstance(answer, Unanswered):
             return answer
         try:
@@ -266,7 +268,7 @@
             return Unanswered(ASK, host, str(error))
 
 
-def _forgotten(outcome, reading, ident):
-    """Return an outcome after which nobody waits for a group's reading."""
-    reading.pop(ident, None)
+def _without_read_callback(outcome, read_callbacks, ident):
+    """Remove a group's read callback and return the outcome unchanged."""
+    read_callbacks.pop(ident, None)
     return outcome
--- a/pollenstile/stagework/_codec.py
+++ b/pollenstile/stagework/_codec.py
@@ -1,4 +1,4 @@
-"""Stage work on the peers' protocol."""
+"""Encoding of stage work messages between peers."""
 
 import pathlib
 
@@ -10,7 +10,7 @@
 
 
 def group_bytes(group, now):
-    """Return a group's encoding; its times become times left."""
+    """Return the encoding of a group; times are sent as remaining durations."""
     return _schema.Group.new_message(
         request=group.request,
         service=group.service,
@@ -25,14 +25,14 @@
         near=','.join(group.near),
         isLater=not group.is_first,
         laterCrowded=group.later_crowded,
-        passedOn=group.passed_on,
+        passedOn=group.is_forwarded,
         content=bytes.fromhex(group.content),
         team=group.team,
     ).to_bytes()
 
 
 def group_from(encoded, now):
-    """Return a group; raise BadMessageError when the bytes hold none."""
+    """Decode a group; raise BadMessageError when the bytes are invalid."""
 
     def build(reader):
         return Group(
@@ -76,7 +76,7 @@
 
 
 def answer_from(encoded):
-    """Return ``GroupDone`` or ``GroupRefused``."""
+    """Decode ``GroupDone`` or ``GroupRefused``."""
 
     def build(reader):
         wait = reader.waitMs / _MS
@@ -89,18 +89,18 @@
     return decoded(_schema.GroupAnswer, encoded, build)
 
 
-def release_bytes(service, handles, *, passed_on=False):
+def release_bytes(service, handles, *, is_forwarded=False):
     """Return the encoding of a release of results."""
     message = _schema.Release.new_message(
         service=service,
         handles=list(handles),
-        passedOn=passed_on,
+        passedOn=is_forwarded,
     )
     return message.to_bytes()
 
 
 def release_from(encoded):
-    """Return service and handles of a release, and whether it was passed on."""
+    """Decode a release: service, handles, and whether it was forwarded."""
 
     def build(reader):
         return reader.service, tuple(reader.handles), reader.passedOn
@@ -109,13 +109,13 @@
 
 
 def read_bytes(request, step):
-    """Return the encoding of the word that a group's inputs were fetched."""
+    """Return the encoding of a notice that a group's inputs were fetched."""
     message = _schema.Read.new_message(request=request, step=step)
     return message.to_bytes()
 
 
 def read_from(encoded):
-    """Return request and step of a group whose inputs were fetched."""
+    """Decode request and step of a group whose inputs were fetched."""
 
     def build(reader):
         return reader.request, reader.step
@@ -124,23 +124,23 @@
 
 
 def backlog_bytes(service):
-    """Return the encoding of the question how long a queue is."""
+    """Return the encoding of a backlog query."""
     return _schema.Backlog.new_message(service=service).to_bytes()
 
 
 def backlog_from(encoded):
-    """Return the service whose queue is asked about."""
+    """Decode the service of a backlog query."""
     return decoded(_schema.Backlog, encoded, lambda reader: reader.service)
 
 
 def cancel_bytes(service, request):
-    """Return the encoding of the word that a request's pieces are useless."""
+    """Return the encoding of a cancellation of a request's pieces."""
     message = _schema.Cancel.new_message(service=service, request=request)
     return message.to_bytes()
 
 
 def cancel_from(encoded):
-    """Return service and request of a cancel."""
+    """Decode service and request of a cancellation."""
 
     def build(reader):
         return reader.service, reader.request
--- a/pollenstile/stagework/_jobs.py
+++ b/pollenstile/stagework/_jobs.py
@@ -1,35 +1,37 @@
-"""A group that an owner has taken, and who waits for it."""
+"""A group that an owner has admitted, with the callers waiting for it."""
 
 from pollenstile.stagework._types import Piece
 
 
 class Job:
-    """A group, its pieces, and who waits for them.
+    """A group, its pieces, and the callers waiting for it.
 
     Parameters
     ==========
 
     group : Group
-        What is asked for.
+        Requested group.
     now : float
         Seconds on the clock.
     waited : float
-        Seconds from the caller's first arrival to this one's.
+        Seconds from the caller's first arrival to this attempt's.
 
     Attributes
     ==========
 
-    begun : float
-        When the first piece went into a call; 0 before.
+    arrived_at : float
+        Time of admission.
+    started_at : float
+        Time when the first piece was sent in a call; 0 before.
     waiters : list of Deferred
-        Get the outcome.
+        Receive the outcome.
     on_read : list of function
         Called when all inputs were fetched.
     """
 
     __slots__ = (
-        'begun',
-        'came',
+        'started_at',
+        'arrived_at',
         'group',
         'on_read',
         'pieces',
@@ -40,32 +42,34 @@
 
     def __init__(self, group, now, waited=0.0):
         self.group = group
-        self.came = now
-        self.begun = 0.0
+        self.arrived_at = now
+        self.started_at = 0.0
         self.waited = waited
         self.pieces = [Piece(group, number) for number in range(group.count)]
         self.timer = None
         self.waiters = []
         self.on_read = []
 
-    def all_read(self):
-        """Return whether every piece has fetched its inputs."""
-        return all(piece.handle or piece.read for piece in self.pieces)
+    def all_inputs_read(self):
+        """Return whether the inputs of every piece were fetched."""
+        return all(
+            piece.handle or piece.inputs_fetched for piece in self.pieces
+        )
 
     def handles(self):
-        """Return the handles so far, in order; empty for what is not made."""
+        """Return the handles so far, in order; empty for unfinished pieces."""
         return tuple(piece.handle for piece in self.pieces)
 
     def end(self, outcome):
-        """Hand the outcome to all who wait."""
+        """Send the outcome to all waiters."""
         if self.timer.active():
             self.timer.cancel()
         for waiter in self.waiters:
             if not waiter.called:
                 waiter.callback(outcome)
 
-    def tell_read(self):
-        """Call once who waits for the inputs to be fetched."""
+    def notify_inputs_read(self):
+        """Call and clear the callbacks for the inputs being fetched."""
         listeners = self.on_read
         self.on_read = []
         for listener in listeners:
--- a/pollenstile/stagework/_owner.py
+++ b/pollenstile/stagework/_owner.py
@@ -1,4 +1,4 @@
-"""The host that owns a stage's queue: what waits, what is being made."""
+"""Owner of a stage service's queue: waiting pieces, calls and results."""
 
 from twisted.internet.defer import Deferred
 
@@ -7,18 +7,19 @@
 from pollenstile.stagework import events
 from pollenstile.stagework._admission import Admission
 from pollenstile.stagework._arrivals import Arrivals
-from pollenstile.stagework._drawing import Drawing
+from pollenstile.stagework._dispatcher import Dispatcher
 from pollenstile.stagework._jobs import Job
-from pollenstile.stagework._pace import Pace
+from pollenstile.stagework._queuestats import QueueStats
 from pollenstile.stagework._releases import Releases
 from pollenstile.stagework._types import GroupDone, GroupRefused, Worker
 
 _MS = 1000
-# Reason of a host that can't own a stage: it reaches no upstream of it.
+# Refusal reason of a host that reaches no upstream of a stage.
 NO_WORKERS = 'no workers'
-# Calls that may hold one piece and have it made.
-_MOST_SENT = 3
-# Reasons for which a piece waits again; after the second it may have been made.
+# Maximum calls that may have made one piece.
+_MAX_SENDS = 3
+# Reasons after which a piece is queued again. After an error it may have been
+# made.
 _NO_ROOM = 'room'
 _ERROR = 'error'
 
@@ -29,25 +30,25 @@
     Explanation
     ===========
 
-    All pieces wait here and none at an upstream, so a piece is never bound to
-    an upstream that works while another one falls free.
+    All pieces wait in this queue and none at an upstream, so no piece is bound
+    to a busy upstream while another one is free.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        Measures calls and rests.
+        Source of time for calls and rests.
     service : str
-        Whose upstreams draw from the queue.
+        Service whose upstreams process the queue.
     call : function
-        Takes a worker, pieces and seconds left; returns a Deferred of a list
-        of :class:`Made` in their order, or of :class:`CallLost`.
+        Takes a worker, pieces and remaining seconds; returns a Deferred of a
+        list of :class:`Made` in their order, or of :class:`CallLost`.
     free : function
-        Takes an address and handles that are not needed any more; returns
-        a Deferred of whether they were released.
+        Takes an address and handles that are no longer needed; returns a
+        Deferred of whether they were released.
     spend : function
         Takes a service and a number of pieces; returns whether the repeat
-        budget has them.
+        budget allows them.
     quarantine : Quarantine
         Requests that crash upstreams.
     log : function
@@ -57,19 +58,19 @@
     ==========
 
     jobs : dict
-        Groups that are not finished, by request and step.
+        Unfinished groups by request and step.
     waiting : list of Piece
-        Not in any call.
+        Pieces that are not in any call.
     started : set
-        Groups of which some piece is made or being made.
-    pace : Pace
-        What is remembered of the queue.
+        Groups with a piece that is done or in a call.
+    pace : QueueStats
+        Recent rates of the queue.
     admission : Admission
-        Which groups may wait.
-    drawing : Drawing
+        Decides which groups may join the queue.
+    dispatcher : Dispatcher
         Makes the calls.
     workers : dict
-        By identifier.
+        Workers by identifier.
     """
 
     __slots__ = (
@@ -77,7 +78,7 @@
         'arrivals',
         'call',
         'clock',
-        'drawing',
+        'dispatcher',
         'jobs',
         'limits',
         'log',
@@ -104,34 +105,36 @@
         self.clock = clock
         self.service = service
         self.call = call
-        self.releases = Releases(clock, free, self._freed)
+        self.releases = Releases(clock, free, self._handle_freed)
         self.spend = spend
         self.log = log
-        self.quarantine = quarantine or Quarantine(clock, '', _unknown, log)
+        self.quarantine = quarantine or Quarantine(
+            clock, '', _unknown_count, log
+        )
         self.limits = None
         self.jobs = {}
         self.waiting = []
         self.started = set()
-        self.pace = Pace()
+        self.pace = QueueStats()
         self.arrivals = Arrivals()
         self.workers = {}
         self.admission = Admission(self)
-        self.drawing = Drawing(self)
+        self.dispatcher = Dispatcher(self)
 
     def configure(self, limits, upstreams):
-        """Take what the configuration and the registry say now.
+        """Apply the current configuration and registry.
 
         Parameters
         ==========
 
         limits : StageLimits
-            Of one upstream.
+            Limits of one upstream.
         upstreams : list
-            With ``ident``, ``address``, ``domain`` and ``born``; those that
-            take work.
+            Upstreams that accept work, with ``ident``, ``address``, ``domain``
+            and ``born``.
         """
         self.limits = limits
-        known = {(one.ident, one.born) for one in upstreams}
+        known = {(upstream.ident, upstream.born) for upstream in upstreams}
         gone = [
             worker
             for worker in self.workers.values()
@@ -139,11 +142,16 @@
         ]
         for worker in gone:
             self.workers.pop(worker.ident)
-        for one in upstreams:
-            if one.ident not in self.workers:
-                worker = Worker(one.ident, one.address, one.domain, one.born)
-                self.workers[one.ident] = worker
-        self.drawing.soon()
+        for upstream in upstreams:
+            if upstream.ident not in self.workers:
+                worker = Worker(
+                    upstream.ident,
+                    upstream.address,
+                    upstream.domain,
+                    upstream.born,
+                )
+                self.workers[upstream.ident] = worker
+        self.dispatcher.schedule()
 
     def submit(self, group, on_read=None):
         """Return a Deferred of ``GroupDone`` or ``GroupRefused``.
@@ -151,8 +159,8 @@
         Explanation
         ===========
 
-        A host that lost its connection asks again for the same group; it
-        joins the one that is at work, and no piece is made twice.
+        A host that lost its connection submits the same group again; it joins
+        the existing job, and no piece is made twice.
 
         Parameters
         ==========
@@ -171,9 +179,9 @@
         if self.quarantine.is_held(group.content):
             waiter.callback(GroupRefused(HELD_REASON))
             return waiter
-        waited = self.arrivals.waited(group, self.clock.seconds())
+        waited = self.arrivals.seconds_since_first(group, self.clock.seconds())
         group.due -= waited
-        if not self.admission.takes(group):
+        if not self.admission.admits(group):
             wait = self.wait(group.count)
             waiter.callback(GroupRefused('busy', wait, wait, waited))
             return waiter
@@ -182,72 +190,72 @@
         if on_read is not None and group.inputs:
             job.on_read.append(on_read)
         self.jobs[group.ident] = job
-        left = max(0, group.ends - self.clock.seconds())
-        job.timer = self.clock.callLater(left, self._refuse, job, 'late')
+        remaining = max(0, group.ends - self.clock.seconds())
+        job.timer = self.clock.callLater(remaining, self._refuse, job, 'late')
         self.waiting.extend(job.pieces)
-        self.drawing.soon()
+        self.dispatcher.schedule()
         return waiter
 
     def hand_over(self):
-        """Give back the groups of which no piece is begun.
+        """Refuse the groups of which no piece was sent in a call.
 
         Explanation
         ===========
 
-        When another host owns the queue from now on, two queues would draw on
-        the same upstreams, and what waits in the older one would wait twice
-        as long. Who asked is told that no pieces are made here, and asks the
-        new owner; nothing is made twice.
+        When ownership of the queue passes to another host, both queues would
+        use the same upstreams, and pieces in the older queue would wait twice
+        as long. The requesting hosts receive ``NO_WORKERS`` and submit the
+        groups to the new owner; nothing is made twice.
         """
         for job in list(self.jobs.values()):
-            if not job.begun:
+            if not job.started_at:
                 self._end(job, GroupRefused(NO_WORKERS))
 
     def cancel(self, request):
-        """Forget all that a request waits for; its results are released."""
+        """Remove all groups of a request and release their results."""
         for job in list(self.jobs.values()):
             if job.group.request == request:
                 self._refuse(job, 'cancelled')
 
     def withdraw(self, content):
-        """Refuse what waits of a request that crashes upstreams."""
+        """Refuse the groups of a request that crashes upstreams."""
         for job in list(self.jobs.values()):
             if job.group.content == content:
                 self._refuse(job, HELD_REASON)
 
     def release(self, handles):
-        """Release results that were read, or that nobody will read."""
+        """Release results that were read or that will not be read."""
         self.releases.add(handles)
 
     def wait(self, count=1):
-        """Return seconds until new pieces would be made."""
+        """Return the expected wait in seconds of new pieces."""
         return self.admission.wait(count)
 
-    def _freed(self, address, handles):
+    def _handle_freed(self, address, handles):
         for worker in self.workers.values():
             if worker.address != address:
                 continue
             for handle in handles:
                 worker.held.pop(handle, None)
-        self.drawing.soon()
+        self.dispatcher.schedule()
 
     def inputs_read(self, batch):
-        """Tell who waits that the inputs of a call's groups were fetched."""
+        """Notify the waiting callers whose inputs a call has fetched."""
         groups = {piece.group.ident for piece in batch}
         for ident in groups:
             job = self.jobs.get(ident)
-            if job is not None and job.all_read():
-                job.tell_read()
+            if job is not None and job.all_inputs_read():
+                job.notify_inputs_read()
 
-    def put_back(self, pieces, *, arrived):
-        """Let pieces of a call that brought nothing wait again.
+    def requeue(self, pieces, *, arrived):
+        """Queue the pieces of a call without results again.
 
         Parameters
         ==========
 
         arrived : bool
-            Whether that call may have had them made; then a further one
-            draws on the repeat budget.
+            Whether that call may have had them made; a repeat then uses the
+            repeat budget.
         """
         for piece in pieces:
             job = self._job_of(piece)
@@ -255,32 +263,32 @@
                 continue
             if not arrived or self._may_repeat(piece):
                 self.waiting.append(piece)
-            elif not piece.flights:
+            elif not piece.calls_in_flight:
                 self._refuse(job, 'failed')
-        self.drawing.soon()
+        self.dispatcher.schedule()
 
     def _may_repeat(self, piece):
         if not self.quarantine.may_repeat(piece.group.content):
             return False
-        return piece.sent < _MOST_SENT and self.spend(self.service, 1)
+        return piece.sent < _MAX_SENDS and self.spend(self.service, 1)
 
-    def made(self, piece, made):
-        """Take one piece's result, or the reason why there is none."""
+    def record_result(self, piece, result):
+        """Record one piece's result, or the reason why it has none."""
         job = self._job_of(piece)
         if job is None:
-            if made.handle:
-                self.release((made.handle,))
+            if result.handle:
+                self.release((result.handle,))
             return
-        if made.handle:
-            self._keep(job, piece, made.handle)
+        if result.handle:
+            self._store_handle(job, piece, result.handle)
             return
-        if piece.flights:
+        if piece.calls_in_flight:
             # Another call holds it as well, and may still make it.
             return
-        if made.reason in {_NO_ROOM, _ERROR}:
-            self.put_back([piece], arrived=made.reason == _ERROR)
+        if result.reason in {_NO_ROOM, _ERROR}:
+            self.requeue([piece], arrived=result.reason == _ERROR)
             return
-        self._refuse(job, made.reason)
+        self._refuse(job, result.reason)
 
     def _job_of(self, piece):
         """Return the job that still needs a piece, or None."""
@@ -289,14 +297,14 @@
             return None
         return job
 
-    def _keep(self, job, piece, handle):
+    def _store_handle(self, job, piece, handle):
         piece.handle = handle
         self.pace.note_made(self.clock.seconds())
         if piece in self.waiting:
             self.waiting.remove(piece)
-        self._finish_whole(job)
+        self._finish_if_complete(job)
 
-    def _finish_whole(self, job):
+    def _finish_if_complete(self, job):
         handles = job.handles()
         if not all(handles):
             return
@@ -307,8 +315,8 @@
             service=self.service,
             step=job.group.step,
             pieces=job.group.count,
-            waited_ms=int((job.begun - job.came) * _MS),
-            took_ms=int((now - job.came) * _MS),
+            waited_ms=int((job.started_at - job.arrived_at) * _MS),
+            took_ms=int((now - job.arrived_at) * _MS),
             due_ms=int((job.group.due - now) * _MS),
         )
         self._end(
@@ -334,8 +342,8 @@
         self._end(job, GroupRefused(reason, wait, wait))
 
     def _end(self, job, outcome):
-        # Who waits for one group of a request may withdraw its others at the
-        # same instant, while this host still goes through them.
+        # A caller that waits for one group of a request may cancel its other
+        # groups in the callback, while this host still iterates over the jobs.
         if self.jobs.pop(job.group.ident, None) is None:
             return
         self.waiting = [
@@ -345,6 +353,6 @@
         job.end(outcome)
 
 
-def _unknown(service):
-    """Stand for the number of upstreams of a queue without a registry."""
+def _unknown_count(service):
+    """Stand in for the number of upstreams of a queue without a registry."""
     return 0
--- a/pollenstile/stagework/_placing.py
+++ b/pollenstile/stagework/_ownerorder.py
@@ -1,4 +1,4 @@
-"""Which host owns the queue of a stage service."""
+"""Order in which hosts own the queue of a stage service."""
 
 import math
 
@@ -6,16 +6,17 @@
 
 
 def owner_order(service, capacities):
-    """Return hosts in the order in which they are asked to own a queue.
+    """Return hosts in the order of ownership of a queue.
 
     Explanation
     ===========
 
-    The largest hosts go first, in steps of two: the owner of a queue handles
-    each group of it, about 1 ms of a core a group, and hosts with half a core
-    stand beside such with two. Among equals, rendezvous hashing: every host
-    finds the same order from the same entries, and a host that comes or goes
-    moves only the queues that it owns.
+    Hosts are ordered by size, in steps of a factor of two, largest first: the
+    owner of a queue handles each group of it, at about 1 ms of a core per
+    group, and fleets mix hosts of half a core with hosts of two cores. Hosts of
+    equal size are ordered by rendezvous hashing: every host computes the same
+    order from the same entries, and a host that joins or leaves moves only its
+    own queues.
 
     Parameters
     ==========
@@ -40,16 +41,16 @@
     return sorted(capacities, key=rank)
 
 
-def linked_ahead(order, is_dead, count):
+def hosts_to_link(order, is_dead, count):
     """Return the hosts of an order to keep links to.
 
     Explanation
     ===========
 
     Entries of hosts that lost power stay in the store. With links to the first
-    few entries only, a service whose first owners are dead would have none,
-    and every host would batch alone. So those that can't be reached are passed
-    over; they are dialed all the same, more and more rarely.
+    few entries only, a service whose first owners are dead would have no owner,
+    and every host would batch on its own. Unreachable hosts are therefore not
+    counted. They are still dialed, with increasing delays.
 
     Parameters
     ==========
@@ -57,19 +58,19 @@
     is_dead : function
         Takes a host, returns whether dialing it has failed.
     count : int
-        Hosts that are not dead.
+        Number of hosts that are not dead.
 
     Examples
     ========
 
-    >>> linked_ahead(['a', 'b', 'c', 'd'], {'a'}.__contains__, 2)
+    >>> hosts_to_link(['a', 'b', 'c', 'd'], {'a'}.__contains__, 2)
     ['a', 'b', 'c']
     """
-    found = []
+    linked = []
     alive = 0
     for host in order:
-        found.append(host)
+        linked.append(host)
         alive += not is_dead(host)
         if alive == count:
             break
-    return found
+    return linked
--- a/pollenstile/stagework/_ownership.py
+++ b/pollenstile/stagework/_ownership.py
@@ -1,17 +1,16 @@
-"""Which hosts own the queues of stage services, as this host sees it."""
+"""Ownership of the queues of stage services, in this host's view."""
 
-from pollenstile.stagework._placing import linked_ahead, owner_order
+from pollenstile.stagework._ownerorder import hosts_to_link, owner_order
 
-# Hosts that are linked ahead of need for each service: its owner, and who is
-# next. Each link costs a heartbeat in both directions three times a second.
+# Hosts of each service that are linked in advance: its owner and the next one.
+# Each link costs a heartbeat in both directions three times a second.
 _LINKED_OWNERS = 2
-# Times that a host was dialed in vain after which it counts as dead: one dial
-# may be under way.
-_DEAD_DIALS = 2
+# Failed dials after which a host counts as dead; one dial may be under way.
+_DEAD_AFTER_FAILED_DIALS = 2
 
 
 class Ownership:
-    """Orders of owners, and who of them can be asked.
+    """Order of the hosts that own each queue, and which of them are reachable.
 
     Parameters
     ==========
@@ -29,7 +28,7 @@
     capacity : float
         This host's cores.
     orders : dict
-        Hosts in the order in which they own a service, as far as it was asked.
+        Cached ownership orders of hosts by service.
     """
 
     __slots__ = ('capacity', 'host', 'hosts', 'hub', 'orders')
@@ -42,16 +41,16 @@
         self.orders = {}
 
     def take_hosts(self, hosts):
-        """Take the peers that there are now."""
+        """Replace the known peers."""
         self.hosts = hosts
         self.orders = {}
 
     def order(self, service):
-        """Return all hosts in the order in which they own a service."""
+        """Return all hosts in the order of ownership of a service."""
         order = self.orders.get(service)
         if order is None:
             capacities = {
-                name: one.capacity for name, one in self.hosts.items()
+                name: peer.capacity for name, peer in self.hosts.items()
             }
             capacities[self.host] = self.capacity
             order = owner_order(service, capacities)
@@ -59,55 +58,55 @@
         return order
 
     def candidates(self, service, *, leaving):
-        """Return reachable hosts in the order in which they own a service.
+        """Return reachable hosts in the order of ownership of a service.
 
         Parameters
         ==========
 
         leaving : bool
-            Whether this host takes no new work while others can.
+            Whether this host accepts no new work while others can.
         """
         reachable = [
-            host for host in self.order(service) if self._is_asked(host)
+            host for host in self.order(service) if self._is_available(host)
         ]
         if leaving and len(reachable) > 1:
             reachable.remove(self.host)
         return reachable
 
-    def first(self, service, *, leaving):
-        """Return the first of the candidates, without a look at all hosts.
+    def first_candidate(self, service, *, leaving):
+        """Return the first candidate without checking all hosts.
 
         Explanation
         ===========
 
-        An owner has links to all hosts and asks this for each group.
+        An owner has links to all hosts and calls this for each group.
         """
         for host in self.order(service):
-            is_left = leaving and host == self.host
-            if not is_left and self._is_asked(host):
+            is_excluded = leaving and host == self.host
+            if not is_excluded and self._is_available(host):
                 return host
         return self.host
 
     def wanted_links(self, services):
-        """Return addresses of hosts that own services, or would next."""
+        """Return addresses of the owners of services and their successors."""
         wanted = {}
         for service in services:
             wanted.update(self.links_of(self.order(service)))
         return wanted
 
     def links_of(self, order):
-        """Return addresses of the peers of an order to keep links to."""
-        ahead = linked_ahead(order, self._is_dead, _LINKED_OWNERS)
+        """Return addresses of the peers in an order to keep links to."""
+        hosts = hosts_to_link(order, self._is_dead, _LINKED_OWNERS)
         return {
             host: self.hosts[host].address
-            for host in ahead
+            for host in hosts
             if host != self.host
         }
 
-    def _is_asked(self, host):
-        return host == self.host or self._takes_work(host)
+    def _is_available(self, host):
+        return host == self.host or self._accepts_work(host)
 
-    def _takes_work(self, host):
+    def _accepts_work(self, host):
         link = self.hub.links.get(host)
         return link is not None and not link.beat.leaving
 
@@ -115,4 +114,4 @@
         if host == self.host or host in self.hub.links:
             return False
         address = self.hosts[host].address
-        return self.hub.dialer.failures(address) >= _DEAD_DIALS
+        return self.hub.dialer.failures(address) >= _DEAD_AFTER_FAILED_DIALS
--- a/pollenstile/stagework/_plan.py
+++ b/pollenstile/stagework/_plan.py
@@ -1,19 +1,19 @@
-"""When the steps of a request are due, and when each is begun."""
+"""Due times and start order of the steps of a request."""
 
 from dataclasses import dataclass
 
 from pollenstile.stagework._calltimes import call_seconds, full_seconds
 
-# Share of a call by which a step is begun sooner than its results are needed,
-# so that one which finds all upstreams busy is still in time.
-_SPARE_CALLS = 0.55
-# Share of a call that a group waits on average for an upstream to fall free.
-_USUAL_WAIT = 0.5
+# Share of a call by which a step starts before its results are needed, so that
+# a step that finds all upstreams busy is still in time.
+_EARLY_START_CALLS = 0.55
+# Share of a call that a group waits on average for a free upstream.
+_MEAN_WAIT_CALLS = 0.5
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """What a request's steps need.
+    """Steps of a request with their sizes and due times.
 
     Parameters
     ==========
@@ -21,25 +21,25 @@
     request, key : str
         The attempt, and the input of its first steps.
     steps : tuple of StageStep
-        Of the route.
+        Steps of the route.
     counts : tuple of int
-        Pieces of each step; 0 leaves it out.
-    latest : tuple of float
+        Number of pieces of each step; 0 omits the step.
+    due_times : tuple of float
         On the clock: when each step's pieces are due.
-    ends : float
-        On the clock: the deadline.
+    deadline : float
+        On the clock.
     near : str
         Failure domain in which the last results are read, if it is known.
     content, team : str
-        Fingerprint of the request, and who sent it.
+        Fingerprint of the request, and the team that sent it.
     """
 
     request: str
     key: str
     steps: tuple
     counts: tuple[int, ...]
-    latest: tuple[float, ...]
-    ends: float
+    due_times: tuple[float, ...]
+    deadline: float
     urgency: int
     near: str = ''
     content: str = ''
@@ -52,9 +52,10 @@
     Explanation
     ===========
 
-    Each step is due such that the steps after it, at today's backlogs, and
-    the model engine still meet the aim. So the first step's owner, which
-    decides whether a request is taken, judges by the whole chain.
+    Each step's due time leaves enough time for the following steps, at current
+    backlogs, and for the model engine to meet the target latency. The first
+    step's owner, which decides on admission, therefore takes the whole chain
+    into account.
 
     Parameters
     ==========
@@ -63,27 +64,28 @@
         With ``ident``, ``route``, ``counts``, ``stage_key``, ``urgency``,
         ``ends``, ``fingerprint`` and ``team``.
     ready_by : float
-        On the clock: when the model engine must have the results.
+        On the clock: when the model engine needs the results.
     seconds : function
-        Takes a service and a number of pieces; returns what they take now.
+        Takes a service and a number of pieces; returns the time that they need
+        at the current backlog.
     near : str
-        Failure domain of the model engine that should read the results.
+        Failure domain of the model engine that is to read the results.
     """
     steps = exchange.route.steps
     times = [
         seconds(step.service, count) if count else 0
         for step, count in zip(steps, exchange.counts, strict=True)
     ]
-    latest = [
-        ready_by - _later_seconds(steps, times, place)
-        for place, _ in enumerate(steps)
+    due_times = [
+        ready_by - _downstream_seconds(steps, times, number)
+        for number, _ in enumerate(steps)
     ]
     return Plan(
         exchange.ident,
         exchange.stage_key,
         steps,
         tuple(exchange.counts),
-        tuple(latest),
+        tuple(due_times),
         exchange.ends,
         exchange.urgency,
         near,
@@ -98,14 +100,14 @@
     Explanation
     ===========
 
-    Those that no step with pieces needs. A step without pieces is among them
-    where nothing follows it; it has no results.
+    These are the steps that no step with pieces depends on. They include a step
+    without pieces and without results if no other step follows it.
     """
     followed = {
-        one
+        need
         for step, count in zip(plan.steps, plan.counts, strict=True)
         if count
-        for one in step.after
+        for need in step.after
     }
     return [
         number for number in range(len(plan.steps)) if number not in followed
@@ -121,78 +123,85 @@
 
 
 def moved_bytes(plan, number):
-    """Return the bytes that all pieces of a step read together."""
+    """Return the bytes that all pieces of a step read in total."""
     return input_bytes(plan, number) * plan.counts[number]
 
 
 def usual_seconds(limits, count):
-    """Return what a step takes when its upstreams are not crowded."""
-    one = call_seconds(limits, min(count, limits.batch))
-    return one + _USUAL_WAIT * limits.call_seconds
+    """Return the time that a step needs when its upstreams are not crowded."""
+    call = call_seconds(limits, min(count, limits.batch))
+    return call + _MEAN_WAIT_CALLS * limits.call_seconds
 
 
 def crowded_seconds(limits):
-    """Return the wait from which a stage's room is worth saving.
+    """Return the wait from which a stage's result memory is worth saving.
 
     Explanation
     ===========
 
     A piece that finds a worker busy waits for half a call on average and for
-    its own, which is a full one at most.
+    its own call, which is at most a full one.
     """
-    return full_seconds(limits) + _USUAL_WAIT * limits.call_seconds
+    return full_seconds(limits) + _MEAN_WAIT_CALLS * limits.call_seconds
 
 
-def _later_seconds(steps, times, place):
-    """Return the time of the longest path of steps after one."""
+def _downstream_seconds(steps, times, number):
+    """Return the duration of the longest path of steps after a step."""
     longest = 0
-    for number, step in enumerate(steps):
-        if place in step.after:
-            path = times[number] + _later_seconds(steps, times, number)
+    for reader, step in enumerate(steps):
+        if number in step.after:
+            path = times[reader] + _downstream_seconds(steps, times, reader)
             longest = max(longest, path)
     return longest
 
 
-def waits_for_others(plan, number, done, seconds, full):
-    """Return whether a step that could begin is better begun later.
+def should_delay_step(plan, number, done, seconds, full):
+    """Return whether to delay a step that could start now.
 
     Explanation
     ===========
 
     Results are held from their call until the model engine has read those of
-    all steps. A step beside a chain of three calls would hold its room for
-    1.5 s in place of 0.5 s; with 800 kB a result that was a quarter of all
-    room in a burst, and requests were refused for want of it. So such a step
-    is begun when the rest of the chain takes about as long as it does itself.
+    all steps. A step beside a chain of three calls would hold its memory for
+    1.5 s instead of 0.5 s. With 800 kB per result that was a quarter of all
+    memory in a burst, and requests were refused for lack of it. Such a step
+    therefore starts when the rest of the chain takes about as long as the step
+    itself.
 
     Parameters
     ==========
 
     number : int
-        The step; those before it are done.
+        Number of the step; the steps that it depends on are done.
     done : set of int
-        Steps that are made.
+        Steps that are done.
     seconds : function
-        Takes a step's number, returns what it takes at today's backlog.
+        Takes a step's number, returns its duration at the current backlog.
     full : float
         Seconds of a full call of the step.
     """
     times = [
-        seconds(one) if count and one not in done else 0
-        for one, count in enumerate(plan.counts)
+        seconds(step) if count and step not in done else 0
+        for step, count in enumerate(plan.counts)
     ]
-    others = 0
+    longest_other = 0
     for other, time in enumerate(times):
-        if other == number or not time or _leads_to(plan.steps, number, other):
+        if (
+            other == number
+            or not time
+            or _depends_on(plan.steps, number, other)
+        ):
             continue
-        others = max(others, time + _later_seconds(plan.steps, times, other))
-    own = times[number] + _later_seconds(plan.steps, times, number)
-    return own + _SPARE_CALLS * full < others
+        longest_other = max(
+            longest_other, time + _downstream_seconds(plan.steps, times, other)
+        )
+    own_path = times[number] + _downstream_seconds(plan.steps, times, number)
+    return own_path + _EARLY_START_CALLS * full < longest_other
 
 
-def _leads_to(steps, number, other):
-    """Return whether a step needs another one's results in the end."""
+def _depends_on(steps, number, other):
+    """Return whether a step depends on another one, directly or indirectly."""
     return any(
-        one == number or _leads_to(steps, number, one)
-        for one in steps[other].after
+        need == number or _depends_on(steps, number, need)
+        for need in steps[other].after
     )
--- a/pollenstile/stagework/_ranking.py
+++ b/pollenstile/stagework/_ranking.py
@@ -1,12 +1,12 @@
-"""The order in which pieces are made, without I/O."""
+"""Order in which waiting pieces are made, without I/O."""
 
-# A group that can't be in time any more lets all others go first: an answer
-# within its aim is worth five to ten times as much as a late one.
+# Groups that cannot be in time any more are ranked last: an answer within its
+# target latency is worth five to ten times as much as a late one.
 _LATE = 1
 _IN_TIME = 0
-# Calls that a step of urgency is worth in the order of those in time. It
-# decides between groups that are due about together, and nothing else, so
-# that the least urgent still move when calls are short of time.
+# Calls by which each step of urgency shifts the due time of groups in time. The
+# shift only reorders groups that are due at about the same time, so that the
+# least urgent ones still make progress when calls are scarce.
 _URGENCY_CALLS = 0.9
 
 
@@ -17,7 +17,7 @@
     ==========
 
     pieces : list of Piece
-        Those that wait.
+        Waiting pieces.
     now : float
         Seconds on the clock.
     work : float
@@ -30,18 +30,18 @@
     return sorted(pieces, key=rank)
 
 
-def ahead_of(group, pieces, now, work):
-    """Return how many waiting pieces go before those of a new group.
+def count_ahead(group, pieces, now, work):
+    """Return how many waiting pieces are made before those of a new group.
 
     Explanation
     ===========
 
-    Those that are as urgent count wherever they stand: more of them will come
-    and be due sooner. Without them the least urgent were taken for a wait that
-    they never had, and given up seconds later.
+    All pieces that are at least as urgent count, wherever they are ranked: more
+    of them will arrive and be due sooner. Without them, the least urgent groups
+    were admitted with too short an expected wait and refused seconds later.
 
-    Counting all that waits, an urgent request with small pieces is refused for
-    a queue of large ones that it would pass.
+    If all waiting pieces counted, an urgent request with small pieces would be
+    refused because of a queue of large ones that it would overtake.
     """
     rank = _rank(group, now, work)
     return sum(
--- a/pollenstile/stagework/_releases.py
+++ b/pollenstile/stagework/_releases.py
@@ -1,21 +1,21 @@
-"""Releases of results, gathered into few calls."""
+"""Batched releases of results at the upstreams that hold them."""
 
 # Seconds for which releases are gathered into one call.
-_GATHER = 0.02
+_GATHER_SECONDS = 0.02
 
 
 class Releases:
-    """Results that are not needed any more, until their makers know.
+    """Results to release, until their upstreams confirm it.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        Gathers them.
+        Schedules the batched calls.
     free : function
         Takes an address and handles; returns a Deferred of success.
     on_freed : function
-        Takes an address and handles that their maker has released.
+        Takes an address and handles that the upstream has released.
     """
 
     __slots__ = ('clock', 'free', 'on_freed', 'waiting')
@@ -27,10 +27,10 @@
         self.waiting = {}
 
     def add(self, handles):
-        """Release results that were read, or that nobody will read."""
+        """Release results that were read or that will not be read."""
         for handle in handles:
             if not self.waiting:
-                self.clock.callLater(_GATHER, self._flush)
+                self.clock.callLater(_GATHER_SECONDS, self._flush)
             address = handle.partition('/')[0]
             self.waiting.setdefault(address, []).append(handle)
 
@@ -39,10 +39,10 @@
         self.waiting = {}
         for address, handles in waiting.items():
             freed = self.free(address, handles)
-            freed.addCallback(self._freed, address, handles)
+            freed.addCallback(self._handle_freed, address, handles)
 
-    def _freed(self, done, address, handles):
-        # Counted as free before the maker has said so, the room would be
-        # given to a call that can overtake the release on its way.
+    def _handle_freed(self, done, address, handles):
+        # If memory counted as free before the upstream confirms the release, a
+        # new call could overtake the release and be refused.
         if done:
             self.on_freed(address, handles)
--- a/pollenstile/stagework/_askers.py
+++ b/pollenstile/stagework/_requesters.py
@@ -1,30 +1,32 @@
-"""What other hosts have had made here, and what becomes of it when they die."""
+"""Results and groups that other hosts requested here, and their cleanup."""
 
 from functools import partial
 
-# Seconds from the loss of a link until its host counts as dead: one that lives
-# dials again at its next tick and is met by then.
+# Seconds from the loss of a link until its host counts as dead. A live host
+# dials again at its next tick and is connected within this time.
 _REDIAL_SECONDS = 0.8
 
 
-class Askers:
-    """Results and groups of other hosts, until they are released or over.
+class Requesters:
+    """Tracks results and groups of other hosts until they are released or done.
 
     Explanation
     ===========
 
-    A host that dies releases nothing. What it held would take up room until it
-    lapses, seconds later, and what it asked for would still be made. After most
-    hosts of a fleet have died, that is most of a stage's room.
+    A host that dies releases nothing. Its results would take up memory until
+    they expire, seconds later, and its requested pieces would still be made.
+    When most hosts of a fleet have died, that is most of a stage's result
+    memory.
 
-    A host that lives behind a cut link goes on by way of another one, which
-    passes its work on: what it needs belongs to that one from then on.
+    A live host whose link is cut sends its work through another host, which
+    forwards it. Ownership of the results that this work needs then passes to
+    the forwarding host.
 
     Parameters
     ==========
 
     hub : Hub
-        Tells which links come and go.
+        Reports links that are opened and lost.
     owner : function
         Takes a service, returns this host's own queue of it.
 
@@ -34,9 +36,9 @@
     held : dict
         Host and service by handle.
     pending : dict
-        Host that asked last, and service, by request and step.
+        Host that sent the latest request, and service, by request and step.
     boots : dict
-        Boot identifier of the process that asked last, by host.
+        Boot identifier of the process that sent the latest request, by host.
     """
 
     __slots__ = ('boots', 'held', 'hub', 'owner', 'pending')
@@ -47,11 +49,11 @@
         self.held = {}
         self.pending = {}
         self.boots = {}
-        hub.ups.append(self._met)
-        hub.downs.append(self._lost)
+        hub.ups.append(self._handle_link_up)
+        hub.downs.append(self._handle_link_down)
 
-    def asked(self, host, group):
-        """Note a group that a host asks for, and the results that it needs."""
+    def record_request(self, host, group):
+        """Record a requested group and the requester of its input results."""
         self.pending[group.ident] = (host, group.service)
         for handle in group.inputs:
             before = self.held.get(handle)
@@ -61,8 +63,8 @@
         if link is not None:
             self.boots[host] = link.session.peer.boot
 
-    def answered(self, host, group, handles):
-        """Note what a group came to: results, or none."""
+    def record_outcome(self, host, group, handles):
+        """Record the results of a group, if there are any."""
         last, _ = self.pending.get(group.ident, (host, ''))
         if last == host:
             self.pending.pop(group.ident, None)
@@ -71,31 +73,31 @@
         for handle in handles:
             self.held[handle] = (last, group.service)
         seconds = _hold_seconds(self.owner(group.service))
-        self.hub.clock.callLater(seconds, self.released, handles)
+        self.hub.clock.callLater(seconds, self.forget_handles, handles)
 
-    def released(self, handles):
-        """Forget results that were released, or have lapsed."""
+    def forget_handles(self, handles):
+        """Forget results that were released or have expired."""
         for handle in handles:
             self.held.pop(handle, None)
 
-    def _met(self, link):
+    def _handle_link_up(self, link):
         boot = link.session.peer.boot
         if self.boots.get(link.host, boot) != boot:
             self._abandon(link.host)
         self.boots.pop(link.host, None)
 
-    def _lost(self, host, link):
-        look = partial(self._look, host)
+    def _handle_link_down(self, host, link):
+        look = partial(self._check_host, host)
         self.hub.clock.callLater(_REDIAL_SECONDS, look)
 
-    def _look(self, host):
+    def _check_host(self, host):
         if host not in self.hub.links:
             self._abandon(host)
 
     def _abandon(self, host):
-        """Give up all that a dead host had made or asked for."""
-        for ident, (asker, service) in list(self.pending.items()):
-            if asker == host:
+        """Release and cancel everything that a dead host has requested."""
+        for ident, (requester, service) in list(self.pending.items()):
+            if requester == host:
                 self.pending.pop(ident)
                 self.owner(service).cancel(ident[0])
         by_service = {}
@@ -108,5 +110,5 @@
 
 
 def _hold_seconds(queue):
-    """Return for how long results stand that nobody releases."""
+    """Return the seconds after which unreleased results expire."""
     return queue.limits.hold_seconds if queue.limits else 0
--- a/pollenstile/stagework/_subjects.py
+++ b/pollenstile/stagework/_subjects.py
@@ -1,4 +1,4 @@
-"""What hosts ask each other about stage work."""
+"""Subjects of the messages between hosts about stage work."""
 
 from pollenstile.peer import Unanswered
 from pollenstile.stagework._owner import NO_WORKERS
@@ -8,12 +8,12 @@
 CANCEL = 'stage-cancel'
 READ = 'stage-read'
 BACKLOG = 'stage-backlog'
-# Seconds for asks whose answer nobody needs.
-WORD_SECONDS = 2.0
+# Timeout in seconds of messages whose answer is not needed.
+NOTICE_TIMEOUT_SECONDS = 2.0
 
 
 def is_final(outcome):
-    """Return whether a group's outcome is no reason to ask another host."""
+    """Return whether a group's outcome is final, so no other host is asked."""
     if isinstance(outcome, Unanswered):
         return False
     return getattr(outcome, 'reason', '') != NO_WORKERS
--- a/pollenstile/stagework/_types.py
+++ b/pollenstile/stagework/_types.py
@@ -1,11 +1,12 @@
-"""Pieces, groups of them, and the upstreams that make them."""
+"""Pieces, groups of pieces, and the workers that make them."""
 
 from dataclasses import dataclass, field
 
-# Share of the room that is planned with: sizes of results are approximate. With
-# all of it, one call in fifteen had a piece refused for want of room, which
-# then waited for a further call while its siblings kept their room.
-_FILLED_SHARE = 0.9
+# Share of result memory that is used, because sizes of results are estimates.
+# With all of it, one call in fifteen had a piece refused for lack of memory,
+# which then waited for a further call while the other results of its group kept
+# their memory.
+_PLANNED_SHARE = 0.9
 
 
 @dataclass(slots=True, eq=False)
@@ -18,34 +19,35 @@
     request : str
         The attempt that the caller named.
     service : str
-        Whose upstreams make the pieces.
+        Service whose upstreams make the pieces.
     step : int
         Number of the step.
     count : int
-        Pieces.
+        Number of pieces.
     key : str
-        Input of steps without an earlier one.
+        Input of a step that depends on no other step.
     inputs : tuple of str
         Handles of earlier results; empty for steps with a key.
     result_bytes : int
-        About the size of one result.
+        Approximate size of one result.
     urgency : int
         0 is the most urgent.
     due : float
-        On the clock: made by then, the request can still meet its aim.
+        On the clock: the request can meet its target latency if the pieces are
+        made by then.
     ends : float
-        On the clock: made later, it is of no use.
+        On the clock: the deadline after which the pieces are useless.
     near : tuple of str
-        Failure domains in which the inputs lie or the results are read; empty
-        for no preference.
+        Failure domains in which the inputs are held or the results are read;
+        empty for no preference.
     is_first : bool
-        Whether no earlier step's work would be thrown away with it.
+        Whether a refusal discards no results of an earlier step.
     later_crowded : bool
         Whether a later step's queue is longer than usual.
-    passed_on : bool
-        Whether a host that does not own the queue has passed it on.
+    is_forwarded : bool
+        Whether a host that does not own the queue has forwarded the group.
     content, team : str
-        Fingerprint of the request, and who sent it.
+        Fingerprint of the request, and the team that sent it.
     """
 
     request: str
@@ -61,7 +63,7 @@
     near: tuple[str, ...] = ()
     is_first: bool = True
     later_crowded: bool = False
-    passed_on: bool = False
+    is_forwarded: bool = False
     content: str = ''
     team: str = ''
 
@@ -73,36 +75,36 @@
 
 @dataclass(slots=True, eq=False)
 class Piece:
-    """One piece that an owner host has to have made.
+    """One piece of work for an upstream.
 
     Attributes
     ==========
 
-    flights : int
-        Calls under way that hold it.
+    calls_in_flight : int
+        Number of calls under way that hold it.
     sent : int
-        Calls that held it and may have made it.
-    read : bool
-        Whether its inputs were fetched by the call under way.
+        Number of calls that held it and may have made it.
+    inputs_fetched : bool
+        Whether the call under way has fetched its inputs.
     """
 
     group: Group
     number: int
-    flights: int = 0
+    calls_in_flight: int = 0
     sent: int = 0
-    read: bool = False
+    inputs_fetched: bool = False
     handle: str = ''
 
 
 @dataclass(slots=True, frozen=True)
 class Made:
-    """What became of one piece in a call.
+    """Outcome of one piece in a call.
 
     Parameters
     ==========
 
     handle : str
-        Names the result; empty when there is none.
+        Name of the result; empty when there is none.
     reason : str
         ``'late'``, ``'gone'``, ``'room'`` or ``'error'``.
     """
@@ -113,17 +115,17 @@
 
 @dataclass(slots=True, frozen=True)
 class CallLost:
-    """A call brought no results.
+    """A call returned no results.
 
     Parameters
     ==========
 
     reason, peer : str
-        Why and where.
+        Cause of the loss, and the worker.
     arrived : bool
-        Whether the upstream may have got it.
+        Whether the upstream may have received the call.
     broken : bool
-        Whether the upstream's side broke the connection.
+        Whether the upstream closed the connection.
     """
 
     reason: str
@@ -142,9 +144,9 @@
     wait : float
         Seconds of the owner's backlog.
     tight : bool
-        Whether the stage is short of room for results.
+        Whether the stage is short of memory for results.
     waited : float
-        Seconds from the caller's first arrival to this one's.
+        Seconds from the caller's first arrival to this attempt's.
     """
 
     handles: tuple[str, ...]
@@ -155,7 +157,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GroupRefused:
-    """The pieces will not be made.
+    """A group whose pieces will not be made.
 
     Parameters
     ==========
@@ -164,9 +166,9 @@
         ``'busy'``, ``'late'``, ``'gone'``, ``'failed'``, ``'no owner'``,
         :data:`~pollenstile.quarantine.HELD_REASON`.
     retry_after : float
-        Seconds until asking again makes sense.
+        Seconds until a retry is useful.
     waited : float
-        Seconds from the caller's first arrival to this one's.
+        Seconds from the caller's first arrival to this attempt's.
     """
 
     reason: str
@@ -177,32 +179,33 @@
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """One upstream of a stage service, as its owner host sees it.
+    """One upstream of a stage service, in its owner's view.
 
     Attributes
     ==========
 
     born : int
-        Of its incarnation: one that starts again under its identifier holds
+        Incarnation: an upstream that restarts under the same identifier holds
         no results.
     held : dict
-        Bytes of results that were not released, and when they lapse.
-    flying_bytes, flying : int
-        Results and pieces of calls under way.
+        Size and expiry time of unreleased results, by handle.
+    bytes_in_flight, pieces_in_flight : int
+        Result bytes and pieces of calls under way.
     calls : int
         Calls under way.
     speed : float
-        Time of its calls over what was expected, smoothed.
+        Smoothed ratio of actual to expected call time.
     rest_until : float
-        Not called before; after failures.
+        Time before which it is not called, after failures.
     failures : int
-        In a row.
+        Failures in a row.
     busy_until : float
-        When its call under way should end.
+        Expected end of the call under way.
     foreign : tuple
-        Bytes that something else takes up, and until when that is believed.
+        Bytes taken by results of another owner, and the time until which this
+        estimate is used.
     refusals : int
-        Calls in a row that made nothing for want of room.
+        Calls in a row that made nothing for lack of memory.
     """
 
     ident: str
@@ -210,8 +213,8 @@
     domain: str = ''
     born: int = 0
     held: dict = field(default_factory=dict)
-    flying_bytes: int = 0
-    flying: int = 0
+    bytes_in_flight: int = 0
+    pieces_in_flight: int = 0
     calls: int = 0
     speed: float = 1.0
     rest_until: float = 0.0
@@ -221,7 +224,7 @@
     refusals: int = 0
 
     def held_bytes(self, now):
-        """Return bytes of results that still take up room."""
+        """Return bytes of results that still take up memory."""
         for handle, (_, lapses) in list(self.held.items()):
             if lapses <= now:
                 self.held.pop(handle)
@@ -230,10 +233,10 @@
         return foreign + sum(size for size, _ in self.held.values())
 
     def planned_bytes(self, limits):
-        """Return the room that is planned with."""
-        return int(limits.room_bytes * _FILLED_SHARE)
+        """Return the result memory that may be used."""
+        return int(limits.room_bytes * _PLANNED_SHARE)
 
     def free_bytes(self, limits, now):
-        """Return room for results of calls that are not under way."""
-        taken = self.held_bytes(now) + self.flying_bytes
+        """Return the memory that is free for results of further calls."""
+        taken = self.held_bytes(now) + self.bytes_in_flight
         return self.planned_bytes(limits) - taken
--- a/pollenstile/stagework/_waiting.py
+++ b/pollenstile/stagework/_waiting.py
@@ -1,95 +1,101 @@
-"""How long pieces would wait, and which groups may, without I/O."""
+"""Expected waits of pieces, and admission of groups by them, without I/O."""
 
 from pollenstile.stagework._calltimes import (
     LATE_CALLS,
     call_seconds,
     full_seconds,
 )
-from pollenstile.stagework._workers import answers, capacity
+from pollenstile.stagework._workers import is_answering, effective_workers
 
-# Share by which each step of urgency lengthens a wait: while a group waits,
-# others come that are more urgent and go before it, at the rate that made the
-# wait. A fixed time in its place refused those with short aims on calm days.
-_PUSHED_BACK = 0.3
-# Calls that a short queue takes: one, and what is left of one under way. What
-# is late goes last, so it is in the way only by lengthening calls.
+# Share by which each step of urgency lengthens the expected wait: while a group
+# waits, more urgent groups arrive and overtake it, at the rate that caused the
+# wait. A fixed time instead refused groups with short target latencies under
+# light load.
+_OVERTAKEN_SHARE = 0.3
+# Calls that a short queue takes: one, and the remainder of one under way. Late
+# groups are ranked last, so they only delay others by lengthening calls.
 _IDLE_CALLS = 1.6
-# Share of the groups of one urgency that is taken whatever the load, if they
-# can be in time at all: no kind of request is to be starved by another.
-_LEAST_SHARE = 0.35
+# Share of the groups of one urgency that are admitted at any load if they can
+# be in time at all, so that no kind of request is starved by another.
+_MIN_ADMITTED_SHARE = 0.35
 
 
 def expected_wait(ahead, workers, limits, now, rate=0):
-    """Return seconds until a piece with others ahead of it is made.
+    """Return the expected seconds until a piece behind others is made.
 
     Explanation
     ===========
 
-    Calls that are full, at the speed of the workers that answer, give the
-    least wait. Results that hold their room make it longer: where the stage is
-    short of room and pieces have waited for a while, the rate at which they
-    were made counts. The pieces in calls under way are made before: left out,
-    the wait at a stage without room is taken for half of what it is, and
-    requests are taken that come too late.
+    The lower bound assumes full calls at the speed of the workers that answer.
+    When a stage is short of memory for results and pieces have waited for a
+    while, the measured rate of finished pieces is used as well. Pieces in calls
+    under way are finished first. Without them, the expected wait at a stage
+    without free memory is half of the actual one, and requests are admitted
+    that finish too late.
 
-    A worker whose call should have ended long ago does not answer. Counted as
-    free, as the rate was without it, a domain that is cut off makes the wait
-    several times too long, and nearly all callers are refused by a queue that
-    stands half empty.
+    A worker whose call is long overdue does not answer. If such workers counted
+    as free while the rate excludes them, a failure domain that is cut off would
+    make the expected wait several times too long, and nearly all callers would
+    be refused by a queue that is half empty.
 
     Parameters
     ==========
 
     ahead : int
-        Pieces that wait and go before it, its own group included.
+        Pieces that wait and are made before it, its own group included.
     workers : list of Worker
-        Those that may be called.
+        Workers that may be called.
     rate : float
-        Pieces made a second lately; 0 when it is not known, or when the room
-        for results does not bound it.
+        Recent pieces per second; 0 when it is unknown, or when memory for
+        results does not limit it.
     """
     full = full_seconds(limits)
-    sound = [one for one in workers if answers(one, full, now)] or workers
-    if not sound:
+    answering = [
+        worker for worker in workers if is_answering(worker, full, now)
+    ] or workers
+    if not answering:
         return limits.call_seconds * 4
-    rounds = ahead / (limits.batch * capacity(sound))
-    frees = sorted(max(0, one.busy_until - now) for one in sound)
+    rounds = ahead / (limits.batch * effective_workers(answering))
+    free_in = sorted(max(0, worker.busy_until - now) for worker in answering)
     last = call_seconds(limits, min(limits.batch, max(1, ahead)))
-    least = frees[0] + int(rounds) * full + last
+    least = free_in[0] + int(rounds) * full + last
     if not rate:
         return least
-    flying = sum(one.flying for one in workers)
-    return max(least, (flying + ahead) / rate)
+    pieces_in_flight = sum(worker.pieces_in_flight for worker in workers)
+    return max(least, (pieces_in_flight + ahead) / rate)
 
 
 def admitted(group, wait, now, full, share=1.0):
-    """Return whether a group's pieces may wait.
+    """Return whether a group's pieces may join the queue.
 
     Explanation
     ===========
 
-    Pieces that are made too late take the place of others that would have
-    been in time, and hold room that these need. Refused at once, the caller
-    can come back when the queue is shorter. A group with inputs is taken
-    always: the work before it is done.
+    Pieces that are made too late delay others that would have been in time, and
+    take up memory that these need. After an immediate refusal, the caller can
+    retry when the queue is shorter. A group with inputs is always admitted
+    because the work of earlier steps is done.
 
     Parameters
     ==========
 
     wait : float
-        Seconds until its last piece would be made.
+        Expected seconds until its last piece is made.
     full : float
         Seconds of a full call.
     share : float
-        Of the latest groups of its urgency, those that were taken.
+        Share of recent groups of its urgency that were admitted.
     """
     if not group.is_first:
         return True
-    pushed = _PUSHED_BACK * group.urgency if share > _LEAST_SHARE else 0
-    if now + wait * (1 + pushed) <= group.due + LATE_CALLS * full:
+    overtaken = (
+        _OVERTAKEN_SHARE * group.urgency if share > _MIN_ADMITTED_SHARE else 0
+    )
+    if now + wait * (1 + overtaken) <= group.due + LATE_CALLS * full:
         return True
-    # Late whatever happens: taken only where it is in nobody's way. An
-    # idle first step says nothing of those after it: in a burst that
-    # crowded the second one, all that was late for it was let in here.
+    # A group that is late in any case is admitted only where it delays no
+    # others. An idle first step says nothing about later steps: in a burst that
+    # crowded the second step, all groups that were late for it were admitted
+    # here.
     idle = wait <= _IDLE_CALLS * full and not group.later_crowded
     return idle and now + wait <= group.ends
--- a/pollenstile/stagework/_workers.py
+++ b/pollenstile/stagework/_workers.py
@@ -1,38 +1,41 @@
-"""Which workers may be called, and which of them answer, without I/O."""
+"""Selection of workers that may be called, without I/O."""
 
-# A worker this much slower than its siblings only takes what they can't.
-_SLOW = 1.8
-# Calls past its time after which a call under way says that its worker does
-# not answer: one call of another owner may go first.
+# Ratio of call times from which a worker gets only pieces that others cannot
+# take.
+_SLOW_SPEED = 1.8
+# Calls beyond its expected end after which a call under way means that its
+# worker does not answer: one call of another owner may be processed first.
 _OVERDUE_CALLS = 1.0
 
 
 def may_start(worker, workers, limits, waiting, now):
-    """Return whether a worker takes a call now.
+    """Return whether a worker may start a call now.
 
     Explanation
     ===========
 
-    A slow one holds its pieces for longer than they would wait for the next
-    call of a sound sibling. It gets some only while there is more than the
-    sound ones take in one round.
+    A slow worker holds its pieces longer than they would wait for the next call
+    of a healthy one. It gets pieces only while more of them wait than the
+    healthy workers take in one round.
     """
     if worker.calls >= limits.slots or worker.rest_until > now:
         return False
-    if worker.speed < _SLOW:
+    if worker.speed < _SLOW_SPEED:
         return True
     sound = [
-        one for one in workers if one.speed < _SLOW and one.rest_until <= now
+        sibling
+        for sibling in workers
+        if sibling.speed < _SLOW_SPEED and sibling.rest_until <= now
     ]
     return not sound or waiting > limits.batch * len(sound)
 
 
-def answers(worker, full, now):
-    """Return whether a worker neither rests nor is long overdue."""
+def is_answering(worker, full, now):
+    """Return whether a worker is neither resting nor long overdue."""
     overdue = now > worker.busy_until + _OVERDUE_CALLS * full
     return worker.rest_until <= now and not (worker.calls and overdue)
 
 
-def capacity(workers):
-    """Return how many workers of usual speed these are worth."""
-    return sum(1 / max(1, one.speed) for one in workers)
+def effective_workers(workers):
+    """Return the equivalent number of workers of usual speed."""
+    return sum(1 / max(1, worker.speed) for worker in workers)
--- a/pollenstile/stagework/messages.capnp
+++ b/pollenstile/stagework/messages.capnp
@@ -1,5 +1,6 @@
 @0xd5b18c0f4a7e2b63;
-# Stage work between entry hosts; carried as bodies of asks and answers.
+# Messages between entry hosts about stage work, sent as bodies of requests and
+# their answers.
 
 struct Group {
   request @0 :Text;
@@ -10,16 +11,16 @@
   inputs @5 :List(Text);
   resultBytes @6 :UInt64;
   urgency @7 :UInt16;
-  # Times left, not times of day: hosts' clocks differ.
+  # Remaining durations rather than times of day, because hosts' clocks differ.
   dueMs @8 :Int32;
   endsMs @9 :Int32;
-  # Failure domains in which it should be made, by commas; empty for any.
+  # Preferred failure domains, separated by commas; empty for no preference.
   near @10 :Text;
-  # Work of earlier steps would be thrown away with it.
+  # Whether a refusal would discard results of earlier steps.
   isLater @11 :Bool;
-  # A later step's queue is longer than usual.
+  # Whether a later step's queue is longer than usual.
   laterCrowded @12 :Bool;
-  # Whether a host that does not own the queue has passed it on.
+  # Whether a host that does not own the queue has forwarded the group.
   passedOn @13 :Bool;
   # Fingerprint of the request, and the team that sent it.
   content @14 :Data;
@@ -28,13 +29,14 @@
 
 struct GroupAnswer {
   handles @0 :List(Text);
-  # Empty when the handles are there.
+  # Empty when handles are present.
   reason @1 :Text;
   retryMs @2 :UInt32;
   waitMs @3 :UInt32;
-  # Whether the stage is short of room for results.
+  # Whether the stage is short of memory for results.
   tight @4 :Bool;
-  # Since the caller's first arrival, as the owner of a first step knows it.
+  # Time since the caller's first arrival, as recorded by the owner of a first
+  # step.
   waitedMs @5 :UInt32;
 }
 
@@ -54,7 +56,7 @@
   step @1 :UInt16;
 }
 
-# How long is a queue; answered by a GroupAnswer without handles.
+# Query for a queue's backlog; answered by a GroupAnswer without handles.
 struct Backlog {
   service @0 :Text;
 }
