--- a/features/steps/passing_steps.py
+++ b/features/steps/passing_steps.py
@@ -103,7 +103,7 @@
     context.asked = context.apart[1]
     now = fleet.clock.seconds()
     one = replace(group('r', due=now + 2, ends=now + 5), service=service)
-    body = group_bytes(replace(one, passed_on=True), now)
+    body = group_bytes(replace(one, is_forwarded=True), now)
     answer = context.asked.hub.requests.subjects[ASK](requester.name, body)
     context.answered = []
     answer.addBoth(context.answered.append)
--- a/features/steps/stagework_heavy_steps.py
+++ b/features/steps/stagework_heavy_steps.py
@@ -5,8 +5,8 @@
 from twisted.internet.task import Clock
 
 from features.builders.stagework import (
-    AskedClient,
     LIMITS,
+    AskedClient,
     Queue,
     group,
     pieces_of,
@@ -22,8 +22,8 @@
     count_ahead,
     expected_wait,
     full_seconds,
-    usual_seconds,
     should_delay_step,
+    usual_seconds,
 )
 from pollenstile.stagework._backlogs import Backlog
 
--- a/pollenstile/stagework/__init__.py
+++ b/pollenstile/stagework/__init__.py
@@ -18,8 +18,8 @@
     Plan,
     crowded_seconds,
     plan_of,
-    usual_seconds,
     should_delay_step,
+    usual_seconds,
 )
 from pollenstile.stagework._ranking import count_ahead, ranked
 from pollenstile.stagework._service import StageService
--- a/pollenstile/stagework/_backlogs.py
+++ b/pollenstile/stagework/_backlogs.py
@@ -42,7 +42,7 @@
         :class:`Backlog` by service.
     """
 
-    __slots__ = ('clock', 'by_service')
+    __slots__ = ('by_service', 'clock')
 
     def __init__(self, clock):
         self.clock = clock
--- a/pollenstile/stagework/_batchcall.py
+++ b/pollenstile/stagework/_batchcall.py
@@ -146,11 +146,11 @@
             return
         self._update_speed(self.owner.clock.seconds() - self.started)
         self._update_memory(outcome)
-        lapses = self.owner.clock.seconds() + self.owner.limits.hold_seconds
+        expires_at = self.owner.clock.seconds() + self.owner.limits.hold_seconds
         for piece, result in zip(self.batch, outcome, strict=True):
             if result.handle:
                 size = piece.group.result_bytes
-                self.worker.held[result.handle] = (size, lapses)
+                self.worker.held[result.handle] = (size, expires_at)
             piece.sent += not slow
             self.owner.record_result(piece, result)
         self.owner.dispatcher.schedule()
--- a/pollenstile/stagework/_batching.py
+++ b/pollenstile/stagework/_batching.py
@@ -45,11 +45,11 @@
     started : set
         Identifiers of groups with a piece that is done or in a call.
     """
-    spare = sum(worker.free_bytes(limits, now) for worker in workers)
+    unreserved = sum(worker.free_bytes(limits, now) for worker in workers)
     for piece in pieces:
         if piece.group.ident in started:
-            spare -= piece.group.result_bytes
-    return spare
+            unreserved -= piece.group.result_bytes
+    return unreserved
 
 
 def is_tight(workers, limits, now):
@@ -59,7 +59,7 @@
     return free < (1 - _TIGHT_SHARE) * planned
 
 
-def batch_for(pieces, worker, limits, now, started, spare):
+def batch_for(pieces, worker, limits, now, started, unreserved):
     """Return the pieces to send to a free worker now.
 
     Explanation
@@ -82,7 +82,7 @@
 
     pieces : list of Piece
         In rank order, the pieces of a group adjacent.
-    started, spare
+    started, unreserved
         See :func:`unreserved_bytes`; newly started groups are added to
         ``started``.
     """
@@ -102,10 +102,10 @@
         group_bytes = 0 if group.ident in started else group.count * size
         empty = not started and not worker.held
         if not _may_begin(
-            members, fitting, batch, empty or group_bytes <= spare
+            members, fitting, batch, empty or group_bytes <= unreserved
         ):
             continue
-        spare -= group_bytes
+        unreserved -= group_bytes
         started.add(group.ident)
         batch.extend(members[:fitting])
         free_bytes -= fitting * size
--- a/pollenstile/stagework/_chain.py
+++ b/pollenstile/stagework/_chain.py
@@ -62,13 +62,13 @@
     """
 
     __slots__ = (
-        'pending',
         'client',
         'crossed',
         'done',
         'failure',
         'held',
         'near_domains',
+        'pending',
         'plan',
         'read',
         'unused',
--- a/pollenstile/stagework/_client.py
+++ b/pollenstile/stagework/_client.py
@@ -8,6 +8,7 @@
 from pollenstile.peer import BadMessageError, Unanswered
 from pollenstile.routes import StageLimits
 from pollenstile.stagework import events
+from pollenstile.stagework._backlogqueries import refreshed
 from pollenstile.stagework._backlogs import Backlogs
 from pollenstile.stagework._calltimes import long_wait
 from pollenstile.stagework._codec import (
@@ -18,12 +19,11 @@
 )
 from pollenstile.stagework._ownership import Ownership
 from pollenstile.stagework._plan import crowded_seconds, usual_seconds
-from pollenstile.stagework._backlogqueries import refreshed
 from pollenstile.stagework._subjects import (
     ASK,
     CANCEL,
-    RELEASE,
     NOTICE_TIMEOUT_SECONDS,
+    RELEASE,
     is_final,
 )
 from pollenstile.stagework._types import GroupRefused
--- a/pollenstile/stagework/_dispatcher.py
+++ b/pollenstile/stagework/_dispatcher.py
@@ -1,13 +1,13 @@
 """Dispatch of waiting pieces to free workers in batches."""
 
 from pollenstile.stagework import events
+from pollenstile.stagework._batchcall import BatchCall
 from pollenstile.stagework._batching import (
-    batchable,
     batch_for,
+    batchable,
     unreserved_bytes,
 )
 from pollenstile.stagework._calltimes import call_seconds, full_seconds
-from pollenstile.stagework._batchcall import BatchCall
 from pollenstile.stagework._locality import eligible, frees_by_domain
 from pollenstile.stagework._ranking import ranked
 from pollenstile.stagework._workers import may_start
--- a/pollenstile/stagework/_forwarding.py
+++ b/pollenstile/stagework/_forwarding.py
@@ -5,8 +5,8 @@
 from pollenstile.stagework._codec import cancel_bytes, release_bytes
 from pollenstile.stagework._subjects import (
     CANCEL,
-    RELEASE,
     NOTICE_TIMEOUT_SECONDS,
+    RELEASE,
     is_final,
 )
 
@@ -85,10 +85,10 @@
             Whether another host has forwarded this release already.
         """
         client = self.client
-        own = client.owner(service)
+        own_queue = client.owner(service)
         owner = client.owning_host(service)
-        if is_forwarded or owner == client.host or _holds(own, handles):
-            own.release(handles)
+        if is_forwarded or owner == client.host or _holds(own_queue, handles):
+            own_queue.release(handles)
             return
         body = release_bytes(service, handles, is_forwarded=True)
         client.hub.ask(owner, RELEASE, body, NOTICE_TIMEOUT_SECONDS)
--- a/pollenstile/stagework/_jobs.py
+++ b/pollenstile/stagework/_jobs.py
@@ -30,11 +30,11 @@
     """
 
     __slots__ = (
-        'started_at',
         'arrived_at',
         'group',
         'on_read',
         'pieces',
+        'started_at',
         'timer',
         'waited',
         'waiters',
@@ -69,7 +69,7 @@
                 waiter.callback(outcome)
 
     def notify_inputs_read(self):
-        """Call and clear the callbacks for the inputs being fetched."""
+        """Call and clear the callbacks that await the fetched inputs."""
         listeners = self.on_read
         self.on_read = []
         for listener in listeners:
--- a/pollenstile/stagework/_ownerorder.py
+++ b/pollenstile/stagework/_ownerorder.py
@@ -32,10 +32,10 @@
     >>> sorted(owner_order('encode', {'a': 1.0, 'b': 1.0}))
     ['a', 'b']
     """
-    most = max(capacities.values(), default=1.0)
+    largest = max(capacities.values(), default=1.0)
 
     def rank(host):
-        smaller = int(math.log2(most / capacities[host]))
+        smaller = int(math.log2(largest / capacities[host]))
         return smaller, -rendezvous_weight(service, host)
 
     return sorted(capacities, key=rank)
--- a/pollenstile/stagework/_queuestats.py
+++ b/pollenstile/stagework/_queuestats.py
@@ -20,7 +20,7 @@
         Time since which the queue was never empty.
     """
 
-    __slots__ = ('made_at', 'queued_since', 'admitted_shares')
+    __slots__ = ('admitted_shares', 'made_at', 'queued_since')
 
     def __init__(self):
         self.admitted_shares = {}
--- a/pollenstile/stagework/_requesters.py
+++ b/pollenstile/stagework/_requesters.py
@@ -87,8 +87,8 @@
         self.boots.pop(link.host, None)
 
     def _handle_link_down(self, host, link):
-        look = partial(self._check_host, host)
-        self.hub.clock.callLater(_REDIAL_SECONDS, look)
+        check = partial(self._check_host, host)
+        self.hub.clock.callLater(_REDIAL_SECONDS, check)
 
     def _check_host(self, host):
         if host not in self.hub.links:
--- a/pollenstile/stagework/_service.py
+++ b/pollenstile/stagework/_service.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.defer import Deferred
 
-from pollenstile.stagework._requesters import Requesters
+from pollenstile.stagework._backlogqueries import own_backlog
 from pollenstile.stagework._codec import (
     answer_bytes,
     backlog_from,
@@ -14,16 +14,16 @@
     read_from,
     release_from,
 )
-from pollenstile.stagework._owner import NO_WORKERS
 from pollenstile.stagework._forwarding import Forwarder
-from pollenstile.stagework._backlogqueries import own_backlog
+from pollenstile.stagework._owner import NO_WORKERS
+from pollenstile.stagework._requesters import Requesters
 from pollenstile.stagework._subjects import (
     ASK,
     BACKLOG,
     CANCEL,
+    NOTICE_TIMEOUT_SECONDS,
     READ,
     RELEASE,
-    NOTICE_TIMEOUT_SECONDS,
     is_final,
 )
 from pollenstile.stagework._types import GroupRefused
@@ -41,7 +41,7 @@
         Holds this host's queues and the groups that it waits for.
     """
 
-    __slots__ = ('requesters', 'client', 'hub', 'forwarder')
+    __slots__ = ('client', 'forwarder', 'hub', 'requesters')
 
     def __init__(self, client):
         self.client = client
@@ -83,9 +83,9 @@
         find their inputs released, and lack memory that neither queue accounts
         for.
         """
-        passed = await self.forwarder.outcome(group, on_read)
-        if passed is not None:
-            return passed
+        forwarded = await self.forwarder.outcome(group, on_read)
+        if forwarded is not None:
+            return forwarded
         outcome = await self.client.owner(group.service).submit(group, on_read)
         if is_final(outcome):
             return outcome
--- a/pollenstile/stagework/_types.py
+++ b/pollenstile/stagework/_types.py
@@ -225,11 +225,11 @@
 
     def held_bytes(self, now):
         """Return bytes of results that still take up memory."""
-        for handle, (_, lapses) in list(self.held.items()):
-            if lapses <= now:
+        for handle, (_, expires_at) in list(self.held.items()):
+            if expires_at <= now:
                 self.held.pop(handle)
-        size, lapses = self.foreign
-        foreign = size if lapses > now else 0
+        size, expires_at = self.foreign
+        foreign = size if expires_at > now else 0
         return foreign + sum(size for size, _ in self.held.values())
 
     def planned_bytes(self, limits):
--- a/pollenstile/stagework/_waiting.py
+++ b/pollenstile/stagework/_waiting.py
@@ -5,7 +5,7 @@
     call_seconds,
     full_seconds,
 )
-from pollenstile.stagework._workers import is_answering, effective_workers
+from pollenstile.stagework._workers import effective_workers, is_answering
 
 # Share by which each step of urgency lengthens the expected wait: while a group
 # waits, more urgent groups arrive and overtake it, at the rate that caused the
--- a/pollenstile/stagework/_workers.py
+++ b/pollenstile/stagework/_workers.py
@@ -22,12 +22,12 @@
         return False
     if worker.speed < _SLOW_SPEED:
         return True
-    sound = [
+    healthy = [
         sibling
         for sibling in workers
         if sibling.speed < _SLOW_SPEED and sibling.rest_until <= now
     ]
-    return not sound or waiting > limits.batch * len(sound)
+    return not healthy or waiting > limits.batch * len(healthy)
 
 
 def is_answering(worker, full, now):
