--- a/features/askers.feature
+++ b/features/askers.feature
@@ -1,62 +1,64 @@
-Feature: what dead hosts held, and what owners said long ago
+Feature: cleanup after dead hosts, and refresh of stale backlogs
 
   Scenario: Most hosts lose power at once and come back
-    They release nothing, so half of a stage's room was taken for four seconds by
-    results that nobody could read; the queue that grew behind it was told to all,
-    who went on refusing long after it was empty.
+    Dead hosts release nothing, so half of a stage's result memory was taken for
+    four seconds by results that no host could read. The resulting backlog was
+    reported to all hosts, and they refused requests long after the queue was
+    empty.
     When 60 in 100 of 9 hosts lose power for 2 seconds at 1.5 times the load
-    Then 4 seconds later at least 90 in 100 requests are in their aim
+    Then 4 seconds later at least 90 in 100 requests meet their target latency
 
   Scenario: The results of a host that lost power are released
     Given a host that holds results of the owner of "intake"
     When it loses power and 2.4 seconds pass
     Then the upstreams of "intake" hold no results
 
-  Scenario: Pieces that a host waited for as it lost power are withdrawn
+  Scenario: Pieces requested by a host that lost power are cancelled
     Given a host that waits for pieces of the owner of "intake"
     When it loses power and 2.4 seconds pass
-    Then the owner of "intake" has no group left
+    Then the owner of "intake" has no remaining group
 
   Scenario: A host that only lost its connection keeps its results
-    It has dialed again within a moment and still needs them. Released, the
-    request would find its inputs gone.
+    It dials again within a moment and still needs the results. If they were
+    released, the request would lose its inputs.
     Given a host that holds results of the owner of "intake"
     When its link to the owner is reset and 1.2 seconds pass
     Then the upstreams of "intake" hold its results
 
-  Scenario: A new process under the host's name holds nothing of before
+  Scenario: A new process under the host's name keeps no earlier results
     Given a host that holds results of the owner of "intake"
     When its process is replaced at once and 0.7 seconds pass
     Then the upstreams of "intake" hold no results
 
-  Scenario: An owner that said that its queue is long is asked again
-    All hosts were told so by the last answers. Nothing reached the queue after
-    that, and for two seconds nobody heard that it was empty.
-    Given a host that was told 0.5 seconds ago that "portal" is 3 seconds long
-    When it has a chain begun that goes through "portal"
-    Then it counts on less than a second for "portal"
+  Scenario: An owner that reported a long queue is queried again
+    The last answers reported a long queue to all hosts. No group reached the
+    queue after that, and no host learned for two seconds that it was empty.
+    Given a host that got a backlog of 3 seconds for "portal" 0.5 seconds ago
+    When it starts a chain that needs "portal"
+    Then it expects less than a second for "portal"
 
-  Scenario: An owner that does not answer is taken by its last word
-    Given a host that was told 0.5 seconds ago that "portal" is 3 seconds long
+  Scenario: The last backlog is used when the owner does not answer
+    Given a host that got a backlog of 3 seconds for "portal" 0.5 seconds ago
     When the owner of "portal" loses power
-    And it has a chain begun that goes through "portal"
-    Then the chain begins after 0.1 seconds by the last word
+    And it starts a chain that needs "portal"
+    Then the chain starts after 0.1 seconds with the last backlog
 
-  Scenario: A word that is new is not asked for again
-    Given a host that was told 0.1 seconds ago that "portal" is 3 seconds long
-    When it has a chain begun that goes through "portal"
-    Then no owner was asked how long its queue is
+  Scenario: A recent backlog is not queried again
+    Given a host that got a backlog of 3 seconds for "portal" 0.1 seconds ago
+    When it starts a chain that needs "portal"
+    Then no owner was queried for its backlog
 
-  Scenario: A host whose link to the owner is cut goes on by way of another host
-    It lives, and asks another host, which passes its work on. Given up with its
-    first ask, its request would be refused.
+  Scenario: A host whose link to the owner is cut uses another host
+    The host is alive, and sends its work to another host, which forwards it. If
+    its work were cancelled after the first request fails, its caller would be
+    refused.
     Given a host that waits for 4 more seconds for the owner of "intake"
-    When its link to the owner is cut for good and 5.5 seconds pass
+    When its link to the owner is cut permanently and 5.5 seconds pass
     Then its chain has its results
 
-  Scenario: What a host holds is kept when it is needed by way of another host
+  Scenario: Results are kept when another host forwards a request for them
     Given a host that holds results of the owner of "intake"
-    When its link to the owner is cut for good and 1.3 seconds pass
-    And another host asks for work with these results as inputs
+    When its link to the owner is cut permanently and 1.3 seconds pass
+    And another host requests work with these results as inputs
     And 1.5 seconds pass at all hosts
     Then the upstreams of "intake" hold its results
--- a/features/builders/stagework.py
+++ b/features/builders/stagework.py
@@ -1,4 +1,4 @@
-"""Builders of stage work: pieces, workers, and queues in virtual time."""
+"""Builders of stage work: pieces, workers and queues in virtual time."""
 
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
@@ -48,19 +48,23 @@
 
 def pieces_of(*groups):
     """Return all pieces of some groups."""
-    return [Piece(one, place) for one in groups for place in range(one.count)]
+    return [
+        Piece(member_group, number)
+        for member_group in groups
+        for number in range(member_group.count)
+    ]
 
 
 def workers(*domains):
-    """Return workers, one in each of some failure domains."""
+    """Return workers, one in each of the failure domains."""
     return [
-        Worker(f'w{place}', f'10.0.0.{place}:1', domain)
-        for place, domain in enumerate(domains)
+        Worker(f'w{number}', f'10.0.0.{number}:1', domain)
+        for number, domain in enumerate(domains)
     ]
 
 
 class Queue:
-    """An owner in virtual time whose calls the test answers.
+    """An owner in virtual time, with calls that the test answers.
 
     Attributes
     ==========
@@ -70,9 +74,9 @@
     freed : list of tuple
         Address, handles and Deferred of each release.
     budget : int
-        Repeats that may still be sent.
+        Remaining repeats.
     outcomes : dict
-        By request.
+        Outcome by request.
     read : list of str
         Requests whose inputs were fetched.
     """
@@ -93,26 +97,28 @@
         )
         self.owner.configure(limits, workers(*domains))
 
-    def submit(self, one):
-        """Hand in a group, and let free workers draw."""
-        waiter = self.owner.submit(one, lambda: self.read.append(one.request))
-        waiter.addCallback(self.note, one.request)
+    def submit(self, new_group):
+        """Submit a group and dispatch pieces to free workers."""
+        waiter = self.owner.submit(
+            new_group, lambda: self.read.append(new_group.request)
+        )
+        waiter.addCallback(self.note, new_group.request)
         self.clock.advance(0.01)
 
-    def answer(self, place, outcome=None):
-        """Answer a call; with results for all its pieces by default."""
-        worker, pieces, done = self.calls[place]
+    def answer(self, index, outcome=None):
+        """Answer a call, by default with results for all its pieces."""
+        worker, pieces, done = self.calls[index]
         if outcome is None:
             outcome = [
-                Made(f'{worker.address}/{place}.{number}')
+                Made(f'{worker.address}/{index}.{number}')
                 for number, _ in enumerate(pieces)
             ]
         done.callback(outcome)
         self.clock.advance(0.01)
 
-    def requests(self, place):
+    def requests(self, index):
         """Return the requests of a call's pieces."""
-        return [piece.group.request for piece in self.calls[place][1]]
+        return [piece.group.request for piece in self.calls[index][1]]
 
     def _call(self, worker, pieces, seconds):
         done = Deferred()
@@ -131,18 +137,19 @@
         return True
 
     def note(self, outcome, request):
-        """Keep what became of a request's group."""
+        """Record the outcome of a request's group."""
         self.outcomes[request] = outcome
 
 
 class AskedClient:
-    """A stage client that notes the groups it is asked for.
+    """A stage client that records submitted groups.
 
     Parameters
     ==========
 
     domains : tuple of str
-        Those that have workers of the service ``rank``; others are everywhere.
+        Domains that have workers of the service ``rank``; other services have
+        workers in all domains.
     """
 
     def __init__(self, domains=('a', 'b', 'c')):
@@ -150,39 +157,39 @@
         self.groups = []
         self.waiting = []
 
-    def submit(self, one, on_read):
-        """Note a group."""
-        self.groups.append(one)
+    def submit(self, new_group, on_read):
+        """Record a group."""
+        self.groups.append(new_group)
         self.waiting.append(Deferred())
         return self.waiting[-1]
 
     def seconds(self, service, count):
-        """Return the same for all."""
+        """Return the same duration for all steps."""
         return 0.4
 
     def is_crowded(self, service):
-        """Return that nothing is crowded."""
+        """Return that no service is crowded."""
         return False
 
     is_long = is_crowded
 
     def limits_of(self, service):
-        """Return the same for all."""
+        """Return the same limits for all services."""
         return LIMITS
 
     def domains_with(self, service):
-        """Return where there are workers of the last step."""
+        """Return the domains with workers of a service."""
         return self.domains if service == 'rank' else ('a', 'b', 'c')
 
     def domain_of(self, handles):
-        """Return the domain that a handle begins with."""
+        """Return the domain in the first letter of a handle."""
         return handles[0][0]
 
     def release(self, host, service, handles):
         """Release nothing."""
 
     def made(self, domain):
-        """Let the newest group be made in a domain."""
+        """Complete the latest group with results in a domain."""
         count = self.groups[-1].count
         handles = tuple(f'{domain}/{number}' for number in range(count))
         self.waiting[-1].callback(('host', GroupDone(handles)))
--- a/features/steps/askers_steps.py
+++ b/features/steps/askers_steps.py
@@ -1,4 +1,4 @@
-"""Steps of dead hosts' results, and of old words of owners."""
+"""Steps of cleanup after dead hosts, and of stale backlogs."""
 
 from dataclasses import replace
 
@@ -12,10 +12,10 @@
 from pollenstile.stagework._codec import group_bytes
 from pollenstile.stagework._subjects import ASK, BACKLOG
 
-_WAY = 0.0015
-# A seed whose queue was longest after the loss.
+_ONE_WAY_SECONDS = 0.0015
+# The seed with the longest queue after the loss.
 _SEED = 3
-_MADE = 1.0
+_MADE_SECONDS = 1.0
 
 
 @when(
@@ -30,32 +30,34 @@
 
 
 @then(
-    '{seconds:g} seconds later at least {share:d} in 100 requests are in their aim'
+    '{seconds:g} seconds later at least {share:d} in 100 requests meet their'
+    ' target latency'
 )
-def then_in_aim(context, seconds, share):
+def then_in_time(context, seconds, share):
     first = context.served[0].came
     later = [
-        one
-        for one in context.served
-        if one.came - first > context.lost_at + seconds
+        request
+        for request in context.served
+        if request.came - first > context.lost_at + seconds
     ]
-    in_aim = [
-        one
-        for one in later
-        if one.staged is not None and one.staged + one.read <= one.aim
+    in_time = [
+        request
+        for request in later
+        if request.staged is not None
+        and request.staged + request.read <= request.aim
     ]
-    assert len(in_aim) * 100 >= share * len(later), (len(in_aim), len(later))
+    assert len(in_time) * 100 >= share * len(later), (len(in_time), len(later))
 
 
-def _host_apart(context, service):
-    context.fleet = HostFleet(REPAIR.services, 6, _WAY)
+def _start_fleet(context, service):
+    context.fleet = HostFleet(REPAIR.services, 6, _ONE_WAY_SECONDS)
     context.service = service
     context.owner = context.fleet.owner_of(service)
-    others = [one for one in context.fleet.hosts if one is not context.owner]
+    others = [host for host in context.fleet.hosts if host is not context.owner]
     context.host = others[-1]
 
 
-def _begin(context):
+def _start_chain(context):
     now = context.fleet.clock.seconds()
     plan = chain_plan('r', context.service, now)
     context.chain = Chain(context.host.client, plan)
@@ -66,17 +68,17 @@
 
 @given('a host that holds results of the owner of "{service}"')
 def given_holds(context, service):
-    _host_apart(context, service)
-    _begin(context)
-    context.fleet.advance(_MADE)
+    _start_fleet(context, service)
+    _start_chain(context)
+    context.fleet.advance(_MADE_SECONDS)
     assert context.chain.held
-    context.kept = _results(context)
-    assert context.kept
+    context.handles = _results(context)
+    assert context.handles
 
 
 @given('a host that waits for pieces of the owner of "{service}"')
 def given_waits(context, service):
-    # The workers rest for longer than the story takes.
+    # The workers rest longer than the scenario lasts.
     given_waits_for(context, 60, service)
 
 
@@ -84,10 +86,10 @@
     'a host that waits for {seconds:g} more seconds for the owner of "{service}"'
 )
 def given_waits_for(context, seconds, service):
-    _host_apart(context, service)
+    _start_fleet(context, service)
     for worker in context.owner.owner(service).workers.values():
         worker.rest_until = context.fleet.clock.seconds() + seconds
-    _begin(context)
+    _start_chain(context)
     context.fleet.advance(0.1)
     assert context.owner.owner(service).jobs
 
@@ -113,21 +115,21 @@
     context.fleet.advance(seconds)
 
 
-@when('its link to the owner is cut for good and {seconds:g} seconds pass')
+@when('its link to the owner is cut permanently and {seconds:g} seconds pass')
 def when_cut(context, seconds):
     pair = frozenset((context.host.name, context.owner.name))
     context.fleet.parted.add(pair)
     context.fleet.advance(seconds)
 
 
-@when('another host asks for work with these results as inputs')
-def when_asked_through(context):
+@when('another host requests work with these results as inputs')
+def when_other_requests(context):
     order = context.owner.client.ownership.order(context.service)
     now = context.fleet.clock.seconds()
-    one = group(
-        'r', step=1, due=now + 2, ends=now + 8, inputs=tuple(context.kept)
+    requested = group(
+        'r', step=1, due=now + 2, ends=now + 8, inputs=tuple(context.handles)
     )
-    body = group_bytes(replace(one, service=context.service), now)
+    body = group_bytes(replace(requested, service=context.service), now)
     context.owner.hub.requests.subjects[ASK](order[1], body)
 
 
@@ -158,28 +160,28 @@
 
 @then('the upstreams of "{service}" hold its results')
 def then_its_results(context, service):
-    assert set(context.kept) <= set(_results(context)), context.kept
+    assert set(context.handles) <= set(_results(context)), context.handles
 
 
 @given(
-    'a host that was told {seconds:g} seconds ago that "{service}" is {wait:g}'
-    ' seconds long'
+    'a host that got a backlog of {wait:g} seconds for "{service}"'
+    ' {seconds:g} seconds ago'
 )
-def given_told(context, seconds, service, wait):
-    _host_apart(context, service)
+def given_backlog(context, seconds, service, wait):
+    _start_fleet(context, service)
     context.host.client.backlogs.record(
         service, GroupDone((), wait, tight=True)
     )
     context.fleet.advance(seconds)
-    context.questions = []
+    context.queries = []
     subjects = context.owner.hub.requests.subjects
     answer = subjects[BACKLOG]
 
-    def asked(host, body):
-        context.questions.append(host)
+    def record_query(host, body):
+        context.queries.append(host)
         return answer(host, body)
 
-    subjects[BACKLOG] = asked
+    subjects[BACKLOG] = record_query
 
 
 @when('the owner of "{service}" loses power')
@@ -187,35 +189,35 @@
     context.owner.lose_power()
 
 
-@when('it has a chain begun that goes through "{service}"')
-def when_chain(context, service):
+@when('it starts a chain that needs "{service}"')
+def when_starts_chain(context, service):
     client = context.host.client
     clock = context.fleet.clock
-    began = clock.seconds()
-    context.told = []
+    started_at = clock.seconds()
+    context.results = []
     work = Deferred.fromCoroutine(client.refreshed((service,)))
     work.addCallback(
-        lambda _: context.told.append(
-            (clock.seconds() - began, client.seconds(service, 1))
+        lambda _: context.results.append(
+            (clock.seconds() - started_at, client.seconds(service, 1))
         )
     )
     context.fleet.advance(0.3)
 
 
-@then('it counts on less than a second for "{service}"')
-def then_served(context, service):
-    _, seconds = context.told[0]
-    assert seconds < 1, context.told
+@then('it expects less than a second for "{service}"')
+def then_short_wait(context, service):
+    _, seconds = context.results[0]
+    assert seconds < 1, context.results
 
 
-@then('the chain begins after {seconds:g} seconds by the last word')
-def then_last_word(context, seconds):
-    took, wait = context.told[0]
-    assert took <= seconds + 0.01, context.told
-    assert round(wait) == 3, context.told
+@then('the chain starts after {seconds:g} seconds with the last backlog')
+def then_last_backlog(context, seconds):
+    elapsed, wait = context.results[0]
+    assert elapsed <= seconds + 0.01, context.results
+    assert round(wait) == 3, context.results
 
 
-@then('no owner was asked how long its queue is')
-def then_not_asked(context):
-    assert context.told
-    assert not context.questions, context.questions
+@then('no owner was queried for its backlog')
+def then_not_queried(context):
+    assert context.results
+    assert not context.queries, context.queries
--- a/features/steps/passing_steps.py
+++ b/features/steps/passing_steps.py
@@ -1,4 +1,4 @@
-"""Steps of stage work that is passed on to the owner of its queue."""
+"""Steps of stage work that is forwarded to the owner of its queue."""
 
 from dataclasses import replace
 
@@ -12,9 +12,9 @@
 from pollenstile.stagework._codec import group_bytes
 from pollenstile.stagework._subjects import ASK
 
-_WAY = 0.0015
-# Seconds until cut links count as lost, and new ones are there.
-_SETTLE = 4.0
+_ONE_WAY_SECONDS = 0.0015
+# Seconds until cut links count as lost and new ones are open.
+_SETTLE_SECONDS = 4.0
 
 
 @given(
@@ -23,24 +23,25 @@
 )
 def given_hosts(context, count, parted, service):
     context.service = service
-    context.fleet = HostFleet(REPAIR.services, count, _WAY)
+    context.fleet = HostFleet(REPAIR.services, count, _ONE_WAY_SECONDS)
     context.owner = context.fleet.owner_of(service)
     order = context.owner.client.ownership.order(service)
-    # The second in the order is asked in the owner's place, and reaches it.
-    context.apart = [
+    # The second host in the order receives requests instead of the owner, and
+    # has a link to it.
+    context.cut_hosts = [
         host
         for host in context.fleet.hosts
         if host.name in order[2 : 2 + parted]
     ]
-    for host in context.apart:
+    for host in context.cut_hosts:
         pair = frozenset((host.name, context.owner.name))
         context.fleet.parted.add(pair)
-    context.fleet.advance(_SETTLE)
+    context.fleet.advance(_SETTLE_SECONDS)
     context.fleet.callers.clear()
 
 
-def _begin(context, number):
-    host = context.apart[number % len(context.apart)]
+def _start_chain(context, number):
+    host = context.cut_hosts[number % len(context.cut_hosts)]
     now = context.fleet.clock.seconds()
     chain = Chain(host.client, chain_plan(f'r{number}', context.service, now))
     ended = []
@@ -48,26 +49,26 @@
     context.chains.append((chain, ended))
 
 
-@when('{count:d} chains begin at those {parted:d} within {seconds:g} seconds')
-def when_begin(context, count, parted, seconds):
+@when('{count:d} chains start at those {parted:d} within {seconds:g} seconds')
+def when_start(context, count, parted, seconds):
     context.chains = []
     for number in range(count):
-        _begin(context, number)
+        _start_chain(context, number)
         context.fleet.advance(seconds / count)
-    context.fleet.advance(_SETTLE)
+    context.fleet.advance(_SETTLE_SECONDS)
 
 
 @when(
-    '{count:d} chains begin at those {parted:d} and the owner of "{service}"'
+    '{count:d} chains start at those {parted:d} and the owner of "{service}"'
     ' loses power'
 )
 def when_power_lost(context, count, parted, service):
     context.chains = []
     for number in range(count):
-        _begin(context, number)
+        _start_chain(context, number)
     context.fleet.advance(0.1)
     context.owner.lose_power()
-    context.fleet.advance(2 * _SETTLE)
+    context.fleet.advance(2 * _SETTLE_SECONDS)
 
 
 @then('only the owner of "{service}" has called its upstreams')
@@ -96,38 +97,38 @@
         assert not worker.held, worker.held
 
 
-@when('a host that does not own "{service}" gets a group that was passed on')
-def when_passed(context, service):
+@when('a host that does not own "{service}" receives a forwarded group')
+def when_forwarded(context, service):
     fleet = context.fleet
-    requester = context.apart[0]
-    context.asked = context.apart[1]
+    requester = context.cut_hosts[0]
+    context.receiver = context.cut_hosts[1]
     now = fleet.clock.seconds()
-    one = replace(group('r', due=now + 2, ends=now + 5), service=service)
-    body = group_bytes(replace(one, is_forwarded=True), now)
-    answer = context.asked.hub.requests.subjects[ASK](requester.name, body)
+    forwarded = replace(group('r', due=now + 2, ends=now + 5), service=service)
+    body = group_bytes(replace(forwarded, is_forwarded=True), now)
+    answer = context.receiver.hub.requests.subjects[ASK](requester.name, body)
     context.answered = []
     answer.addBoth(context.answered.append)
     fleet.advance(2.0)
 
 
-@then('it has the group made itself')
-def then_made_itself(context):
+@then('it processes the group in its own queue')
+def then_own_queue(context):
     assert context.answered
     callers = {host for _, host in context.fleet.callers}
-    assert callers == {context.asked.name}, callers
+    assert callers == {context.receiver.name}, callers
 
 
-@when('a chain begins at one of those 4 and is withdrawn before it is made')
+@when('a chain starts at one of those 4 and is withdrawn before it is made')
 def when_withdrawn(context):
     context.chains = []
-    _begin(context, 0)
+    _start_chain(context, 0)
     context.fleet.advance(0.1)
     assert context.owner.owner(context.service).jobs
     context.chains[0][0].withdraw()
     context.fleet.advance(0.1)
 
 
-@then('the owner of "{service}" has no group left')
+@then('the owner of "{service}" has no remaining group')
 def then_no_group(context, service):
     jobs = context.owner.owner(service).jobs
     assert not jobs, jobs
--- a/features/steps/stagework_heavy_steps.py
+++ b/features/steps/stagework_heavy_steps.py
@@ -1,4 +1,4 @@
-"""Steps of stage work on the heaviest days."""
+"""Steps of stage work under heavy load."""
 
 from behave import given, then, when
 from twisted.internet.defer import Deferred
@@ -46,13 +46,13 @@
     context.queue = Queue(domain)
     context.queue.submit(group('first', LIMITS.batch, 10, due=1.4))
     for number in range(count):
-        one = group(f'big{number}', 1, 10, due=1.4, urgency=urgency)
-        context.queue.owner.waiting.extend(pieces_of(one))
+        waiting = group(f'big{number}', 1, 10, due=1.4, urgency=urgency)
+        context.queue.owner.waiting.extend(pieces_of(waiting))
 
 
 def _ahead(context, urgency, due):
-    one = group('new', 1, 10, due=due, urgency=urgency)
-    return count_ahead(one, context.queue.owner.waiting, 0, _WORK)
+    new = group('new', 1, 10, due=due, urgency=urgency)
+    return count_ahead(new, context.queue.owner.waiting, 0, _WORK)
 
 
 @then(
@@ -72,7 +72,7 @@
 
 
 @given('stage workers with {count:d} pieces in their calls')
-def given_flying(context, count):
+def given_in_flight(context, count):
     context.workers = workers('a', 'b', 'c', 'd', 'a', 'b', 'c', 'd')
     for worker in context.workers:
         worker.pieces_in_flight = count // len(context.workers)
@@ -88,8 +88,8 @@
     assert abs(wait - seconds) < _TOLERANCE, wait
 
 
-@given('a stage client that was told of a backlog of {wait:g} seconds')
-def given_told(context, wait):
+@given('a stage client that received a backlog of {wait:g} seconds')
+def given_backlog(context, wait):
     context.clock = Clock()
     context.client = StageClient('host', None, context.clock, None)
     context.client.limits = {'portal': LIMITS}
@@ -99,8 +99,8 @@
 @then('{later:g} seconds later a step there takes {seconds:g} seconds')
 def then_takes(context, later, seconds):
     context.clock.rightNow = later
-    took = context.client.seconds('portal', 1)
-    assert abs(took - seconds) < _TOLERANCE, took
+    seconds_there = context.client.seconds('portal', 1)
+    assert abs(seconds_there - seconds) < _TOLERANCE, seconds_there
 
 
 @then('{later:g} seconds later a step there takes its usual time')
@@ -109,13 +109,13 @@
     assert context.client.seconds('portal', 1) == usual_seconds(LIMITS, 1)
 
 
-@then('stage request "{request}" is made, and its stage is short of room')
+@then('stage request "{request}" is made, and its stage is short of memory')
 def then_tight(context, request):
     assert context.queue.outcomes[request].tight
 
 
-@then('stage request "{request}" is made, and its stage has room')
-def then_roomy(context, request):
+@then('stage request "{request}" is made, and its stage has free memory')
+def then_not_tight(context, request):
     assert not context.queue.outcomes[request].tight
 
 
@@ -131,7 +131,7 @@
     )
 
 
-@then('at first the chain begins and the step beside it waits')
+@then('at first the chain starts and the step beside it waits')
 def then_beside_waits(context):
     assert not _waits(context, 1, set())
     assert _waits(context, 0, set())
@@ -142,7 +142,7 @@
     assert _waits(context, 0, {1})
 
 
-@then('it begins with the last step of the chain')
+@then('it starts with the last step of the chain')
 def then_begins_last(context):
     assert not _waits(context, 0, {1, 2})
 
@@ -152,7 +152,7 @@
     context.times[0] = seconds
 
 
-@then('it begins when the first step of the chain is made')
+@then('it starts when the first step of the chain is made')
 def then_begins_second(context):
     assert _waits(context, 0, set())
     assert not _waits(context, 0, {1})
@@ -163,23 +163,23 @@
     context.client = AskedClient()
     chain = Chain(context.client, _PLAN)
     Deferred.fromCoroutine(chain.handles())
-    for place in (0, 1):
-        handles = (f'10.0.0.1:1/{place}',)
-        context.client.waiting[place].callback(('host', GroupDone(handles)))
+    for number in (0, 1):
+        handles = (f'10.0.0.1:1/{number}',)
+        context.client.waiting[number].callback(('host', GroupDone(handles)))
 
 
-@then('the step beside it is asked for, not as the first one')
+@then('the step beside it is requested, not as a first step')
 def then_not_first(context):
-    asked = {one.step: one for one in context.client.groups}
-    assert sorted(asked) == [0, 1, 2, 3], sorted(asked)
-    assert asked[1].is_first
-    assert not asked[0].is_first
+    by_step = {submitted.step: submitted for submitted in context.client.groups}
+    assert sorted(by_step) == [0, 1, 2, 3], sorted(by_step)
+    assert by_step[1].is_first
+    assert not by_step[0].is_first
 
 
 @then('it is not taken while a later stage is crowded')
 def then_blocked(context):
-    one = group(due=context.due, later_crowded=True)
-    assert not admitted(one, context.wait, 0, full_seconds(LIMITS))
+    late = group(due=context.due, later_crowded=True)
+    assert not admitted(late, context.wait, 0, full_seconds(LIMITS))
 
 
 @given('its first stage worker rests for {seconds:d} seconds')
--- a/features/steps/stagework_steps.py
+++ b/features/steps/stagework_steps.py
@@ -46,24 +46,25 @@
 
 @then('none of them is refused')
 def then_none_refused(context):
-    refused = [one.kind for one in context.requests if one.refused]
+    refused = [request.kind for request in context.requests if request.refused]
     assert not refused, refused
 
 
-@then('at least {share:d} in 100 staged requests are in their aim')
-def then_in_aim(context, share):
+@then('at least {share:d} in 100 staged requests meet their target latency')
+def then_in_time(context, share):
     figures = summed(context.requests)
     assert figures['in_aim'] * 100 >= share, figures
 
 
-@then('with hosts that batch alone fewer than {share:d} in 100 are')
+@then('with hosts that batch alone fewer than {share:d} in 100 do')
 def then_alone(context, share):
     figures = summed(played(1.0, _SECONDS, owners=_HOSTS))
     assert figures['in_aim'] * 100 < share, figures
 
 
 @then(
-    'at least {share:d} in 10 of those in their aim at {load:g} times are in it'
+    'at least {share:d} in 10 of those in time at {load:g} times the rate are in'
+    ' time'
 )
 def then_goodput(context, share, load):
     before = summed(played(load, _SECONDS))['in_aim_number']
@@ -72,8 +73,8 @@
 
 
 @then(
-    'of those refused at least {share:d} in 100 are refused within an eighth'
-    ' of it',
+    'at least {share:d} in 100 refusals take at most an eighth of the target'
+    ' latency',
 )
 def then_refused_at_once(context, share):
     figures = summed(context.requests)
@@ -83,8 +84,8 @@
 @then('no kind of staged request is served less than {share:d} times in 100')
 def then_not_starved(context, share):
     kinds = {}
-    for one in context.requests:
-        kinds.setdefault(one.kind, []).append(one.staged is not None)
+    for request in context.requests:
+        kinds.setdefault(request.kind, []).append(request.staged is not None)
     for kind, served in kinds.items():
         assert sum(served) * 100 >= share * len(served), (kind, len(served))
 
@@ -99,12 +100,12 @@
     context.queue = Queue()
 
 
-@given('no stage repeats are left')
+@given('no stage repeats remain')
 def given_no_budget(context):
     context.queue.budget = 0
 
 
-@given('the stage worker takes {times:g} times its time')
+@given('the stage worker takes {times:g} times its usual time')
 def given_slow_worker(context, times):
     for worker in context.queue.owner.workers.values():
         worker.speed = times
@@ -123,13 +124,14 @@
     context.queue.submit(group(request, count, size))
 
 
-@when('a stage group "{request}" with inputs comes')
+@when('a stage group "{request}" with inputs arrives')
 def when_inputs(context, request):
     context.queue.submit(group(request, inputs=('10.9.9.9:1/a',), step=1))
 
 
 @when(
-    'a stage request "{request}" with two first steps comes and cancels when refused'
+    'a stage request "{request}" with two first steps arrives and cancels on'
+    ' refusal'
 )
 def when_two_steps(context, request):
     queue = context.queue
@@ -245,7 +247,9 @@
 def then_results_released(context, place):
     context.queue.clock.advance(0.05)
     address = context.queue.calls[place][0].address
-    freed = [one for one in context.queue.freed if one[0] == address]
+    freed = [
+        release for release in context.queue.freed if release[0] == address
+    ]
     assert freed
     assert all(handle.startswith(address) for handle in freed[0][1])
 
@@ -309,33 +313,33 @@
     context.inputs = ('10.0.0.1:1/a',)
 
 
-def _taken(context, urgency, share=1.0):
-    one = group(due=context.due, urgency=urgency, inputs=context.inputs)
+def _is_admitted(context, urgency, share=1.0):
+    waiting = group(due=context.due, urgency=urgency, inputs=context.inputs)
     full = full_seconds(LIMITS)
-    return admitted(one, context.wait, 0, full, share)
+    return admitted(waiting, context.wait, 0, full, share)
 
 
 @then('it is taken with urgency {first:d} and refused with urgency {last:d}')
 def then_urgency(context, first, last):
-    assert _taken(context, first)
-    assert not _taken(context, last)
+    assert _is_admitted(context, first)
+    assert not _is_admitted(context, last)
 
 
 @then(
     'with urgency {urgency:d} it is taken after most of its kind were refused'
 )
 def then_least_share(context, urgency):
-    assert _taken(context, urgency, share=0.2)
+    assert _is_admitted(context, urgency, share=0.2)
 
 
 @then('it is taken with urgency {urgency:d}')
 def then_taken(context, urgency):
-    assert _taken(context, urgency)
+    assert _is_admitted(context, urgency)
 
 
 @then('it is refused with urgency {urgency:d}')
 def then_not_taken(context, urgency):
-    assert not _taken(context, urgency)
+    assert not _is_admitted(context, urgency)
 
 
 @given('three stage workers of which one is slow')
@@ -356,24 +360,24 @@
     assert may_start(slow, context.workers, LIMITS, waiting, 0)
 
 
-class _Asked:
-    """A stage client whose answers the test gives."""
+class _ManualClient:
+    """A stage client with answers given by the test."""
 
     def __init__(self):
         self.waiting = []
         self.released = []
         self.cancelled = []
-        self.reading = []
+        self.read_callbacks = []
         self.crowded = False
 
-    def submit(self, one, on_read):
+    def submit(self, submitted, on_read):
         waiter = Deferred()
         self.waiting.append(waiter)
-        self.reading.append(on_read)
+        self.read_callbacks.append(on_read)
         return waiter
 
     def limits_of(self, service):
-        """Return the same for all."""
+        """Return the same limits for all services."""
         return LIMITS
 
     def is_crowded(self, service):
@@ -403,11 +407,11 @@
 def given_chain(context):
     steps = (StageStep('encode'), StageStep('rerank', (0,)))
     plan = Plan('r', 'key', steps, (1, 2), (1.0, 2.0), 9.0, 0)
-    context.client = _Asked()
+    context.client = _ManualClient()
     context.chain = Chain(context.client, plan)
-    context.ends = []
+    context.outcomes = []
     handles = Deferred.fromCoroutine(context.chain.handles())
-    handles.addBoth(context.ends.append)
+    handles.addBoth(context.outcomes.append)
 
 
 @when('its first step is made and its second refused')
@@ -416,30 +420,32 @@
     context.client.waiting[1].callback(('host', GroupRefused('late', 0.5)))
 
 
-@then('the chain says why, and its results are released')
+@then('the chain reports the reason, and its results are released')
 def then_chain_failed(context):
-    assert context.ends == [ChainFailed('late', 'rerank', 0.5)], context.ends
+    assert context.outcomes == [ChainFailed('late', 'rerank', 0.5)], (
+        context.outcomes
+    )
     assert context.client.released == ['10.0.0.1:1/a']
 
 
-@when('its first step is made and its second has read it')
+@when('its first step is made and its second has read the results')
 def when_second_read(context):
     context.client.waiting[0].callback(('host', GroupDone(('10.0.0.1:1/a',))))
-    context.client.reading[1]()
+    context.client.read_callbacks[1]()
 
 
 @when('the stage that made it is crowded')
 def when_crowded(context):
     context.client.crowded = True
-    context.client.reading[1]()
+    context.client.read_callbacks[1]()
 
 
-@then('what the first step made is kept')
+@then('the results of the first step are kept')
 def then_kept(context):
     assert context.client.released == []
 
 
-@then('what the first step made is released')
+@then('the results of the first step are released')
 def then_first_released(context):
     assert context.client.released == ['10.0.0.1:1/a']
 
