--- a/features/builders/stagework.py
+++ b/features/builders/stagework.py
@@ -34,7 +34,7 @@
         count,
         result_bytes=size,
         due=due,
-        ends=fields.pop('ends', 20.0),
+        ends=fields.pop('deadline', 20.0),
         is_first=not fields.get('inputs'),
         **fields,
     )
--- a/features/steps/arrivals_steps.py
+++ b/features/steps/arrivals_steps.py
@@ -136,11 +136,11 @@
     assert abs(due - (_DUE_TIME - seconds)) < _TOLERANCE, due
 
 
-@given('first arrivals of {count:d} callers that leave after {ends:g} seconds')
-def given_arrivals(context, count, ends):
+@given('first arrivals of {count:d} callers that leave after {timeout:g} seconds')
+def given_arrivals(context, count, timeout):
     context.arrivals = Arrivals()
     for number in range(count):
-        arriving = group(f'r{number}', key=f'k{number}', ends=ends)
+        arriving = group(f'r{number}', key=f'k{number}', ends=timeout)
         context.arrivals.seconds_since_first(arriving, 0.0)
 
 
--- a/pollenstile/stagework/_types.py
+++ b/pollenstile/stagework/_types.py
@@ -36,7 +36,7 @@
         On the clock: the request can meet its target latency if the pieces are
         made by then.
     ends : float
-        On the clock: the deadline after which the pieces are useless.
+        On the clock: time after which the pieces are useless.
     near : tuple of str
         Failure domains in which the inputs are held or the results are read;
         empty for no preference.
