--- a/features/builders/stagework.py
+++ b/features/builders/stagework.py
@@ -7,10 +7,10 @@
 from pollenstile.stagework import (
     Group,
     GroupDone,
-    Made,
     Owner,
     Piece,
     Plan,
+    Result,
     Worker,
 )
 
@@ -34,7 +34,7 @@
         count,
         result_bytes=size,
         due=due,
-        ends=fields.pop('deadline', 20.0),
+        deadline=fields.pop('deadline', 20.0),
         is_first=not fields.get('inputs'),
         **fields,
     )
@@ -110,7 +110,7 @@
         worker, pieces, done = self.calls[index]
         if outcome is None:
             outcome = [
-                Made(f'{worker.address}/{index}.{number}')
+                Result(f'{worker.address}/{index}.{number}')
                 for number, _ in enumerate(pieces)
             ]
         done.callback(outcome)
@@ -141,7 +141,7 @@
         self.outcomes[request] = outcome
 
 
-class AskedClient:
+class RecordingClient:
     """A stage client that records submitted groups.
 
     Parameters
@@ -171,7 +171,7 @@
         """Return that no service is crowded."""
         return False
 
-    is_long = is_crowded
+    is_queue_long = is_crowded
 
     def limits_of(self, service):
         """Return the same limits for all services."""
--- a/features/steps/arrivals_steps.py
+++ b/features/steps/arrivals_steps.py
@@ -6,8 +6,8 @@
 from features.builders.stagework import (
     LIMITS,
     SERVICE,
-    AskedClient,
     Queue,
+    RecordingClient,
     group,
     pieces_of,
 )
@@ -96,7 +96,7 @@
 def given_chain(context, seconds):
     steps = (StageStep(SERVICE), StageStep(SERVICE, (0,)))
     plan = Plan('r', 'key', steps, (1, 1), (4.0, _DUE_TIME), 20.0, 0)
-    context.client = AskedClient()
+    context.client = RecordingClient()
     Deferred.fromCoroutine(Chain(context.client, plan).handles())
     done = GroupDone(('10.0.0.1:1/a',), waited=seconds)
     context.client.waiting[0].callback(('host', done))
@@ -114,7 +114,7 @@
         StageStep(SERVICE, (2,)),
     )
     plan = Plan('r', 'key', steps, (1,) * 4, (_DUE_TIME,) * 4, 20.0, 0)
-    context.client = AskedClient()
+    context.client = RecordingClient()
     Deferred.fromCoroutine(Chain(context.client, plan).handles())
     for number in range(2):
         done = GroupDone((f'10.0.0.1:1/{number}',), waited=seconds)
@@ -136,17 +136,19 @@
     assert abs(due - (_DUE_TIME - seconds)) < _TOLERANCE, due
 
 
-@given('first arrivals of {count:d} callers that leave after {timeout:g} seconds')
+@given(
+    'first arrivals of {count:d} callers that leave after {timeout:g} seconds'
+)
 def given_arrivals(context, count, timeout):
     context.arrivals = Arrivals()
     for number in range(count):
-        arriving = group(f'r{number}', key=f'k{number}', ends=timeout)
+        arriving = group(f'r{number}', key=f'k{number}', deadline=timeout)
         context.arrivals.seconds_since_first(arriving, 0.0)
 
 
 @when('{later:g} seconds later another caller arrives')
 def when_another(context, later):
-    arriving = group('another', key='another', ends=later + 6.0)
+    arriving = group('another', key='another', deadline=later + 6.0)
     assert context.arrivals.seconds_since_first(arriving, later) == 0
 
 
--- a/features/steps/askers_steps.py
+++ b/features/steps/askers_steps.py
@@ -127,7 +127,11 @@
     order = context.owner.client.ownership.order(context.service)
     now = context.fleet.clock.seconds()
     requested = group(
-        'r', step=1, due=now + 2, ends=now + 8, inputs=tuple(context.handles)
+        'r',
+        step=1,
+        due=now + 2,
+        deadline=now + 8,
+        inputs=tuple(context.handles),
     )
     body = group_bytes(replace(requested, service=context.service), now)
     context.owner.hub.requests.subjects[ASK](order[1], body)
@@ -195,7 +199,7 @@
     clock = context.fleet.clock
     started_at = clock.seconds()
     context.results = []
-    work = Deferred.fromCoroutine(client.refreshed((service,)))
+    work = Deferred.fromCoroutine(client.refresh_backlogs((service,)))
     work.addCallback(
         lambda _: context.results.append(
             (clock.seconds() - started_at, client.seconds(service, 1))
--- a/features/steps/passing_steps.py
+++ b/features/steps/passing_steps.py
@@ -103,7 +103,9 @@
     requester = context.cut_hosts[0]
     context.receiver = context.cut_hosts[1]
     now = fleet.clock.seconds()
-    forwarded = replace(group('r', due=now + 2, ends=now + 5), service=service)
+    forwarded = replace(
+        group('r', due=now + 2, deadline=now + 5), service=service
+    )
     body = group_bytes(replace(forwarded, is_forwarded=True), now)
     answer = context.receiver.hub.requests.subjects[ASK](requester.name, body)
     context.answered = []
--- a/features/steps/stagework_heavy_steps.py
+++ b/features/steps/stagework_heavy_steps.py
@@ -6,8 +6,8 @@
 
 from features.builders.stagework import (
     LIMITS,
-    AskedClient,
     Queue,
+    RecordingClient,
     group,
     pieces_of,
     workers,
@@ -18,10 +18,10 @@
     GroupDone,
     Plan,
     StageClient,
-    admitted,
     count_ahead,
     expected_wait,
     full_seconds,
+    may_join_queue,
     should_delay_step,
     usual_seconds,
 )
@@ -160,7 +160,7 @@
 
 @given("a tag's chain whose first two steps are made")
 def given_chain_made(context):
-    context.client = AskedClient()
+    context.client = RecordingClient()
     chain = Chain(context.client, _PLAN)
     Deferred.fromCoroutine(chain.handles())
     for number in (0, 1):
@@ -179,7 +179,7 @@
 @then('it is not taken while a later stage is crowded')
 def then_blocked(context):
     late = group(due=context.due, later_crowded=True)
-    assert not admitted(late, context.wait, 0, full_seconds(LIMITS))
+    assert not may_join_queue(late, context.wait, 0, full_seconds(LIMITS))
 
 
 @given('its first stage worker rests for {seconds:d} seconds')
--- a/pollenstile/forward/_run.py
+++ b/pollenstile/forward/_run.py
@@ -31,7 +31,7 @@
 from pollenstile.forward._types import Lost, NotRun, Refusal
 from pollenstile.quarantine import HELD_REASON
 from pollenstile.routes import Kind
-from pollenstile.stagework import Chain, ChainFailed, plan_of
+from pollenstile.stagework import Chain, ChainFailed, build_plan
 
 _UNAVAILABLE = 503
 _SERVER_ERRORS = range(500, 600)
@@ -184,8 +184,8 @@
         if not any(exchange.counts):
             return True
         steps = exchange.route.steps
-        await self.core.stages.refreshed([one.service for one in steps])
-        plan = plan_of(
+        await self.core.stages.refresh_backlogs([one.service for one in steps])
+        plan = build_plan(
             exchange,
             min(exchange.aim, exchange.ends)
             - first_token_seconds(self.core, exchange),
--- a/pollenstile/stagework/__init__.py
+++ b/pollenstile/stagework/__init__.py
@@ -11,13 +11,13 @@
     group_bytes,
     group_from,
 )
-from pollenstile.stagework._locality import eligible, frees_by_domain
+from pollenstile.stagework._locality import eligible_pieces, seconds_until_free
 from pollenstile.stagework._owner import Owner
 from pollenstile.stagework._ownerorder import owner_order
 from pollenstile.stagework._plan import (
     Plan,
+    build_plan,
     crowded_seconds,
-    plan_of,
     should_delay_step,
     usual_seconds,
 )
@@ -28,9 +28,9 @@
     Group,
     GroupDone,
     GroupRefused,
-    Made,
     Piece,
+    Result,
     Worker,
 )
-from pollenstile.stagework._waiting import admitted, expected_wait
+from pollenstile.stagework._waiting import expected_wait, may_join_queue
 from pollenstile.stagework._workers import may_start
--- a/pollenstile/stagework/_admission.py
+++ b/pollenstile/stagework/_admission.py
@@ -4,7 +4,7 @@
 from pollenstile.stagework._batching import is_tight
 from pollenstile.stagework._calltimes import full_seconds
 from pollenstile.stagework._ranking import count_ahead
-from pollenstile.stagework._waiting import admitted, expected_wait
+from pollenstile.stagework._waiting import expected_wait, may_join_queue
 
 _MS = 1000
 
@@ -43,10 +43,10 @@
         full = full_seconds(owner.limits)
         ahead = count_ahead(group, owner.waiting, now, full)
         wait = self._wait_behind(ahead + group.count)
-        share = owner.pace.admitted_share(group.urgency)
-        accepted = admitted(group, wait, now, full, share)
+        share = owner.stats.admitted_share(group.urgency)
+        accepted = may_join_queue(group, wait, now, full, share)
         if group.is_first:
-            owner.pace.record_admission(group.urgency, accepted=accepted)
+            owner.stats.record_admission(group.urgency, accepted=accepted)
         if not accepted:
             owner.log(
                 events.STAGE_REFUSED,
@@ -67,7 +67,7 @@
         if owner.limits is None:
             return 0
         now = owner.clock.seconds()
-        rate = owner.pace.rate(now, queued=bool(owner.waiting))
+        rate = owner.stats.rate(now, queued=bool(owner.waiting))
         return expected_wait(
             ahead,
             list(owner.workers.values()),
--- a/pollenstile/stagework/_arrivals.py
+++ b/pollenstile/stagework/_arrivals.py
@@ -51,12 +51,12 @@
 
     >>> from pollenstile.stagework import Group
     >>> arrivals = Arrivals()
-    >>> first = Group('a', 's', 0, 1, key='k', ends=6.0)
+    >>> first = Group('a', 's', 0, 1, key='k', deadline=6.0)
     >>> arrivals.seconds_since_first(first, 1.0)
     0.0
     >>> arrivals.seconds_since_first(first, 1.5)
     0.0
-    >>> retry = Group('b', 's', 0, 1, key='k', ends=6.0)
+    >>> retry = Group('b', 's', 0, 1, key='k', deadline=6.0)
     >>> arrivals.seconds_since_first(retry, 2.5)
     1.5
     """
@@ -73,12 +73,14 @@
         known = self.by_key.get(group.key)
         if known is None or known.deadline < now:
             self._evict(now)
-            self.by_key[group.key] = _Arrival(group.request, now, group.ends)
+            self.by_key[group.key] = _Arrival(
+                group.request, now, group.deadline
+            )
             return 0.0
         if known.request != group.request:
             known.request = group.request
             known.waited = now - known.first_at
-            known.deadline = max(known.deadline, group.ends)
+            known.deadline = max(known.deadline, group.deadline)
         return known.waited
 
     def _evict(self, now):
--- a/pollenstile/stagework/_backlogqueries.py
+++ b/pollenstile/stagework/_backlogqueries.py
@@ -14,7 +14,7 @@
 _ANSWER_TIMEOUT_SECONDS = 0.1
 
 
-async def refreshed(client, services):
+async def refresh_backlogs(client, services):
     """Query the owners whose stored backlog would refuse a request.
 
     Explanation
--- a/pollenstile/stagework/_client.py
+++ b/pollenstile/stagework/_client.py
@@ -8,7 +8,7 @@
 from pollenstile.peer import BadMessageError, Unanswered
 from pollenstile.routes import StageLimits
 from pollenstile.stagework import events
-from pollenstile.stagework._backlogqueries import refreshed
+from pollenstile.stagework._backlogqueries import refresh_backlogs
 from pollenstile.stagework._backlogs import Backlogs
 from pollenstile.stagework._calltimes import long_wait
 from pollenstile.stagework._codec import (
@@ -119,7 +119,7 @@
             return False
         return backlog.tight or backlog.wait > crowded_seconds(limits)
 
-    def is_long(self, service):
+    def is_queue_long(self, service):
         """Return whether a service's queue is too long for late requests."""
         limits = self.limits.get(service)
         backlog = self.backlogs.latest(service)
@@ -127,9 +127,9 @@
             return False
         return backlog.wait > long_wait(limits)
 
-    def refreshed(self, services):
+    def refresh_backlogs(self, services):
         """Query the owners whose latest backlog would refuse a request."""
-        return refreshed(self, services)
+        return refresh_backlogs(self, services)
 
     def limits_of(self, service):
         """Return a service's limits, or the defaults when they are unknown."""
@@ -241,7 +241,7 @@
             )
             if host in tried:
                 return host, GroupRefused(outcome.reason)
-            if self.clock.seconds() >= group.ends:
+            if self.clock.seconds() >= group.deadline:
                 return host, GroupRefused('late')
             tried.add(host)
 
@@ -258,7 +258,7 @@
         """Return the outcome of a group at another host, or ``Unanswered``."""
         now = self.clock.seconds()
         body = group_bytes(group, now)
-        remaining = max(0, group.ends - now) + _ANSWER_MARGIN_SECONDS
+        remaining = max(0, group.deadline - now) + _ANSWER_MARGIN_SECONDS
         answer = await self.hub.ask(host, ASK, body, remaining)
         if isinstance(answer, Unanswered):
             return answer
--- a/pollenstile/stagework/_dispatcher.py
+++ b/pollenstile/stagework/_dispatcher.py
@@ -8,7 +8,7 @@
     unreserved_bytes,
 )
 from pollenstile.stagework._calltimes import call_seconds, full_seconds
-from pollenstile.stagework._locality import eligible, frees_by_domain
+from pollenstile.stagework._locality import eligible_pieces, seconds_until_free
 from pollenstile.stagework._ranking import ranked
 from pollenstile.stagework._workers import may_start
 
@@ -86,8 +86,8 @@
         count = min(len(self.owner.waiting), limits.batch)
         work = call_seconds(limits, count) * worker.speed
         workers = self.owner.workers.values()
-        free_in = frees_by_domain(workers, others, now, full_seconds(limits))
-        candidates = eligible(
+        free_in = seconds_until_free(workers, others, now, full_seconds(limits))
+        candidates = eligible_pieces(
             self.owner.waiting,
             worker.domain,
             free_in,
@@ -113,7 +113,7 @@
             self.owner.waiting.remove(piece)
             piece.calls_in_flight += 1
             self._record_start(piece.group, now)
-        self.owner.pace.rate(now, queued=bool(self.owner.waiting))
+        self.owner.stats.rate(now, queued=bool(self.owner.waiting))
         BatchCall(self.owner, worker, batch).start()
 
     def _record_start(self, group, now):
--- a/pollenstile/stagework/_locality.py
+++ b/pollenstile/stagework/_locality.py
@@ -9,7 +9,7 @@
 _LATE_LOCALITY_WAIT_CALLS = 1.0
 
 
-def eligible(pieces, domain, free_in, now, work, round_size):
+def eligible_pieces(pieces, domain, free_in, now, work, round_size):
     """Return the pieces that a worker in a failure domain may take.
 
     Explanation
@@ -49,11 +49,11 @@
     """Return whether a group should be made away from its inputs now."""
     near = now + wait + work
     if now + work > group.due + LATE_CALLS * work:
-        return wait > _LATE_LOCALITY_WAIT_CALLS * work or near > group.ends
+        return wait > _LATE_LOCALITY_WAIT_CALLS * work or near > group.deadline
     return near + _LOCALITY_SLACK_CALLS * work > group.due
 
 
-def frees_by_domain(workers, free, now, full):
+def seconds_until_free(workers, free, now, full):
     """Return seconds until a worker is free, by failure domain.
 
     Parameters
--- a/pollenstile/stagework/_owner.py
+++ b/pollenstile/stagework/_owner.py
@@ -42,7 +42,7 @@
         Service whose upstreams process the queue.
     call : function
         Takes a worker, pieces and remaining seconds; returns a Deferred of a
-        list of :class:`Made` in their order, or of :class:`CallLost`.
+        list of :class:`Result` in their order, or of :class:`CallLost`.
     free : function
         Takes an address and handles that are no longer needed; returns a
         Deferred of whether they were released.
@@ -63,7 +63,7 @@
         Pieces that are not in any call.
     started : set
         Groups with a piece that is done or in a call.
-    pace : QueueStats
+    stats : QueueStats
         Recent rates of the queue.
     admission : Admission
         Decides which groups may join the queue.
@@ -82,12 +82,12 @@
         'jobs',
         'limits',
         'log',
-        'pace',
         'quarantine',
         'releases',
         'service',
         'spend',
         'started',
+        'stats',
         'waiting',
         'workers',
     )
@@ -115,7 +115,7 @@
         self.jobs = {}
         self.waiting = []
         self.started = set()
-        self.pace = QueueStats()
+        self.stats = QueueStats()
         self.arrivals = Arrivals()
         self.workers = {}
         self.admission = Admission(self)
@@ -190,7 +190,7 @@
         if on_read is not None and group.inputs:
             job.on_read.append(on_read)
         self.jobs[group.ident] = job
-        remaining = max(0, group.ends - self.clock.seconds())
+        remaining = max(0, group.deadline - self.clock.seconds())
         job.timer = self.clock.callLater(remaining, self._refuse, job, 'late')
         self.waiting.extend(job.pieces)
         self.dispatcher.schedule()
@@ -299,7 +299,7 @@
 
     def _store_handle(self, job, piece, handle):
         piece.handle = handle
-        self.pace.note_made(self.clock.seconds())
+        self.stats.record_made(self.clock.seconds())
         if piece in self.waiting:
             self.waiting.remove(piece)
         self._finish_if_complete(job)
--- a/pollenstile/stagework/_ownership.py
+++ b/pollenstile/stagework/_ownership.py
@@ -40,7 +40,7 @@
         self.capacity = 1.0
         self.orders = {}
 
-    def take_hosts(self, hosts):
+    def update_hosts(self, hosts):
         """Replace the known peers."""
         self.hosts = hosts
         self.orders = {}
--- a/pollenstile/stagework/_queuestats.py
+++ b/pollenstile/stagework/_queuestats.py
@@ -38,7 +38,7 @@
             accepted - share
         )
 
-    def note_made(self, now):
+    def record_made(self, now):
         """Record that a piece was made."""
         self.made_at.append(now)
 
--- a/pollenstile/stagework/_types.py
+++ b/pollenstile/stagework/_types.py
@@ -35,7 +35,7 @@
     due : float
         On the clock: the request can meet its target latency if the pieces are
         made by then.
-    ends : float
+    deadline : float
         On the clock: time after which the pieces are useless.
     near : tuple of str
         Failure domains in which the inputs are held or the results are read;
@@ -59,7 +59,7 @@
     result_bytes: int = 0
     urgency: int = 0
     due: float = 0.0
-    ends: float = 0.0
+    deadline: float = 0.0
     near: tuple[str, ...] = ()
     is_first: bool = True
     later_crowded: bool = False
@@ -97,7 +97,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Made:
+class Result:
     """Outcome of one piece in a call.
 
     Parameters
--- a/pollenstile/stagework/_waiting.py
+++ b/pollenstile/stagework/_waiting.py
@@ -65,7 +65,7 @@
     return max(least, (pieces_in_flight + ahead) / rate)
 
 
-def admitted(group, wait, now, full, share=1.0):
+def may_join_queue(group, wait, now, full, share=1.0):
     """Return whether a group's pieces may join the queue.
 
     Explanation
@@ -98,4 +98,4 @@
     # crowded the second step, all groups that were late for it were admitted
     # here.
     idle = wait <= _IDLE_CALLS * full and not group.later_crowded
-    return idle and now + wait <= group.ends
+    return idle and now + wait <= group.deadline
