--- a/pollenstile/stagework/_owner.py
+++ b/pollenstile/stagework/_owner.py
@@ -20,7 +20,7 @@
 _MAX_SENDS = 3
 # Reasons after which a piece is queued again. After an error it may have been
 # made.
-_NO_ROOM = 'room'
+_NO_MEMORY = 'room'
 _ERROR = 'error'
 
 
@@ -285,7 +285,7 @@
         if piece.calls_in_flight:
             # Another call holds it as well, and may still make it.
             return
-        if result.reason in {_NO_ROOM, _ERROR}:
+        if result.reason in {_NO_MEMORY, _ERROR}:
             self.requeue([piece], arrived=result.reason == _ERROR)
             return
         self._refuse(job, result.reason)
