--- a/pollenstile/stagework/__init__.py
+++ b/pollenstile/stagework/__init__.py
@@ -1,7 +1,7 @@
-"""Stage work: pieces of many requests, made in batches by one owner host."""
+"""Stage work: one queue per stage service batches pieces of many requests."""
 
 from pollenstile.stagework._arrivals import Arrivals
-from pollenstile.stagework._batching import batch_for, spare_bytes
+from pollenstile.stagework._batching import batch_for, unreserved_bytes
 from pollenstile.stagework._calltimes import full_seconds, long_wait
 from pollenstile.stagework._chain import Chain, ChainFailed
 from pollenstile.stagework._client import StageClient
@@ -11,26 +11,26 @@
     group_bytes,
     group_from,
 )
-from pollenstile.stagework._nearness import eligible, frees_by_domain
+from pollenstile.stagework._locality import eligible_pieces, seconds_until_free
 from pollenstile.stagework._owner import Owner
-from pollenstile.stagework._placing import owner_order
+from pollenstile.stagework._ownerorder import owner_order
 from pollenstile.stagework._plan import (
     Plan,
+    build_plan,
     crowded_seconds,
-    plan_of,
+    should_delay_step,
     usual_seconds,
-    waits_for_others,
 )
-from pollenstile.stagework._ranking import ahead_of, ranked
+from pollenstile.stagework._ranking import count_ahead, ranked
 from pollenstile.stagework._service import StageService
 from pollenstile.stagework._types import (
     CallLost,
     Group,
     GroupDone,
     GroupRefused,
-    Made,
     Piece,
+    Result,
     Worker,
 )
-from pollenstile.stagework._waiting import admitted, expected_wait
+from pollenstile.stagework._waiting import expected_wait, may_join_queue
 from pollenstile.stagework._workers import may_start
