--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -154,7 +154,7 @@
 
 def _send_all(context, sender, now):
     for view in sender.views:
-        if sender.shares.admits(view, context.rate, now):
+        if sender.shares.may_send(view, context.rate, now):
             sender.shares.note_sent(view, context.rate, now)
             context.arrivals.setdefault(view.ident, []).append(now)
 
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -55,8 +55,8 @@
 
 @given('no forwarded repeats are left')
 def given_no_repeats(context):
-    left = int(context.story.budget.left(SERVICE))
-    assert context.story.budget.spend(SERVICE, left)
+    remaining = int(context.story.budget.remaining(SERVICE))
+    assert context.story.budget.spend(SERVICE, remaining)
 
 
 @when('its {thing} is taken away')
--- a/pollenstile/forward/_admission.py
+++ b/pollenstile/forward/_admission.py
@@ -1,28 +1,31 @@
-"""What the configuration in force allows a request, also after it came."""
+"""Admission of requests by the configuration in force, with later rechecks."""
 
 from dataclasses import dataclass
 
 from pollenstile.forward._types import Refusal
 from pollenstile.routes import Route, Team, picked_service, route_of, team_of
 
-# Where refusals of this module arise.
+# The step that refusals of this module name.
 _STEP = 'entry'
 _UNAUTHORIZED = 401
 _NOT_FOUND = 404
 _UNAVAILABLE = 503
-# Seconds after which another host, or this one with a newer proof, may serve.
-_PROOF_RETRY = 0.3
+# Seconds after which another host, or this one once its configuration is
+# verified again, may serve the request.
+_RETRY_SECONDS = 0.3
 
 
 @dataclass(slots=True, frozen=True)
-class Admitted:
-    """The route that a request takes, and its team.
+class Admission:
+    """The route and the team of an admitted request.
 
     Parameters
     ==========
 
+    route : Route
+        Matched by host and path.
     team : Team or None
-        None on public routes.
+        The caller; None on public routes.
     """
 
     route: Route
@@ -30,52 +33,53 @@
 
 
 def admitted(configuration, asked):
-    """Return :class:`Admitted`, or a :class:`Refusal`.
+    """Return the :class:`Admission` of a request, or a :class:`Refusal`.
 
     Parameters
     ==========
 
     configuration : Configuration
-        With the route table in force and its proof.
+        The route table in force and when it was last verified.
     asked : Asked
-        What the request asks for, and by which key.
+        Host, path and key of the request.
     """
     if not configuration.is_current():
         return _unavailable('the configuration can not be checked')
-    outcome = _allowed(configuration.table, asked)
-    has_key = isinstance(outcome, Admitted) and outcome.team is not None
+    outcome = _match_table(configuration.table, asked)
+    has_key = isinstance(outcome, Admission) and outcome.team is not None
     if has_key and not configuration.is_proven():
         return _unavailable('the key can not be checked')
     return outcome
 
 
-def _allowed(table, asked):
-    """Return what a route table says of a request, whatever its age."""
+def _match_table(table, asked):
+    """Admit or refuse a request by a route table, regardless of its age."""
     route = route_of(table, asked.host, asked.path)
     if route is None:
         return Refusal(_NOT_FOUND, 'no such route', _STEP)
     if table.keys is None or route.public:
-        return Admitted(route, None)
+        return Admission(route, None)
     team = team_of(table, asked.authorization)
     if team is None:
         return Refusal(_UNAUTHORIZED, 'unknown key', _STEP)
-    return Admitted(route, team)
+    return Admission(route, team)
 
 
-def refused_since(core, exchange):
-    """Return why a request may not be sent any more, or None.
+def recheck_admission(core, exchange):
+    """Check a request against a newer table; return its refusal, or None.
 
     Explanation
     ===========
 
-    Stage work takes seconds, and keys and routes are taken away meanwhile. A
-    route that has moved leads to one of its services of now. How old the table
-    is does not matter any more: it was young enough when the request came.
+    Stage work takes seconds, and keys and routes may be revoked meanwhile. If
+    the route now has other targets, one of them is picked for the request. The
+    age of the table is not checked again: the table was recent enough when the
+    request arrived.
     """
     table = core.configuration.table
     if table is exchange.table:
         return None
-    outcome = _allowed(table, exchange.asked)
+    outcome = _match_table(table, exchange.asked)
     if isinstance(outcome, Refusal):
         return outcome
     exchange.table = table
@@ -83,9 +87,9 @@
     targets = {target.service for target in outcome.route.targets}
     if exchange.service not in targets:
         exchange.service = picked_service(outcome.route, core.rng.random())
-        core.budget.note_first(exchange.service)
+        core.budget.note_request(exchange.service)
     return None
 
 
 def _unavailable(reason):
-    return Refusal(_UNAVAILABLE, reason, _STEP, '', _PROOF_RETRY)
+    return Refusal(_UNAVAILABLE, reason, _STEP, '', _RETRY_SECONDS)
--- a/pollenstile/forward/_attempt.py
+++ b/pollenstile/forward/_attempt.py
@@ -1,4 +1,4 @@
-"""One send of a request to one upstream."""
+"""One attempt of a request: a send to one upstream and its answer."""
 
 from twisted.internet.defer import CancelledError, Deferred, TimeoutError
 
@@ -8,46 +8,52 @@
     learn_failure,
     learn_load,
     learn_success,
-    learn_unreached,
+    learn_unavailable,
 )
-from pollenstile.forward._silence import Silence
+from pollenstile.forward._silence import SilenceTimer
 from pollenstile.forward._sse import EventSplitter
 from pollenstile.forward._types import BodyEnd, Lost, NotRun
 from pollenstile.routes import Kind
 
 _MS = 1000
-_MISDIRECTED = 421
-_CONFLICT = 409
-_PROMISES = (408, 421, 429, 503)
-_OK = range(200, 300)
-# Statuses that are passed on only with the upstream's proof.
-_NEED_PROOF = frozenset((*_OK, *_PROMISES))
-# Bytes of an answer that are held back until it is whole, so that a torn one
-# can be asked for again. Larger ones are handed on as they come.
-_HELD_BYTES = 65536
-# The most urgent request has this rank at engines, of 0 to 9.
-_FIRST_RANK = 3
-_LAST_RANK = 9
+_MISDIRECTED_STATUS = 421
+_CONFLICT_STATUS = 409
+_NOT_RUN_STATUSES = (408, 421, 429, 503)
+_SUCCESS_STATUSES = range(200, 300)
+# Statuses that are passed on only with the upstream's stamp.
+_STATUSES_NEEDING_STAMP = frozenset((*_SUCCESS_STATUSES, *_NOT_RUN_STATUSES))
+# Answers up to this size are buffered until they are complete, so that the
+# request can be retried after an incomplete one. Larger ones are streamed.
+_MAX_BUFFERED_BYTES = 65536
+# Engines take urgencies from 0 to 9; the most urgent request is sent with 3.
+_TOP_ENGINE_URGENCY = 3
+_LOWEST_ENGINE_URGENCY = 9
 
 
-# An upstream found that a stage result has lapsed; the request did not run.
-GONE = NotRun('results gone')
+# An upstream found that a stage result has expired; the request did not run.
+RESULTS_GONE = NotRun('results gone')
 
 
 class Delivered:
-    """The answer went to the caller whole."""
+    """The complete answer was sent to the caller."""
 
     __slots__ = ()
 
 
-class Failing:
-    """A whole answer that says that the upstream failed.
+class UpstreamFailure:
+    """A complete answer that reports a failure of the upstream.
 
     Parameters
     ==========
 
-    status, phrase, headers, body
-        As the upstream gave them.
+    status : int
+        Status code of the answer.
+    phrase : bytes
+        Reason phrase of the answer.
+    headers : list of tuple
+        Names and values of the answer's headers.
+    body : bytes
+        Body of the answer.
     """
 
     __slots__ = ('body', 'headers', 'phrase', 'status')
@@ -60,138 +66,139 @@
 
 
 class Attempt:
-    """Sends a request and hands the answer on.
+    """Sends a request to an upstream and passes the answer to the caller.
 
     Parameters
     ==========
 
     core : ForwardCore
-        What the host offers.
+        Components of the host.
     exchange : Exchange
         The request.
     view : EngineView
-        Where it goes.
+        The upstream.
     answer : Answer
-        The caller's side.
-    reading : Reading
-        When the upstream has read its inputs.
+        Writes to the caller.
+    input_release : InputRelease
+        Releases the stage results once the upstream has read them.
 
     Attributes
     ==========
 
     splitter : EventSplitter
-        Knows the last whole event that was handed on.
+        Keeps the last complete event that was passed on.
     arrived : bool
         Whether the request may have reached the upstream.
-    headed_at : float
-        On the clock: when the head of an answer came.
+    head_at : float
+        Time on the clock at which the head of an answer arrived.
     first_at : float
-        On the clock: when the first bytes of a stream came.
-    paused : float
+        Time on the clock at which the first bytes of a stream arrived.
+    longest_pause : float
         Seconds of the longest silence after them.
     """
 
     __slots__ = (
         'answer',
         'arrived',
+        'buffered',
         'call',
         'core',
         'exchange',
         'first_at',
-        'headed_at',
-        'heard',
-        'held',
-        'paused',
-        'reading',
+        'has_first_bytes',
+        'head_at',
+        'input_release',
+        'longest_pause',
         'splitter',
         'started',
         'view',
     )
 
-    def __init__(self, core, exchange, view, answer, reading):
+    def __init__(self, core, exchange, view, answer, input_release):
         self.core = core
         self.exchange = exchange
         self.view = view
         self.answer = answer
-        self.reading = reading
+        self.input_release = input_release
         self.splitter = EventSplitter()
-        self.held = []
-        self.heard = False
-        self.headed_at = 0.0
+        self.buffered = []
+        self.has_first_bytes = False
+        self.head_at = 0.0
         self.first_at = 0.0
-        self.paused = 0.0
+        self.longest_pause = 0.0
         self.arrived = False
         self.call = None
         self.started = core.clock.seconds()
 
     @property
     def streaming(self):
-        """Whether the answer is a series of events."""
+        """Whether the answer is a stream of events."""
         return self.exchange.route.kind is Kind.STREAM
 
     def ran_seconds(self):
-        """Return for how long the upstream has run the request, at most."""
-        began = self.headed_at or self.started
+        """Return the upper bound of the upstream's run time in seconds."""
+        began = self.head_at or self.started
         return self.core.clock.seconds() - began
 
-    async def outcome(self, patience, last_event):
-        """Return ``Delivered``, ``Failing``, ``NotRun`` or ``Lost``.
+    async def outcome(self, silence_limits, last_event):
+        """Return ``Delivered``, ``UpstreamFailure``, ``NotRun`` or ``Lost``.
 
         Parameters
         ==========
 
-        patience : SilenceLimits
-            After which it counts as lost.
+        silence_limits : SilenceLimits
+            Silence after which the attempt counts as lost.
         last_event : str
-            Event after which a stream goes on; empty for its beginning.
+            Event after which a stream continues; empty to start at the
+            beginning.
         """
         tokens = sum(size for _, size in self.exchange.prompt)
         self.view.flying += 1
-        self.view.flying_tokens += tokens
+        self.view.in_flight_tokens += tokens
         try:
-            outcome = await self._sent(patience, last_event)
+            outcome = await self._send(silence_limits, last_event)
         except CancelledError:
             if self.call is not None:
                 self.call.cancel()
             raise
         finally:
-            self._leave(tokens)
+            self._release_counts(tokens)
         self._learn(outcome)
         return outcome
 
-    def _leave(self, tokens):
-        self.reading.stop()
+    def _release_counts(self, tokens):
+        self.input_release.stop()
         self.view.flying -= 1
-        self.view.flying_tokens -= tokens
+        self.view.in_flight_tokens -= tokens
 
-    async def _sent(self, patience, last_event):
+    async def _send(self, silence_limits, last_event):
         exchange = self.exchange
         self.call = self.core.client.send(
             self.view.address,
             exchange.method,
             exchange.target,
-            self._headers(last_event),
+            self._request_headers(last_event),
             exchange.body,
         )
-        self.reading.begin(self.core.clock)
-        head = await self._within(self.call.head, patience.first)
+        self.input_release.start(self.core.clock)
+        head = await self._head_within(self.call.head, silence_limits.first)
         self.arrived = self.call.sent
         if isinstance(head, (NotRun, Lost)):
             return head
-        refusal = self._refusal(head)
-        if refusal is not None:
+        rejection = self._rejection(head)
+        if rejection is not None:
             self.call.cancel()
-            return refusal
-        self.headed_at = self.core.clock.seconds()
+            return rejection
+        self.head_at = self.core.clock.seconds()
         incarnation = incarnation_of(exchange.service, self.view)
         self.core.quarantine.note_answer(incarnation.name, self.started)
-        if head.code not in _OK:
-            return await self._failing(head, patience.between)
+        if head.code not in _SUCCESS_STATUSES:
+            return await self._read_failure(head, silence_limits.between)
         if self.streaming:
-            return await self._streamed(head, patience)
-        return await self._answered(head, patience.between)
+            return await self._relay_stream(head, silence_limits)
+        return await self._relay_answer(head, silence_limits.between)
 
-    async def _within(self, deferred, seconds):
+    async def _head_within(self, deferred, seconds):
         if seconds is None:
             return await deferred
         deferred.addTimeout(seconds, self.core.clock)
@@ -203,8 +210,8 @@
                 return NotRun('no connection', self.view.ident, arrived=False)
             return Lost('silent', self.view.ident)
 
-    def _refusal(self, head):
-        """Return why this head is no answer to the request, or None."""
+    def _rejection(self, head):
+        """Return ``NotRun`` or ``Lost`` if a head is not a valid answer."""
         names = self.core.names
         ident = self.view.ident
         load = _text(head, names.load)
@@ -212,129 +219,141 @@
             learn_load(self.view, load, self.core.clock.seconds())
         echoed = _text(head, names.attempt)
         if echoed and echoed != self.exchange.ident:
-            # The late second answer of another request; taken for this one's,
-            # a caller would get what another asked for.
+            # A late duplicate answer to another request; passing it on would
+            # give the caller the answer of another one.
             return Lost('foreign answer', ident)
-        if head.code == _MISDIRECTED:
+        if head.code == _MISDIRECTED_STATUS:
             self.core.registry.drop(ident, self.view.born)
             return NotRun('another incarnation', ident)
         if _text(head, names.not_run):
-            gone = head.code == _CONFLICT
-            return GONE if gone else NotRun(f'status {head.code}', ident)
-        proven = _text(head, names.stamp) and echoed
-        if proven or head.code not in _NEED_PROOF:
+            gone = head.code == _CONFLICT_STATUS
+            return (
+                RESULTS_GONE if gone else NotRun(f'status {head.code}', ident)
+            )
+        is_stamped = _text(head, names.stamp) and echoed
+        if is_stamped or head.code not in _STATUSES_NEEDING_STAMP:
             return None
-        # Unproven, a success may be anyone's, and a status that promises
-        # 'not run' may be wrong.
+        # Without the stamp, a success may come from another server, and a
+        # status that promises 'not run' may be wrong.
         return Lost(f'status {head.code} without proof', ident)
 
-    async def _failing(self, head, patience):
+    async def _read_failure(self, head, silence_limit):
         parts = []
-        end = await self._body(head, parts.append, patience)
+        end = await self._relay_body(head, parts.append, silence_limit)
         if end is not BodyEnd.WHOLE:
-            return self._torn('torn failure', end)
-        return Failing(
+            return self._incomplete('torn failure', end)
+        return UpstreamFailure(
             head.code,
             head.phrase,
-            _forwarded(head),
+            _header_pairs(head),
             b''.join(parts),
         )
 
-    async def _answered(self, head, patience):
-        def take(data):
+    async def _relay_answer(self, head, silence_limit):
+        def pass_on(data):
             if self.answer.begun:
                 self.answer.write(data)
                 return
-            self.held.append(data)
-            if sum(map(len, self.held)) > _HELD_BYTES:
-                self._begin(head)
-                self._write_held()
+            self.buffered.append(data)
+            if sum(map(len, self.buffered)) > _MAX_BUFFERED_BYTES:
+                self._begin_answer(head)
+                self._write_buffered()
 
-        end = await self._body(head, take, patience)
+        end = await self._relay_body(head, pass_on, silence_limit)
         if end is not BodyEnd.WHOLE:
-            return self._torn('torn answer', end)
+            return self._incomplete('torn answer', end)
         if not self.answer.begun:
-            self._begin(head)
-            self._write_held()
+            self._begin_answer(head)
+            self._write_buffered()
         self.answer.finish()
         return Delivered()
 
-    async def _streamed(self, head, patience):
-        def take(data):
-            if not self.heard:
-                self.heard = True
+    async def _relay_stream(self, head, silence_limits):
+        def pass_on(data):
+            if not self.has_first_bytes:
+                self.has_first_bytes = True
                 self.first_at = self.core.clock.seconds()
-                self._learn_first()
+                self._learn_first_bytes()
             events = self.splitter.whole(data)
             if not events:
                 return
             if not self.answer.begun:
-                self._begin(head)
+                self._begin_answer(head)
             self.answer.write(events)
 
-        end = await self._body(head, take, patience.first, patience.between)
+        end = await self._relay_body(
+            head, pass_on, silence_limits.first, silence_limits.between
+        )
         if end is not BodyEnd.WHOLE:
-            return self._torn('torn stream', end)
+            return self._incomplete('torn stream', end)
         if not self.answer.begun:
-            self._begin(head)
+            self._begin_answer(head)
         if self.splitter.rest:
             self.answer.write(self.splitter.rest)
         self.answer.finish()
         return Delivered()
 
-    def _torn(self, reason, end):
+    def _incomplete(self, reason, end):
         broken = end is BodyEnd.BROKEN
         return Lost(reason, self.view.ident, broken=broken)
 
-    def _begin(self, head):
-        self.answer.begin(head.code, head.phrase, _forwarded(head))
+    def _begin_answer(self, head):
+        self.answer.begin(head.code, head.phrase, _header_pairs(head))
 
-    def _write_held(self):
-        for data in self.held:
+    def _write_buffered(self):
+        for data in self.buffered:
             self.answer.write(data)
-        self.held = []
+        self.buffered = []
 
-    async def _body(self, head, take, patience, between=None):
-        """Hand a body over; a silence longer than the patience breaks it.
+    async def _relay_body(self, head, pass_on, silence_limit, between=None):
+        """Pass a body's data to a function; return its :class:`BodyEnd`.
 
         Parameters
         ==========
 
+        head : Response
+            Head of the answer.
+        pass_on : function
+            Called with each part of the body.
+        silence_limit : float or None
+            Seconds of silence after which the body counts as lost.
         between : float or None
-            Seconds of patience once its first part came, where that differs.
+            Limit after the first part, if it differs.
         """
         ended = Deferred(lambda _: self.call.cancel())
-        silence = Silence(self.core.clock, patience)
+        silence = SilenceTimer(self.core.clock, silence_limit)
 
-        def end(how):
+        def end(body_end):
             silence.stop()
-            self.paused = silence.longest
+            self.longest_pause = silence.longest_silence
             if not ended.called:
-                ended.callback(how)
+                ended.callback(body_end)
 
-        def fallen_silent():
+        def on_silence():
             self.call.cancel()
             end(BodyEnd.SILENT)
 
-        def heard(data):
-            silence.heard(between)
-            take(data)
+        def on_data(data):
+            silence.note_received(between)
+            pass_on(data)
 
-        silence.start(fallen_silent)
-        self.answer.produce(self.call.deliver(head, heard, end))
+        silence.start(on_silence)
+        self.answer.produce(self.call.deliver(head, on_data, end))
         try:
             return await ended
         finally:
             silence.stop()
             self.answer.unproduce()
 
-    def _headers(self, last_event):
+    def _request_headers(self, last_event):
         names = self.core.names
         exchange = self.exchange
-        left = max(1, int((exchange.ends - self.core.clock.seconds()) * _MS))
+        remaining_ms = max(
+            1, int((exchange.ends - self.core.clock.seconds()) * _MS)
+        )
         headers = [
             *exchange.headers,
-            (names.deadline, b'%d' % left),
+            (names.deadline, b'%d' % remaining_ms),
             (names.expect, self.view.ident.encode()),
         ]
         if exchange.team:
@@ -344,29 +363,33 @@
         if last_event:
             headers.append((names.last_event, last_event.encode()))
         if exchange.prompt:
-            rank = min(_LAST_RANK, _FIRST_RANK + exchange.urgency)
-            headers.append((names.urgency, b'%d' % rank))
+            engine_urgency = min(
+                _LOWEST_ENGINE_URGENCY, _TOP_ENGINE_URGENCY + exchange.urgency
+            )
+            headers.append((names.urgency, b'%d' % engine_urgency))
         return headers
 
-    def _learn_first(self):
-        self.reading.release()
-        took = self.first_at - self.started
-        learn_success(self.view, took)
+    def _learn_first_bytes(self):
+        self.input_release.release()
+        first_seconds = self.first_at - self.started
+        learn_success(self.view, first_seconds)
         exchange = self.exchange
         if exchange.prompt and not self.splitter.last:
             tokens = own_tokens(exchange.prompt)
-            self.core.first_tokens.learn(exchange.service, tokens, took)
+            self.core.first_tokens.learn(
+                exchange.service, tokens, first_seconds
+            )
         if exchange.handles:
             self.core.fetching.note_read(exchange.service)
 
     def _learn(self, outcome):
         now = self.core.clock.seconds()
-        if outcome is GONE:
+        if outcome is RESULTS_GONE:
             self.core.fetching.note_gone(self.exchange.service)
             return
         if isinstance(outcome, NotRun):
-            learn_unreached(self.view, now)
-        elif isinstance(outcome, (Lost, Failing)):
+            learn_unavailable(self.view, now)
+        elif isinstance(outcome, (Lost, UpstreamFailure)):
             learn_failure(self.view)
         elif not self.streaming:
             learn_success(self.view, now - self.started)
@@ -377,7 +400,7 @@
     return values[0].decode('latin-1') if values else ''
 
 
-def _forwarded(head):
+def _header_pairs(head):
     return [
         (name, value)
         for name, values in head.headers.getAllRawHeaders()
--- a/pollenstile/forward/_budget.py
+++ b/pollenstile/forward/_budget.py
@@ -1,44 +1,47 @@
-"""Repeats that a service takes from all hosts together, this host's part."""
+"""Retry budgets: this host's part of the retries that a service accepts."""
 
 from collections import deque
 from itertools import repeat
 
-# Part of the shared allowance that hosts use. The rest is for repeats that a
-# host has sent and forgotten, as one does that starts again.
-_USED_SHARE = 0.6
+# Share of the common allowance that hosts use. The rest covers retries that a
+# host sent before a restart and no longer counts.
+_USED_SHARE_OF_ALLOWANCE = 0.6
 
 
 class RepeatBudget:
-    """Sends beyond the first of each request, by service.
+    """Limits retries (sends after a request's first) for each service.
 
     Explanation
     ===========
 
-    Over any window, a service takes ``ratio`` times its requests and
-    ``slack`` more. Requests are counted where they arrive, so that part needs
-    no division; the slack is divided evenly among the hosts.
+    Within any window, a service accepts ``ratio`` times its requests plus
+    ``slack`` as retries. Each request is counted by the host that receives it,
+    so the first term needs no division; the slack is divided evenly among the
+    hosts.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        Seconds.
+        Source of the time in seconds.
     ratio, slack, window : float
-        Of the platform; the window in seconds.
+        Limits set by the platform; the window in seconds.
 
     Attributes
     ==========
 
     hosts : int
-        Hosts that share the slack.
+        Number of hosts that share the slack.
+    requests, retries : dict
+        Times of recent requests and retries, a deque by service.
     """
 
     __slots__ = (
         'clock',
-        'firsts',
         'hosts',
         'ratio',
-        'repeats',
+        'requests',
+        'retries',
         'slack',
         'window',
     )
@@ -49,37 +52,43 @@
         self.slack = slack
         self.window = window
         self.hosts = 1
-        self.firsts = {}
-        self.repeats = {}
+        self.requests = {}
+        self.retries = {}
 
-    def note_first(self, service):
-        """Count a request that a caller sent for a service."""
-        self.firsts.setdefault(service, deque()).append(self.clock.seconds())
+    def note_request(self, service):
+        """Count a caller's request to a service."""
+        self.requests.setdefault(service, deque()).append(self.clock.seconds())
 
     def spend(self, service, number=1, sharers=None):
-        """Return whether repeats may be sent now; if so, count them.
+        """Count retries if the budget allows them; return whether it does.
 
         Parameters
         ==========
 
+        service : str
+            The service to send to.
+        number : int
+            Number of retries.
         sharers : int or None
-            Hosts that send to the service, where these are not all.
+            Number of hosts that share the slack; None for all hosts.
         """
-        if self.left(service, sharers) < number:
+        if self.remaining(service, sharers) < number:
             return False
-        times = self.repeats.setdefault(service, deque())
+        times = self.retries.setdefault(service, deque())
         times.extend(repeat(self.clock.seconds(), number))
         return True
 
-    def left(self, service, sharers=None):
-        """Return the number of repeats that may still be sent."""
-        firsts = self._recent(self.firsts, service)
-        repeats = self._recent(self.repeats, service)
+    def remaining(self, service, sharers=None):
+        """Return the number of retries that the budget still allows."""
+        requests = self._count_recent(self.requests, service)
+        retries = self._count_recent(self.retries, service)
         slack = self.slack / max(1, sharers or self.hosts)
-        return _USED_SHARE * (self.ratio * firsts + slack) - repeats
+        return (
+            _USED_SHARE_OF_ALLOWANCE * (self.ratio * requests + slack) - retries
+        )
 
-    def _recent(self, rows, service):
-        times = rows.get(service)
+    def _count_recent(self, times_by_service, service):
+        times = times_by_service.get(service)
         if not times:
             return 0
         oldest = self.clock.seconds() - self.window
--- a/pollenstile/forward/_choose.py
+++ b/pollenstile/forward/_choose.py
@@ -1,60 +1,69 @@
-"""Choice of an upstream for a request, without I/O."""
+"""Selection of an upstream for a request, without I/O."""
 
 from collections import deque
 from dataclasses import dataclass, field
 
 from pollenstile.ops.rendezvous import rendezvous_weight
 
-# Seconds by which one request in an engine's batch delays another one. At 20 ms
-# the requests of a subject left their engine for one that was less full, and
-# its shared part was read again: 0.009 of the worth of five days with trouble.
-_CROWD_SECONDS = 0.004
-# Times its own reading time, beside other requests, that a shared part costs at
-# another engine than its home: it is paid for, and delays the answers of all
-# that run there.
+# Delay that each request in an engine's batch adds for the others. With 20 ms,
+# requests of one subject moved to less loaded engines, which read the shared
+# prompt part again; that cost 0.009 of the value served in five days with
+# faults.
+_LOAD_DELAY_SECONDS = 0.004
+# Cost of reading a shared prompt part at an engine other than its home engine,
+# as a multiple of its reading time beside other requests: the extra reading is
+# billed and delays all requests that run there.
 _REREAD_FACTOR = 3.0
-# Seconds that a request waits for each one that waits at the engine.
-_QUEUE_SECONDS = 0.3
-# Seconds for another failure domain: two more trips, and what crosses is paid.
-_FAR_SECONDS = 0.004
-# Seconds of a first token that a byte between failure domains is worth: 10 ms a
-# megabyte. Draft requests hold 5 to 7 MB of results and little that an engine
-# has read before; 100 of 115 went to an engine of another domain.
-_FAR_BYTE_SECONDS = 1e-8
-# A report of load older than this says nothing; one's own calls do.
-_LOAD_SECONDS = 2.0
-# Share of failures above the siblings' median from which an upstream counts as
-# sick. Services answer some requests with errors of their own on every
-# upstream (14% of one sort of lookups), so no fixed share would do.
-_SICK_ABOVE = 0.25
+# Wait that each request queued at an engine adds.
+_QUEUE_DELAY_SECONDS = 0.3
+# Cost of sending to another failure domain: two more network trips, and billed
+# traffic.
+_CROSS_DOMAIN_SECONDS = 0.004
+# Cost of each byte that crosses between failure domains, as a delay of the
+# first token: 10 ms per megabyte. Draft requests hold 5 to 7 MB of stage
+# results and share little of their prompts; without this cost 100 of 115 were
+# sent to an engine of another domain.
+_CROSS_DOMAIN_BYTE_SECONDS = 1e-8
+# Age above which a load report is ignored; only own requests count then.
+_LOAD_REPORT_TTL_SECONDS = 2.0
+# An upstream is unhealthy when its failure rate exceeds the median of the
+# service's upstreams by this margin. A fixed threshold would not work: some
+# requests fail on every upstream (14% of one kind of lookups).
+_UNHEALTHY_MARGIN = 0.25
 
 
 @dataclass(slots=True)
 class EngineView:
-    """What this host knows of one upstream.
+    """Observed state of one upstream, local to this host.
 
     Attributes
     ==========
 
     born : int
-        Of its incarnation; see :class:`~pollenstile.forward.Upstream`.
+        Start of its incarnation; see :class:`~pollenstile.forward.Upstream`.
     flying : int
-        Own requests at it.
-    flying_tokens : int
-        Tokens of own prompts that it has not answered yet.
+        This host's requests in flight there.
+    in_flight_tokens : int
+        Prompt tokens of this host's unanswered requests.
     running, queued, slots : int
-        As it said last, with the time of that and the own requests then.
+        The load that it reported last.
+    load_at : float
+        Time of that report on the clock.
+    in_flight_at_report : int
+        This host's requests in flight at that time.
     failures : float
         Smoothed share of requests that failed there.
     seconds : float
         Smoothed time until its answers begin; 0 when unknown.
-    rest_until : float
-        Not used before, while there are others.
+    backoff_until : float
+        Time before which it is not used while there are others.
+    backoff_count : int
+        Consecutive back-offs; doubles the next one.
     cold_until : float
-        On the clock: it bears few requests a second before; 0 when its last
-        word was that it is warm.
+        Time until which it is cold and accepts few requests a second; 0 when
+        it last reported that it is warm.
     cold_sends : deque of float
-        On the clock: own sends to it of late, while it was cold.
+        Times of recent sends to it while it was cold.
     """
 
     ident: str
@@ -63,64 +72,76 @@
     slots: int = 1
     born: int = 0
     flying: int = 0
-    flying_tokens: int = 0
+    in_flight_tokens: int = 0
     running: int = 0
     queued: int = 0
     load_at: float = -1000.0
-    load_flying: int = 0
+    in_flight_at_report: int = 0
     failures: float = 0.0
     seconds: float = 0.0
-    rest_until: float = 0.0
-    strikes: int = 0
+    backoff_until: float = 0.0
+    backoff_count: int = 0
     cold_until: float = 0.0
     cold_sends: deque = field(default_factory=deque)
 
 
-def load_of(view, now):
-    """Return requests that run or wait at an upstream, as far as is known.
+def current_load(view, now):
+    """Return the estimated number of requests that run or wait at an upstream.
 
     Examples
     ========
 
     >>> from pollenstile.forward import EngineView
     >>> view = EngineView('i', 'a:1', 'd', flying=2)
-    >>> load_of(view, 0)
+    >>> current_load(view, 0)
     2
-    >>> view.running, view.load_at, view.load_flying = 9, 0, 1
-    >>> load_of(view, 1)
+    >>> view.running, view.load_at, view.in_flight_at_report = 9, 0, 1
+    >>> current_load(view, 1)
     10
     """
-    if now - view.load_at > _LOAD_SECONDS:
+    if now - view.load_at > _LOAD_REPORT_TTL_SECONDS:
         return view.flying
-    told = view.running + view.queued
-    return max(view.flying, told + view.flying - view.load_flying)
+    reported = view.running + view.queued
+    return max(view.flying, reported + view.flying - view.in_flight_at_report)
 
 
 def usable(views, now, tried=()):
-    """Return the upstreams to choose from, sick ones only if there are none.
+    """Return the candidate upstreams, leaving out unhealthy ones.
 
     Explanation
     ===========
 
-    When most of them rest or fail, the cause lies elsewhere, and leaving all
-    of them out would serve nobody: then all are used.
+    When most upstreams fail or are backing off, the cause is not a single
+    upstream, and excluding them would leave nothing to send to. All that are
+    not backing off remain candidates then, or simply all.
+
+    Parameters
+    ==========
+
+    views : list of EngineView
+        Upstreams of the service.
+    now : float
+        Seconds on the clock.
+    tried : sequence of str
+        Identifiers of upstreams to leave out.
     """
-    fresh = [view for view in views if view.ident not in tried]
-    shares = sorted(view.failures for view in fresh)
+    untried = [view for view in views if view.ident not in tried]
+    shares = sorted(view.failures for view in untried)
     usual = shares[len(shares) // 2] if shares else 0
-    sound = [
+    healthy = [
         view
-        for view in fresh
-        if view.rest_until <= now and view.failures < usual + _SICK_ABOVE
+        for view in untried
+        if view.backoff_until <= now
+        and view.failures < usual + _UNHEALTHY_MARGIN
     ]
-    if len(sound) * 2 >= len(fresh):
-        return sound
-    awake = [view for view in fresh if view.rest_until <= now]
-    return awake or fresh
+    if len(healthy) * 2 >= len(untried):
+        return healthy
+    not_backing_off = [view for view in untried if view.backoff_until <= now]
+    return not_backing_off or untried
 
 
 def subject_of(prompt):
-    """Return the last part that requests share, or the empty string.
+    """Return the identifier of the last shared prompt part, or ``''``.
 
     Examples
     ========
@@ -134,15 +155,19 @@
 
 
 def chosen_plain(views, now, domain, rng):
-    """Return the upstream of a plain service that answers soonest, or None.
+    """Return the plain upstream with the lowest expected latency, or None.
 
     Parameters
     ==========
 
     views : list of EngineView
-        Usable.
+        Candidates.
+    now : float
+        Seconds on the clock.
     domain : str
-        The own one.
+        This host's failure domain.
+    rng : random.Random
+        Breaks ties.
     """
     if not views:
         return None
@@ -151,16 +176,18 @@
 
     def cost(view):
         seconds = view.seconds or usual
-        crowd = load_of(view, now) / max(1, view.slots)
-        far = _FAR_SECONDS if view.domain != domain else 0
-        trouble = 1 + 4 * view.failures
-        return seconds * (1 + crowd) * trouble + far, rng.random()
+        relative_load = current_load(view, now) / max(1, view.slots)
+        crossing_seconds = _CROSS_DOMAIN_SECONDS if view.domain != domain else 0
+        failure_factor = 1 + 4 * view.failures
+        return seconds * (
+            1 + relative_load
+        ) * failure_factor + crossing_seconds, rng.random()
 
     return min(views, key=cost)
 
 
 def own_tokens(prompt):
-    """Return the tokens that no other request shares.
+    """Return the number of prompt tokens that no other request shares.
 
     Examples
     ========
@@ -172,13 +199,13 @@
 
 
 def home_engine(views, subject):
-    """Return the engine at which requests about a subject meet.
+    """Return the home engine of a subject.
 
     Explanation
     ===========
 
-    By rendezvous hashing: the same at every host, and an engine that comes or
-    goes moves only its own subjects.
+    Rendezvous hashing yields the same engine at every host. An engine that
+    joins or leaves moves only its own subjects.
     """
 
     def weight(view):
@@ -188,25 +215,33 @@
 
 
 def chosen_engine(views, now, domain, rng, prompt, token_seconds, inputs=None):
-    """Return the model engine whose first token comes soonest, or None.
+    """Return the model engine with the earliest expected first token, or None.
 
     Explanation
     ===========
 
-    A subject has a home engine by rendezvous over all engines, the same at
-    every host, so its shared part is read once. Another engine is taken when
-    the home is more crowded than reading that part again costs.
+    Every host picks the same home engine for a subject, so the shared prompt
+    part is read once. Another engine is chosen when the load of the home engine
+    costs more than reading that part again.
 
     Parameters
     ==========
 
+    views : list of EngineView
+        Candidates.
+    now : float
+        Seconds on the clock.
+    domain : str
+        This host's failure domain.
+    rng : random.Random
+        Breaks ties.
     prompt : tuple
-        Identifier and tokens of each part, in order.
+        Identifier and token count of each part, in order.
     token_seconds : float
-        By which one more token to read delays an answer.
+        Delay of an answer by each further token to read.
     inputs : dict or None
-        Bytes of the request's stage results by failure domain. What lies in
-        another one than the engine crosses, and is paid for.
+        Bytes of the request's stage results by failure domain. Bytes outside
+        the engine's domain cross between domains, which is billed.
     """
     if not views:
         return None
@@ -218,22 +253,26 @@
     total = sum(inputs.values())
 
     def cost(view):
-        seconds = (own + view.flying_tokens) * token_seconds
+        seconds = (own + view.in_flight_tokens) * token_seconds
         if subject and view is not home:
             seconds += _REREAD_FACTOR * shared * token_seconds
-        seconds += _crowd_seconds(view, now) + view.failures
+        seconds += _load_delay_seconds(view, now) + view.failures
         if view.domain != domain:
-            seconds += _FAR_SECONDS
-        crossing = total - inputs.get(view.domain, 0)
-        seconds += _FAR_BYTE_SECONDS * crossing
+            seconds += _CROSS_DOMAIN_SECONDS
+        crossing_bytes = total - inputs.get(view.domain, 0)
+        seconds += _CROSS_DOMAIN_BYTE_SECONDS * crossing_bytes
         return seconds, rng.random()
 
     return min(views, key=cost)
 
 
-def _crowd_seconds(view, now):
-    """Return seconds that an engine's other requests cost a new one."""
-    load = load_of(view, now)
-    waiting = view.queued if now - view.load_at < _LOAD_SECONDS else 0
-    beyond = max(0, load - view.slots + 1)
-    return _CROWD_SECONDS * load + _QUEUE_SECONDS * (waiting + beyond)
+def _load_delay_seconds(view, now):
+    """Return the delay of a new request by the other ones at an engine."""
+    load = current_load(view, now)
+    waiting = (
+        view.queued if now - view.load_at < _LOAD_REPORT_TTL_SECONDS else 0
+    )
+    excess = max(0, load - view.slots + 1)
+    return _LOAD_DELAY_SECONDS * load + _QUEUE_DELAY_SECONDS * (
+        waiting + excess
+    )
--- a/pollenstile/forward/_cold.py
+++ b/pollenstile/forward/_cold.py
@@ -1,40 +1,41 @@
-"""What a host may send to an upstream that is cold, without asking the others.
+"""Rate limits for cold upstreams, divided among hosts without coordination.
 
 Explanation
 ===========
 
-An upstream that has just started, or became cold since, bears so many requests
-a second and crashes well above. All hosts together must keep to that, also
-those that are cut off from each other, and asking for each request would cost a
-trip. So each upstream's rate is dealt among the hosts of its domain by
-rendezvous: every host finds the same shares from the same entries. Two hosts
-that disagree on who there is may count on the same part of it.
+An upstream that has just started, or became cold later, accepts a limited
+number of requests a second and crashes well above it. All hosts together must
+respect this limit, also hosts that are partitioned from each other, and a
+round trip for each request would be too slow. So each upstream's rate is
+divided among the hosts of its domain by rendezvous hashing: hosts with the same
+list of hosts compute the same shares. Hosts with different lists may claim the
+same share.
 
-The load that this answers is a domain that returns, or a service that restarts:
-its upstreams are empty, and all hosts would prefer them at once.
+The limit matters when a domain returns or a service restarts: its upstreams are
+idle, and all hosts would prefer them at once.
 """
 
 from pollenstile.ops.rendezvous import rendezvous_weight
 
 # Seconds over which a rate is counted.
-_WINDOW = 1.0
+_WINDOW_SECONDS = 1.0
 
 
 class ColdShares:
-    """This host's shares of what cold upstreams bear.
+    """This host's shares of the request rates of cold upstreams.
 
     Parameters
     ==========
 
     host, domain : str
-        This host.
+        Name and failure domain of this host.
 
     Attributes
     ==========
 
     peers : dict
-        Failure domain by name of each other host; None while unknown. A host
-        that took itself for the only one would use the whole rate.
+        Failure domain of each other host by name; None while unknown, so that
+        a host without the list does not use the full rate alone.
     """
 
     __slots__ = ('domain', 'host', 'peers', 'shares')
@@ -46,20 +47,22 @@
         self.shares = {}
 
     def take_hosts(self, peers):
-        """Take the failure domains of the other hosts, by name."""
+        """Set the failure domains of the other hosts, by name."""
         self.peers = dict(peers)
         self.shares = {}
 
-    def admits(self, view, rate, now):
+    def may_send(self, view, rate, now):
         """Return whether a request may be sent to an upstream now.
 
         Parameters
         ==========
 
         view : EngineView
-            What is known of the upstream.
+            State of the upstream.
         rate : float
-            Requests a second that a cold one bears; 0 for no bound.
+            Requests a second that a cold upstream accepts; 0 for no limit.
+        now : float
+            Seconds on the clock.
         """
         if not rate or view.cold_until <= now:
             return True
@@ -69,8 +72,8 @@
             sends.popleft()
         return len(sends) < count
 
-    def opens_in(self, view, rate, now):
-        """Return seconds until a request may be sent to a cold upstream."""
+    def seconds_until_send(self, view, rate, now):
+        """Return the seconds until a request may be sent to a cold upstream."""
         warm_in = max(0.0, view.cold_until - now)
         count, seconds = self._share(view, rate)
         if not count:
@@ -79,54 +82,60 @@
         return min(warm_in, sends[0] + seconds - now) if sends else 0.0
 
     def note_sent(self, view, rate, now):
-        """Count a send to an upstream, if it is cold."""
+        """Count a send to an upstream if it is cold."""
         if rate and view.cold_until > now:
             view.cold_sends.append(now)
 
     def _share(self, view, rate):
-        known = self.shares.get((view.ident, rate))
-        if known is None:
-            known = share_of(self.host, self._sharers(view), view.ident, rate)
-            self.shares[view.ident, rate] = known
-        return known
-
-    def _sharers(self, view):
+        share = self.shares.get((view.ident, rate))
+        if share is None:
+            share = send_share(
+                self.host, self._sharing_hosts(view), view.ident, rate
+            )
+            self.shares[view.ident, rate] = share
+        return share
+
+    def _sharing_hosts(self, view):
         if self.peers is None:
             return ()
         domains = {**self.peers, self.host: self.domain}
-        near = [host for host, one in domains.items() if one == view.domain]
-        return near or list(domains)
+        same_domain = [
+            host for host, one in domains.items() if one == view.domain
+        ]
+        return same_domain or list(domains)
 
 
-def share_of(host, hosts, upstream, rate):
-    """Return how many requests a host may send to a cold upstream, in how long.
+def send_share(host, hosts, upstream, rate):
+    """Return a host's share of the request rate of a cold upstream.
 
     Parameters
     ==========
 
+    host : str
+        The host whose share is computed.
     hosts : list of str
-        Those that share it; none when they are unknown.
+        Hosts that share the rate; empty when they are unknown.
     upstream : str
-        Its identifier.
+        Identifier of the upstream.
     rate : float
-        Requests a second that it bears.
+        Requests a second that the upstream accepts.
 
     Returns
     =======
 
     tuple
-        Requests, and the seconds in which so many may be sent.
+        Number of requests, and the seconds in which they may be sent.
 
     Examples
     ========
 
-    >>> share_of('a', ['a', 'b'], 'i', 10.0)
+    >>> send_share('a', ['a', 'b'], 'i', 10.0)
     (5, 1.0)
-    >>> sorted(share_of(one, ['a', 'b', 'c'], 'i', 2.0)[0] for one in 'abc')
+    >>> sorted(send_share(one, ['a', 'b', 'c'], 'i', 2.0)[0] for one in 'abc')
     [0, 1, 1]
-    >>> share_of('a', ['a'], 'i', 0.5)
+    >>> send_share('a', ['a'], 'i', 0.5)
     (1, 2.0)
-    >>> share_of('a', [], 'i', 10.0)
+    >>> send_share('a', [], 'i', 10.0)
     (0, 1.0)
     """
     sharers = max(1, min(len(hosts), int(rate)))
@@ -134,7 +143,7 @@
     def weight(one):
         return rendezvous_weight(upstream, one)
 
-    chosen = sorted(hosts, key=weight)[:sharers]
-    if host not in chosen:
-        return 0, _WINDOW
-    return max(1, int(rate / sharers)), max(_WINDOW, 1 / rate)
+    selected = sorted(hosts, key=weight)[:sharers]
+    if host not in selected:
+        return 0, _WINDOW_SECONDS
+    return max(1, int(rate / sharers)), max(_WINDOW_SECONDS, 1 / rate)
--- a/pollenstile/forward/_core.py
+++ b/pollenstile/forward/_core.py
@@ -1,55 +1,58 @@
-"""What forwarding a request depends on."""
+"""Shared dependencies of forwarded requests."""
 
 from dataclasses import dataclass, field
 
 from pollenstile.estimates import Fetching, FirstTokens
 from pollenstile.forward._cold import ColdShares
-from pollenstile.forward._crashes import Crashes
+from pollenstile.forward._crashes import CrashDetector
 from pollenstile.forward._types import HeaderNames
 from pollenstile.ops.logs import silent_log
 from pollenstile.quarantine import Quarantine
 
 
-def _unknown_shares():
-    """Return the shares of a host that has heard of no hosts: none."""
+def _empty_shares():
+    """Return the shares of a host that does not know the other hosts: none."""
     return ColdShares('', '')
 
 
 @dataclass(slots=True)
 class ForwardCore:
-    """Parts of one entry host that forwarded requests share.
+    """Components of an entry host that forwarded requests share.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        Real, or virtual under test.
+        Clock and timers; virtual in tests.
     rng : random.Random
-        Seeded under test.
+        Seeded in tests.
     domain : str
         The host's failure domain.
     client : HttpClient
         Sends requests.
     registry : Registry
-        Upstreams.
+        Known upstreams.
     configuration : Configuration
         The route table in force.
     budget : RepeatBudget
-        Repeats that may be sent.
+        Limits retries.
     stages : StageClient
-        Has stage work done.
+        Submits stage work.
     names : HeaderNames
-        Of the headers that the system reads and sets.
+        Names of the headers that the system reads and sets.
+    log : function
+        Writes events.
     first_tokens : FirstTokens
-        How long model engines take to answer.
+        Estimates the time of a model engine's first token.
     fetching : Fetching
-        How long they take to fetch stage results.
+        Estimates how long engines take to fetch stage results.
     cold : ColdShares
-        What may be sent to upstreams that are cold.
+        Limits sends to cold upstreams.
     quarantine : Quarantine or None
-        Requests that crash upstreams; one of its own where there is none.
-    crashes : Crashes or None
-        Finds out which upstreams have crashed; made from the others.
+        Requests that crash upstreams; None creates a new quarantine.
+    crashes : CrashDetector or None
+        Detects crashed upstreams; None creates a detector from the other
+        components.
     """
 
     clock: object
@@ -64,9 +67,9 @@
     log: object = silent_log
     first_tokens: FirstTokens = field(default_factory=FirstTokens)
     fetching: Fetching = field(default_factory=Fetching)
-    cold: ColdShares = field(default_factory=_unknown_shares)
+    cold: ColdShares = field(default_factory=_empty_shares)
     quarantine: Quarantine | None = None
-    crashes: Crashes | None = None
+    crashes: CrashDetector | None = None
 
     def __post_init__(self):
         if self.quarantine is None:
@@ -74,7 +77,7 @@
                 self.clock, '', self.registry.count, self.log
             )
         if self.crashes is None:
-            self.crashes = Crashes(
+            self.crashes = CrashDetector(
                 self.registry, self.client, self.clock, self.log
             )
             self.crashes.on_crash = self.quarantine.note_crash
--- /dev/null
+++ b/pollenstile/forward/_crash_evidence.py
@@ -0,0 +1,49 @@
+"""Crash evidence from the outcomes of attempts, for the quarantine."""
+
+from twisted.internet.defer import succeed
+
+from pollenstile.forward._attempt import Delivered, UpstreamFailure
+from pollenstile.forward._crashes import incarnation_of
+from pollenstile.forward._types import Lost, Refusal
+from pollenstile.quarantine import HELD_REASON, Suspect
+
+_BAD_GATEWAY = 502
+
+
+def held_refusal(core, exchange):
+    """Return the refusal of a quarantined request, or None.
+
+    Explanation
+    ===========
+
+    The same request has run before, so the answer is neither 429 nor 503 and
+    has no retry advice: either would have the caller send it again.
+    """
+    if not core.quarantine.is_held(exchange.fingerprint):
+        return None
+    return Refusal(_BAD_GATEWAY, HELD_REASON, 'entry')
+
+
+def record_outcome(core, exchange, attempt, outcome):
+    """Record an attempt's outcome; return a Deferred to wait for before a retry.
+
+    Returns
+    =======
+
+    Deferred
+        Fires at once for most requests. A request that already was in flight
+        at another crashed upstream waits for the crash check of this one.
+    """
+    quarantine = core.quarantine
+    fingerprint = exchange.fingerprint
+    if isinstance(outcome, (Delivered, UpstreamFailure)):
+        quarantine.note_whole(fingerprint)
+        return succeed(None)
+    if not isinstance(outcome, Lost) or not outcome.broken:
+        return succeed(None)
+    was_suspect = quarantine.is_suspect(fingerprint)
+    examined = core.crashes.note_broken(
+        incarnation_of(exchange.service, attempt.view),
+        Suspect(fingerprint, exchange.team, attempt.ran_seconds()),
+    )
+    return examined if was_suspect else succeed(None)
--- a/pollenstile/forward/_crashes.py
+++ b/pollenstile/forward/_crashes.py
@@ -1,4 +1,4 @@
-"""Whether an upstream's process has ended when a connection to it broke."""
+"""Detection of crashed upstreams after a connection to them broke."""
 
 from dataclasses import dataclass
 
@@ -9,25 +9,25 @@
 from pollenstile.forward._client import Reach
 from pollenstile.ops.logs import silent_log
 
-# Seconds until a second look where connections are refused and a request of
-# this host is still under way: a reset that was lost is sent again.
-_SECOND_LOOK = 0.2
-# Incarnations that are remembered as ended.
-_MOST_ENDED = 256
+# Delay before the second check of an upstream that refuses connections while a
+# request of this host is still in flight there: a lost reset is retransmitted.
+_RECHECK_SECONDS = 0.2
+# Maximum number of ended incarnations that are remembered.
+_MAX_ENDED = 256
 _MS = 1000
 
 
 @dataclass(slots=True, frozen=True)
 class Incarnation:
-    """One life of an upstream's process.
+    """One process lifetime of an upstream.
 
     Parameters
     ==========
 
     ident, service, address : str
-        As the registry has them.
+        Identifier, service and address in the registry.
     born : int
-        Unix milliseconds; 0 where upstreams don't tell.
+        Start of the process in Unix milliseconds; 0 when not reported.
     """
 
     ident: str
@@ -37,42 +37,42 @@
 
     @property
     def name(self):
-        """Return what tells this life from all others."""
+        """Return the unique name of this incarnation."""
         return f'{self.ident}/{self.born}'
 
 
 def incarnation_of(service, view):
-    """Return the :class:`Incarnation` that a view of a service shows."""
+    """Return the current :class:`Incarnation` of an upstream's view."""
     return Incarnation(view.ident, service, view.address, view.born)
 
 
 @dataclass(slots=True)
-class _Look:
-    """A look at an upstream that is under way."""
+class _Examination:
+    """A check of an upstream that is in progress."""
 
     suspects: list
     waiters: list
 
 
-class Crashes:
-    """Finds out which upstreams have crashed, and what they ran then.
+class CrashDetector:
+    """Detects crashed upstreams and reports the requests that they ran.
 
     Explanation
     ===========
 
-    A broken connection alone says little: connections are reset, links are
-    cut, answers are spoilt. A process that has ended breaks all of its
-    connections, and nobody listens at its address any more.
+    A broken connection alone does not prove a crash: connections are reset,
+    links fail, answers are corrupted. A process that has ended breaks all of
+    its connections, and its address refuses new ones.
 
     Parameters
     ==========
 
     registry : Registry
-        Knows who is there, and who leaves.
+        Lists the upstreams and which of them are leaving.
     client : HttpClient
-        Looks whether anybody listens.
+        Checks whether an address accepts connections.
     clock : IReactorTime
-        Times the second look.
+        Delays the second check.
     log : function
         Writes events.
 
@@ -81,10 +81,14 @@
 
     busy_checks : list of function
         Each takes an :class:`Incarnation` and returns whether this host has
-        more under way there than the registry's views count.
+        calls in flight there that the registry's views do not count.
+    examinations : dict
+        Checks in progress by :class:`Incarnation`.
+    ended : dict
+        Incarnations that are known to have ended, oldest first.
     on_crash : function
-        Called with name and service of a process that has ended, and the
-        suspects that this host had there.
+        Called with the incarnation's name, its service and a tuple of the
+        suspects: requests of this host that were running there.
     """
 
     __slots__ = (
@@ -92,8 +96,8 @@
         'client',
         'clock',
         'ended',
+        'examinations',
         'log',
-        'looks',
         'on_crash',
         'registry',
     )
@@ -103,73 +107,73 @@
         self.client = client
         self.clock = clock
         self.log = log
-        self.looks = {}
+        self.examinations = {}
         self.ended = {}
         self.busy_checks = []
-        self.on_crash = _nobody_told
+        self.on_crash = _ignore_crash
 
     def note_broken(self, upstream, suspect):
-        """Take a connection that broke; return a Deferred of the verdict.
+        """Record a broken connection and check whether the upstream crashed.
 
         Parameters
         ==========
 
         upstream : Incarnation
-            Whose connection.
+            The peer of the connection.
         suspect : Suspect
-            What it was running; without a fingerprint where that isn't known.
+            The request that it was running; without a fingerprint if unknown.
 
         Returns
         =======
 
         Deferred
-            Of whether the upstream's process has ended.
+            Fires with whether the upstream's process has ended.
         """
         if upstream in self.ended:
-            # A reset that came later than the look.
-            self._tell(upstream, [suspect])
+            # The reset arrived after the check was over.
+            self._report(upstream, [suspect])
             return succeed(True)
-        if not self._is_at_work(upstream):
+        if not self._should_be_running(upstream):
             return succeed(False)
         waiter = Deferred()
-        look = self.looks.get(upstream)
-        if look is not None:
-            look.suspects.append(suspect)
-            look.waiters.append(waiter)
+        examination = self.examinations.get(upstream)
+        if examination is not None:
+            examination.suspects.append(suspect)
+            examination.waiters.append(waiter)
             return waiter
-        self.looks[upstream] = _Look([suspect], [waiter])
+        self.examinations[upstream] = _Examination([suspect], [waiter])
         Deferred.fromCoroutine(self._examine(upstream))
         return waiter
 
     async def _examine(self, upstream):
         has_ended = await self._has_ended(upstream)
-        look = self.looks.pop(upstream)
+        examination = self.examinations.pop(upstream)
         if has_ended:
             self._note_ended(upstream)
-            self._tell(upstream, look.suspects)
-        for waiter in look.waiters:
+            self._report(upstream, examination.suspects)
+        for waiter in examination.waiters:
             waiter.callback(has_ended)
 
     async def _has_ended(self, upstream):
-        """Return whether nobody listens, and nothing is under way there."""
+        """Return whether the address refuses connections and is not busy."""
         if await self.client.reach(upstream.address) is not Reach.REFUSED:
             return False
         if not self._is_busy(upstream):
             return True
-        await deferLater(self.clock, _SECOND_LOOK)
+        await deferLater(self.clock, _RECHECK_SECONDS)
         if self._is_busy(upstream):
-            # One that is full refuses connections too, and goes on with what
-            # it has.
+            # An overloaded upstream also refuses connections, but continues
+            # with the requests that it has accepted.
             return False
         return await self.client.reach(upstream.address) is Reach.REFUSED
 
     def _note_ended(self, upstream):
         self.ended[upstream] = True
-        if len(self.ended) > _MOST_ENDED:
+        if len(self.ended) > _MAX_ENDED:
             self.ended.pop(next(iter(self.ended)))
 
-    def _tell(self, upstream, suspects):
-        known = tuple(one for one in suspects if one.fingerprint)
+    def _report(self, upstream, suspects):
+        identified = tuple(one for one in suspects if one.fingerprint)
         self.log(
             events.UPSTREAM_CRASHED,
             level='warning',
@@ -177,17 +181,17 @@
             service=upstream.service,
             address=upstream.address,
             born=upstream.born,
-            requests=[one.fingerprint for one in known],
-            ran_ms=[int(one.ran * _MS) for one in known],
+            requests=[suspect.fingerprint for suspect in identified],
+            ran_ms=[int(suspect.ran * _MS) for suspect in identified],
         )
-        self.on_crash(upstream.name, upstream.service, known)
+        self.on_crash(upstream.name, upstream.service, identified)
 
-    def _is_at_work(self, upstream):
-        """Return whether an upstream is one that shouldn't end now."""
-        known = self.registry.upstreams.get(upstream.ident)
-        if known is None or known.born != upstream.born:
+    def _should_be_running(self, upstream):
+        """Return whether an incarnation is registered and not leaving."""
+        entry = self.registry.upstreams.get(upstream.ident)
+        if entry is None or entry.born != upstream.born:
             return False
-        return not known.leaving
+        return not entry.leaving
 
     def _is_busy(self, upstream):
         view = self.registry.views.get(upstream.ident)
@@ -196,5 +200,5 @@
         return any(is_busy(upstream) for is_busy in self.busy_checks)
 
 
-def _nobody_told(name, service, suspects):
-    """Stand for a host that remembers nothing of crashes."""
+def _ignore_crash(name, service, suspects):
+    """Do nothing; the default of ``on_crash``."""
--- a/pollenstile/forward/_decisions.py
+++ b/pollenstile/forward/_decisions.py
@@ -1,4 +1,4 @@
-"""What follows an attempt that failed, without I/O."""
+"""Retry decisions, silence limits and final refusals, without I/O."""
 
 import enum
 from dataclasses import dataclass
@@ -9,28 +9,28 @@
 _BAD_GATEWAY = 502
 _UNAVAILABLE = 503
 _TIMED_OUT = 504
-# Sends of one request that may be answered with 'not run' before it is given
-# up: more only load a service that is full.
-_MOST_SENDS = 3
-# Seconds after which a refused caller is told to come back, at least, and the
-# jitter, so that those refused together don't return together.
-_LEAST_RETRY = 0.2
-_RETRY_JITTER = 0.3
-# Silence after which a call is tried elsewhere: this many times what it usually
-# takes, and at least this share of its aim. One lookup in a hundred takes five
-# times its usual time.
-_PATIENCE_FACTOR = 4.0
-_LEAST_SHARE = 0.5
-# A stream that may go on elsewhere counts as dead after a silence of this many
-# times the longest pause for which it is still in time: a crashed engine that
-# says nothing is otherwise noticed at the deadline only. Seconds where no such
-# pause is known.
+# Maximum sends of one request when upstreams answer that they have not run it:
+# more would only load a service that is full.
+_MAX_SENDS = 3
+# Minimum retry advice to refused callers, and the jitter that keeps callers
+# that were refused together from retrying together.
+_MIN_RETRY_SECONDS = 0.2
+_RETRY_JITTER_SECONDS = 0.3
+# An attempt is abandoned after a silence of this multiple of the expected time
+# to the answer, and at least this share of the target latency. One lookup in a
+# hundred takes five times its usual time.
+_SILENCE_FACTOR = 4.0
+_MIN_TARGET_SHARE = 0.5
+# A resumable stream counts as lost after a silence of this multiple of the
+# longest pause that its route allows; without this limit, an engine that
+# crashed without closing its connection is noticed only at the deadline. The
+# second constant replaces a pause that the route does not set.
 _PAUSE_FACTOR = 2.0
-_UNKNOWN_PAUSE = 0.75
+_DEFAULT_PAUSE_SECONDS = 0.75
 
 
 class Next(enum.Enum):
-    """What to do after a failed attempt."""
+    """What to do with a request after a failed attempt."""
 
     AGAIN = 'again'
     GIVE_UP = 'give-up'
@@ -42,25 +42,27 @@
     Explanation
     ===========
 
-    A request that may run once only is sent again only when it surely did not
-    run. Whether the repeat budget has room is asked afterwards.
+    A request that may run only once is sent again only when it certainly did
+    not run. The retry budget is checked afterwards.
 
     Parameters
     ==========
 
+    route : Route
+        Kind and limits of the request.
     outcome : NotRun or Lost
-        The last attempt's.
+        Outcome of the last attempt.
     sends, runs : int
-        Attempts so far, and those that may have run.
+        Number of attempts so far, and of those that may have run.
     resumed : bool
-        Whether a part of the answer went out; then only a stream that may be
-        resumed goes on.
+        Whether part of the answer was sent to the caller; only a resumable
+        stream continues then.
     may_repeat : bool
-        False for a request under which upstreams have crashed, in all attempts
-        of its callers together.
+        False for a request during which upstreams have crashed, counted over
+        all attempts of its callers.
     """
     if isinstance(outcome, NotRun):
-        return Next.AGAIN if sends < _MOST_SENDS else Next.GIVE_UP
+        return Next.AGAIN if sends < _MAX_SENDS else Next.GIVE_UP
     if not route.repeatable or not may_repeat:
         return Next.GIVE_UP
     if resumed and route.kind is not Kind.STREAM:
@@ -76,41 +78,49 @@
     ==========
 
     first, between : float or None
-        Before the answer begins, and between its parts. None for requests
-        that can't be sent again: their deadline ends them.
+        Limits before the answer begins and between its parts. None for
+        requests that can't be sent again: only their deadline ends them.
     """
 
     first: float | None = None
     between: float | None = None
 
 
-def patience_of(route, usual):
+def patience_of(route, expected_seconds):
     """Return the :class:`SilenceLimits` of an attempt.
 
     Parameters
     ==========
 
-    usual : float
-        Seconds until the answer usually begins.
+    route : Route
+        Kind and limits of the request.
+    expected_seconds : float
+        Expected time until the answer begins.
     """
     if not route.repeatable or route.attempts < 2:
         return SilenceLimits()
-    first = max(_LEAST_SHARE * route.aim, _PATIENCE_FACTOR * usual)
+    first = max(
+        _MIN_TARGET_SHARE * route.aim, _SILENCE_FACTOR * expected_seconds
+    )
     if route.kind is Kind.STREAM:
-        between = _PAUSE_FACTOR * (route.pause or _UNKNOWN_PAUSE)
+        between = _PAUSE_FACTOR * (route.pause or _DEFAULT_PAUSE_SECONDS)
         return SilenceLimits(max(first, between), between)
     return SilenceLimits(first, first)
 
 
 def final_refusal(outcome, runs, rng):
-    """Return the final answer after the last attempt.
+    """Return the final :class:`Refusal` after the last attempt.
 
     Parameters
     ==========
 
+    outcome : NotRun or Lost
+        Outcome of the last attempt.
     runs : int
-        Attempts that may have run; when there is none, the caller is told
-        truthfully that the request has not run.
+        Number of attempts that may have run; with none, the answer states
+        that the request has not run.
+    rng : random.Random
+        Source of the jitter in the retry advice.
     """
     if runs or isinstance(outcome, Lost):
         return Refusal(_BAD_GATEWAY, outcome.reason, 'send', outcome.peer)
@@ -124,12 +134,12 @@
 
 
 def retry_after(wait, rng):
-    """Return seconds after which a refused caller should come back."""
-    return max(_LEAST_RETRY, wait) + rng.uniform(0, _RETRY_JITTER)
+    """Return the seconds after which a refused caller should retry."""
+    return max(_MIN_RETRY_SECONDS, wait) + rng.uniform(0, _RETRY_JITTER_SECONDS)
 
 
 def expired_refusal(runs):
-    """Return the final answer at the deadline or the route's timeout."""
+    """Return the final :class:`Refusal` at the deadline or route timeout."""
     if runs:
         return Refusal(_TIMED_OUT, 'timeout', 'send')
-    return Refusal(_UNAVAILABLE, 'timeout', 'queue', '', _LEAST_RETRY)
+    return Refusal(_UNAVAILABLE, 'timeout', 'queue', '', _MIN_RETRY_SECONDS)
--- /dev/null
+++ b/pollenstile/forward/_dispatch.py
@@ -0,0 +1,138 @@
+"""Selection of a request's next upstream from the host's current state."""
+
+from pollenstile.forward._choose import (
+    chosen_engine,
+    chosen_plain,
+    home_engine,
+    current_load,
+    own_tokens,
+    subject_of,
+    usable,
+)
+from pollenstile.forward._input_release import InputRelease
+from pollenstile.forward._types import NotRun
+
+# Assumed answer time of a plain upstream without measurements, as a share of the
+# route's target latency.
+_DEFAULT_ANSWER_SHARE = 0.25
+
+
+def expected_first_token_seconds(core, exchange):
+    """Return the expected seconds to a model engine's first token."""
+    return core.first_tokens.seconds(
+        exchange.service,
+        own_tokens(exchange.prompt),
+    )
+
+
+def expected_answer_seconds(core, exchange, view):
+    """Return the expected seconds until an upstream's answer begins."""
+    if exchange.prompt:
+        return expected_first_token_seconds(core, exchange)
+    return view.seconds or _DEFAULT_ANSWER_SHARE * exchange.route.aim
+
+
+def home_domain(core, exchange):
+    """Return the failure domain of the engine that should read the results.
+
+    Explanation
+    ===========
+
+    This is the domain of the subject's home engine; empty when the request has
+    no subject or the service no usable upstream.
+    """
+    subject = subject_of(exchange.prompt)
+    views = core.registry.usable(exchange.service)
+    if not subject or not views:
+        return ''
+    return home_engine(views, subject).domain
+
+
+def select_view(core, exchange, tried, inputs):
+    """Return the upstream that a request is sent to next.
+
+    Parameters
+    ==========
+
+    core : ForwardCore
+        Components of the host.
+    exchange : Exchange
+        The request.
+    tried : list of str
+        Identifiers of upstreams that it was sent to before.
+    inputs : dict
+        Bytes of its stage results by failure domain.
+
+    Returns
+    =======
+
+    EngineView or NotRun
+        ``NotRun`` states why there is no upstream and when to retry.
+    """
+    now = core.clock.seconds()
+    views = usable(core.registry.usable(exchange.service), now, tried)
+    rate = cold_rate(exchange)
+    ready = [view for view in views if core.cold.may_send(view, rate, now)]
+    if not ready:
+        return _unavailable_reason(core, exchange, views, rate)
+    if not exchange.prompt:
+        return chosen_plain(ready, now, core.domain, core.rng)
+    return chosen_engine(
+        ready,
+        now,
+        core.domain,
+        core.rng,
+        exchange.prompt,
+        core.first_tokens.token_seconds(exchange.service),
+        inputs,
+    )
+
+
+def cold_rate(exchange):
+    """Return the requests a second of a cold upstream; 0 for no limit."""
+    service = exchange.table.services.get(exchange.service)
+    return service.cold_rate if service else 0.0
+
+
+def _unavailable_reason(core, exchange, views, rate):
+    """Return why no upstream can take a request."""
+    service = exchange.service
+    if views:
+        now = core.clock.seconds()
+        wait = min(
+            core.cold.seconds_until_send(view, rate, now) for view in views
+        )
+        return NotRun('cold', service, arrived=False, retry_after=wait)
+    reason = 'drained' if core.registry.is_drained(service) else 'no upstream'
+    return NotRun(reason, service)
+
+
+def input_release_for(core, exchange, chain, inputs, view):
+    """Return the timer that releases stage results once an upstream has them.
+
+    Parameters
+    ==========
+
+    core : ForwardCore
+        Components of the host.
+    exchange : Exchange
+        The request.
+    chain : Chain or None
+        Holds the results; None for a request without stage work.
+    inputs : dict
+        Bytes of the results by failure domain.
+    view : EngineView
+        The upstream that reads them.
+    """
+    if chain is None:
+        return InputRelease(_release_nothing)
+    if current_load(view, core.clock.seconds()) >= view.slots:
+        return InputRelease(chain.release)
+    size = sum(inputs.values())
+    rate = chain.link_rate()
+    fetch_seconds = core.fetching.seconds(exchange.service, size, rate)
+    return InputRelease(chain.release, fetch_seconds)
+
+
+def _release_nothing():
+    """Do nothing: the request holds no stage results."""
--- a/pollenstile/forward/_drained.py
+++ b/pollenstile/forward/_drained.py
@@ -1,30 +1,30 @@
-"""Failure domains whose upstreams get nothing new, as an operator asked."""
+"""Failure domains that an operator drained: no new requests are sent there."""
 
 from pollenstile.forward import events
 from pollenstile.ops.logs import silent_log
 
-# Kind of the store's entries, one for each drained domain, by its name.
+# Kind of the store's entries, one per drained domain, named after it.
 DRAINED = 'drained-domains'
 _MS = 1000
 
 
 class DrainedDomains:
-    """What the store says of drained domains, handed to the registry.
+    """Tracks the drained domains in the store and passes them to the registry.
 
     Explanation
     ===========
 
-    An entry stands for as long as the domain is drained. It comes by the same
-    watch, reader and word to the followers as the registry. A host that is cut
-    off from all of them goes by what it was told last.
+    An entry exists for as long as the domain is drained. Changes arrive by the
+    same watches, readers and relay updates as those of the registry. A host
+    that is cut off from all of them keeps the last known state.
 
     Parameters
     ==========
 
     registry : Registry
-        Leaves the upstreams of drained domains out.
+        Excludes the upstreams of drained domains.
     clock : IReactorTime
-        Seconds.
+        Source of the time in seconds.
     log : function
         Writes events.
 
@@ -32,7 +32,7 @@
     ==========
 
     since : dict
-        On the clock: when this host heard of each drained domain.
+        Time on the clock at which this host learned of each drained domain.
     """
 
     __slots__ = ('clock', 'log', 'registry', 'since')
@@ -44,7 +44,7 @@
         self.since = {}
 
     def take(self, change):
-        """Take a change of an entry; what it holds does not matter."""
+        """Apply the creation or deletion of an entry; its value is unused."""
         domain = change.name
         now = self.clock.seconds()
         was_drained = domain in self.since
@@ -68,14 +68,14 @@
         self.registry.drain(frozenset(self.since))
 
     def ages(self):
-        """Return the seconds since each drained domain was heard of."""
+        """Return the seconds since this host learned of each drained domain."""
         now = self.clock.seconds()
         return {domain: now - since for domain, since in self.since.items()}
 
     def note_listed(self):
-        """Note that a whole list has come."""
+        """Log that a full list was received."""
         self.log(events.DRAINS_KNOWN, domains=sorted(self.since))
 
     def _upstreams_in(self, domain):
         upstreams = self.registry.upstreams.values()
-        return sum(one.domain == domain for one in upstreams)
+        return sum(upstream.domain == domain for upstream in upstreams)
--- a/pollenstile/forward/_learning.py
+++ b/pollenstile/forward/_learning.py
@@ -1,44 +1,46 @@
-"""What the ends of attempts tell about an upstream."""
+"""Updates of an upstream's statistics from the outcomes of attempts."""
 
-# Share of the newest attempt in the smoothed figures.
-_NEWEST = 0.15
-# Seconds that an upstream rests after a failed handshake, and at most.
-_FIRST_REST = 0.3
-_LONGEST_REST = 4.0
+# Weight of the newest attempt in the smoothed figures.
+_SMOOTHING_FACTOR = 0.15
+# Back-off of an upstream after a failed handshake, doubled up to the maximum.
+_MIN_BACKOFF_SECONDS = 0.3
+_MAX_BACKOFF_SECONDS = 4.0
 
 
 def learn_success(view, seconds):
-    """Note that an attempt's answer began after some seconds."""
-    view.failures -= _NEWEST * view.failures
-    view.strikes = 0
+    """Record an answer that began after the given number of seconds."""
+    view.failures -= _SMOOTHING_FACTOR * view.failures
+    view.backoff_count = 0
     if view.seconds:
-        view.seconds += _NEWEST * (seconds - view.seconds)
+        view.seconds += _SMOOTHING_FACTOR * (seconds - view.seconds)
     else:
         view.seconds = seconds
 
 
 def learn_failure(view):
-    """Note that an attempt failed by the upstream's doing."""
-    view.failures += _NEWEST * (1 - view.failures)
+    """Record an attempt that the upstream failed."""
+    view.failures += _SMOOTHING_FACTOR * (1 - view.failures)
 
 
-def learn_unreached(view, now):
-    """Note that no connection was made, or that the upstream is full.
+def learn_unavailable(view, now):
+    """Back off from an upstream that was unreachable or full.
 
     Explanation
     ===========
 
-    A crashed upstream resets or swallows connections until the registry drops
-    it, three heartbeats later. Each further request would lose a handshake's
-    time.
+    A crashed upstream resets or drops connections until the registry removes
+    it, three heartbeats later. Without the back-off each further request would
+    lose the time of a handshake.
     """
-    rest = min(_LONGEST_REST, _FIRST_REST * 2**view.strikes)
-    view.strikes = min(view.strikes + 1, 10)
-    view.rest_until = now + rest
+    backoff = min(
+        _MAX_BACKOFF_SECONDS, _MIN_BACKOFF_SECONDS * 2**view.backoff_count
+    )
+    view.backoff_count = min(view.backoff_count + 1, 10)
+    view.backoff_until = now + backoff
 
 
 def learn_load(view, text, now):
-    """Take the load that an answer states: running, waiting, slots.
+    """Record the load in an answer's header: running, waiting, slots.
 
     Examples
     ========
@@ -60,4 +62,4 @@
     view.queued = queued
     view.slots = max(1, slots)
     view.load_at = now
-    view.load_flying = view.flying
+    view.in_flight_at_report = view.flying
--- a/pollenstile/forward/_owners.py
+++ b/pollenstile/forward/_owners.py
@@ -1,25 +1,25 @@
-"""This host's queues of stage services."""
+"""This host's queues of the stage services that it owns."""
 
 from pollenstile.ops.logs import silent_log
 from pollenstile.stagework import Owner
 
 
 class Owners:
-    """Queues by service, made when first asked for.
+    """Queues of stage services, created on first use.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        Of the queues.
+        Clock of the queues.
     registry : Registry
-        Upstreams of the services.
+        Supplies the upstreams of the services.
     configuration : Configuration
-        Limits of the services.
+        Supplies the limits of the services.
     calls : StageCalls
-        Makes the calls.
+        Sends batches to upstreams.
     spend : function
-        See :class:`~pollenstile.stagework.Owner`.
+        Spends retries; see :class:`~pollenstile.stagework.Owner`.
     quarantine : Quarantine
         Requests that crash upstreams.
 
@@ -27,7 +27,7 @@
     ==========
 
     by_service : dict
-        The queues.
+        The :class:`~pollenstile.stagework.Owner` of each service.
     """
 
     __slots__ = (
@@ -79,21 +79,21 @@
         return owner
 
     def configure(self):
-        """Take what configuration and registry say now."""
+        """Apply the current configuration and registry to all queues."""
         for owner in self.by_service.values():
             self._configure(owner)
 
-    def withdraw(self, content):
-        """Refuse what waits of a request that crashes upstreams."""
+    def withdraw(self, fingerprint):
+        """Refuse the waiting pieces of a request that crashes upstreams."""
         for owner in self.by_service.values():
-            owner.withdraw(content)
+            owner.withdraw(fingerprint)
 
     def waiting(self):
-        """Return how many pieces wait in all queues."""
+        """Return the number of pieces that wait in all queues."""
         return sum(len(owner.waiting) for owner in self.by_service.values())
 
     def is_busy(self):
-        """Return whether any group is not finished."""
+        """Return whether any group is unfinished."""
         return any(owner.jobs for owner in self.by_service.values())
 
     def _configure(self, owner):
--- a/pollenstile/forward/_runlines.py
+++ b/pollenstile/forward/_request_log.py
@@ -1,4 +1,4 @@
-"""Log lines of a forwarded request."""
+"""Log lines of forwarded requests."""
 
 from pollenstile.forward import events
 
@@ -6,7 +6,7 @@
 
 
 def log_send(run, view):
-    """Write where a request is sent, and what decided."""
+    """Log a send of a request with the state that the choice was based on."""
     exchange = run.exchange
     core = run.core
     now = core.clock.seconds()
@@ -30,7 +30,7 @@
 
 
 def log_end(run):
-    """Write how a request ended."""
+    """Log the end of a request."""
     exchange = run.exchange
     attempt = run.attempt
     refusal = run.refusal
@@ -51,9 +51,9 @@
         staged_ms=_since_arrival(exchange, run.staged_at),
         first_ms=_since_arrival(exchange, attempt.first_at if attempt else 0),
         aim_ms=int((exchange.aim - exchange.arrived) * _MS),
-        # Since the caller came first; 0 when it is new.
+        # Since the caller's first request; 0 for a new one.
         came_ms=int(run.chain.waited * _MS) if run.chain else 0,
-        pause_ms=int(attempt.paused * _MS) if attempt else 0,
+        pause_ms=int(attempt.longest_pause * _MS) if attempt else 0,
         pause_limit_ms=int(exchange.route.pause * _MS),
         crossed=run.waste.crossed,
         unused=run.waste.unused,
@@ -63,10 +63,10 @@
 
 
 def _since_arrival(exchange, moment):
-    """Return milliseconds; 0 for what has not happened."""
+    """Return milliseconds from arrival to a moment; 0 if it has not happened."""
     return int((moment - exchange.arrived) * _MS) if moment else 0
 
 
 def _load_age(view, now):
-    """Return milliseconds since a load report; -1 when there was none."""
+    """Return milliseconds since the last load report; -1 without one."""
     return int((now - view.load_at) * _MS) if view.load_at > 0 else -1
--- a/pollenstile/forward/_run.py
+++ b/pollenstile/forward/_run.py
@@ -1,14 +1,14 @@
-"""One forwarded request, from its arrival to its final answer."""
+"""Forwarding of one request, from its arrival to its final answer."""
 
 from twisted.internet.defer import CancelledError, Deferred, TimeoutError
 
 from pollenstile.forward import events
-from pollenstile.forward._admission import refused_since
+from pollenstile.forward._admission import recheck_admission
 from pollenstile.forward._attempt import (
-    GONE,
+    RESULTS_GONE,
     Attempt,
     Delivered,
-    Failing,
+    UpstreamFailure,
 )
 from pollenstile.forward._decisions import (
     Next,
@@ -18,16 +18,16 @@
     patience_of,
     retry_after,
 )
-from pollenstile.forward._placing import (
-    chosen_view,
+from pollenstile.forward._dispatch import (
+    select_view,
     cold_rate,
-    first_token_seconds,
+    expected_first_token_seconds,
     home_domain,
-    reading_of,
-    usual_seconds,
+    input_release_for,
+    expected_answer_seconds,
 )
-from pollenstile.forward._runlines import log_end, log_send
-from pollenstile.forward._suspicion import held_refusal, learned
+from pollenstile.forward._request_log import log_end, log_send
+from pollenstile.forward._crash_evidence import held_refusal, record_outcome
 from pollenstile.forward._types import Lost, NotRun, Refusal
 from pollenstile.quarantine import HELD_REASON
 from pollenstile.routes import Kind
@@ -43,37 +43,38 @@
     Explanation
     ===========
 
-    Cancelled, it stops all work that may be stopped.
+    Cancelling the Deferred stops the request's stage work and attempt.
 
     Parameters
     ==========
 
     core : ForwardCore
-        What the host offers.
+        Components of the host.
     exchange : Exchange
         The request.
     answer : Answer
-        The caller's side.
+        Writes to the caller.
     """
     run = _Run(core, exchange, answer)
-    work = Deferred.fromCoroutine(run.whole())
-    left = max(0, exchange.ends - core.clock.seconds())
-    work.addTimeout(left, core.clock)
-    work.addErrback(run.ended_early)
-    work.addErrback(run.crashed)
-    return work.addBoth(run.finished)
+    work = Deferred.fromCoroutine(run.forward())
+    remaining = max(0, exchange.ends - core.clock.seconds())
+    work.addTimeout(remaining, core.clock)
+    work.addErrback(run.handle_expiry)
+    work.addErrback(run.handle_crash)
+    return work.addBoth(run.finish)
 
 
-class Waste:
-    """What a request's stage results cost beyond their making.
+class StageWaste:
+    """Wasted transfers and results of a request's stage work.
 
     Attributes
     ==========
 
     crossed : int
-        Bytes that were read in another failure domain than they were made.
+        Bytes that were read in another failure domain than the one in which
+        they were made.
     unused : int
-        Results that were released unread, since the request was given up.
+        Results that were released unread because the request was given up.
     """
 
     __slots__ = ('crossed', 'unused')
@@ -83,17 +84,26 @@
         self.unused = 0
 
     def add(self, chain):
-        """Count what a chain that is over has cost."""
+        """Add the waste of a finished chain."""
         self.crossed += chain.crossed
         self.unused += chain.unused
 
     def note_read(self, inputs, domain):
-        """Count results that an upstream of a domain reads, by domain."""
+        """Count the results that an upstream in a domain reads.
+
+        Parameters
+        ==========
+
+        inputs : dict
+            Bytes of the results by failure domain.
+        domain : str
+            Failure domain of the upstream.
+        """
         self.crossed += sum(inputs.values()) - inputs.get(domain, 0)
 
 
 class _Run:
-    """State of one request."""
+    """State of one forwarded request."""
 
     __slots__ = (
         'answer',
@@ -122,16 +132,16 @@
         self.refusal = None
         self.staged_at = 0.0
         self.outcome = 'answered'
-        self.waste = Waste()
+        self.waste = StageWaste()
 
-    async def whole(self):
-        """Run the stages, then the attempts."""
-        self.core.budget.note_first(self.exchange.service)
+    async def forward(self):
+        """Run the stages, then attempts until one ends the request."""
+        self.core.budget.note_request(self.exchange.service)
         refusal = held_refusal(self.core, self.exchange)
         if refusal is not None:
             self._refuse(refusal)
             return
-        if not await self._staged():
+        if not await self._run_stages():
             return
         while True:
             inputs = self.chain.held_bytes() if self.chain else {}
@@ -140,18 +150,20 @@
                 self._give_up(view)
                 return
             self.waste.note_read(inputs, view.domain)
-            outcome = await self._attempted(view, inputs)
-            await learned(self.core, self.exchange, self.attempt, outcome)
+            outcome = await self._send_attempt(view, inputs)
+            await record_outcome(
+                self.core, self.exchange, self.attempt, outcome
+            )
             if isinstance(outcome, Delivered):
                 return
-            if not self._goes_on(outcome):
+            if not self._decide_resend(outcome):
                 self._give_up(outcome)
                 return
-            if not await self._restaged(outcome):
+            if not await self._rerun_stages(outcome):
                 return
 
-    def ended_early(self, failure):
-        """Give the final answer at the deadline; or note a caller's leaving."""
+    def handle_expiry(self, failure):
+        """Refuse the request at its deadline, or note a caller's disconnect."""
         failure.trap(TimeoutError, CancelledError)
         if self.answer.gone:
             self.outcome = 'caller left'
@@ -161,8 +173,8 @@
             runs += self.attempt.call.sent
         self._refuse(expired_refusal(runs))
 
-    def crashed(self, failure):
-        """Log a fault of the program, and let the caller know."""
+    def handle_crash(self, failure):
+        """Log an unexpected exception and refuse the request."""
         self.core.log(
             events.FORWARD_CRASHED,
             level='error',
@@ -171,47 +183,47 @@
         )
         self._refuse(Refusal(502, 'internal', 'program'))
 
-    def finished(self, ignored):
-        """Release what is left, and log the end."""
+    def finish(self, ignored):
+        """Release the remaining stage results and log the end."""
         if self.chain is not None:
             self.chain.release()
             self.waste.add(self.chain)
         log_end(self)
 
-    async def _staged(self):
-        """Have the stage work done; return whether to go on."""
+    async def _run_stages(self):
+        """Run the stage work; return whether to send the request."""
         exchange = self.exchange
         if not any(exchange.counts):
             return True
         steps = exchange.route.steps
-        await self.core.stages.refreshed([one.service for one in steps])
+        await self.core.stages.refreshed([step.service for step in steps])
         plan = plan_of(
             exchange,
             min(exchange.aim, exchange.ends)
-            - first_token_seconds(self.core, exchange),
+            - expected_first_token_seconds(self.core, exchange),
             self.core.stages.seconds,
             home_domain(self.core, exchange),
         )
         self.chain = Chain(self.core.stages, plan)
         handles = await self.chain.handles()
         if isinstance(handles, ChainFailed):
-            self._refuse_unstaged(handles)
+            self._refuse_failed_stages(handles)
             return False
         exchange.handles = handles
         self.staged_at = self.core.clock.seconds()
         return True
 
-    async def _restaged(self, outcome):
-        """Have results made again that lapsed, or were read and released."""
+    async def _rerun_stages(self, outcome):
+        """Rerun the stage work if its results have expired or were released."""
         if self.chain is None:
             return True
-        if self.chain.held and outcome is not GONE:
+        if self.chain.held and outcome is not RESULTS_GONE:
             return True
         self.chain.release()
         self.waste.add(self.chain)
-        return await self._staged()
+        return await self._run_stages()
 
-    def _refuse_unstaged(self, failed):
+    def _refuse_failed_stages(self, failed):
         if self.runs or failed.reason == HELD_REASON:
             self._refuse(Refusal(502, failed.reason, failed.step))
             return
@@ -220,7 +232,7 @@
             Refusal(_UNAVAILABLE, failed.reason, failed.step, '', wait),
         )
 
-    async def _attempted(self, view, inputs):
+    async def _send_attempt(self, view, inputs):
         self.tried.append(view.ident)
         self.sends += 1
         now = self.core.clock.seconds()
@@ -233,27 +245,29 @@
             self.exchange,
             view,
             self.answer,
-            reading_of(self.core, self.exchange, self.chain, inputs, view),
+            input_release_for(
+                self.core, self.exchange, self.chain, inputs, view
+            ),
         )
         if last_event:
             self.attempt.splitter.last = last_event.encode('latin-1')
         log_send(self, view)
-        usual = usual_seconds(self.core, self.exchange, view)
-        patience = patience_of(self.exchange.route, usual)
-        outcome = await self.attempt.outcome(patience, last_event)
+        expected = expected_answer_seconds(self.core, self.exchange, view)
+        limits = patience_of(self.exchange.route, expected)
+        outcome = await self.attempt.outcome(limits, last_event)
         if not isinstance(outcome, NotRun):
             self.runs += 1
         return outcome
 
-    def _goes_on(self, outcome):
-        """Return whether the request is sent again."""
-        if isinstance(outcome, Failing):
+    def _decide_resend(self, outcome):
+        """Return whether the request is sent again; log the failed attempt."""
+        if isinstance(outcome, UpstreamFailure):
             if outcome.status not in _SERVER_ERRORS:
                 return False
             lost = Lost(f'status {outcome.status}', self.attempt.view.ident)
         else:
             lost = outcome
-        following = after_failure(
+        decision = after_failure(
             self.exchange.route,
             lost,
             self.sends,
@@ -263,22 +277,22 @@
                 self.exchange.fingerprint
             ),
         )
-        again = following is Next.AGAIN
+        resend = decision is Next.AGAIN
         arrived = getattr(outcome, 'arrived', True)
-        if again and arrived:
-            again = self.core.budget.spend(self.exchange.service)
+        if resend and arrived:
+            resend = self.core.budget.spend(self.exchange.service)
         self.core.log(
             events.ATTEMPT_FAILED,
             request=self.exchange.ident,
             peer=self.attempt.view.ident,
             reason=lost.reason,
             arrived=arrived,
-            again=again,
+            resend=resend,
         )
-        return again
+        return resend
 
     def _give_up(self, outcome):
-        if isinstance(outcome, Failing):
+        if isinstance(outcome, UpstreamFailure):
             self._pass_on(outcome)
             return
         if isinstance(outcome, Refusal):
@@ -299,8 +313,8 @@
         self.refusal = refusal
         self.outcome = 'refused'
         if self.answer.begun:
-            # What went out looks like an answer. Only a broken connection
-            # tells the caller that it is not whole.
+            # Part of an answer was sent. Only an aborted connection shows the
+            # caller that it is incomplete.
             self.outcome = 'broken'
             self.answer.abort()
             return
@@ -308,31 +322,33 @@
 
 
 def _next_view(run, inputs):
-    """Return where a request is sent next, or why it is sent nowhere.
+    """Return the next upstream of a request, or why it is not sent.
 
     Explanation
     ===========
 
-    One that may have run is not refused as if it had not, and an answer that
-    has begun is brought to its end; unless the request crashes upstreams.
+    A quarantined request is always refused. Admission is checked again only
+    while the request cannot have run and no part of an answer was sent: after
+    that a refusal would wrongly state that it did not run, or cut the answer
+    off.
     """
     refusal = held_refusal(run.core, run.exchange)
     if refusal is not None:
         return refusal
     if not run.runs and not run.answer.begun:
-        refusal = refused_since(run.core, run.exchange)
+        refusal = recheck_admission(run.core, run.exchange)
         if refusal is not None:
             return refusal
-    return chosen_view(run.core, run.exchange, run.tried, inputs)
+    return select_view(run.core, run.exchange, run.tried, inputs)
 
 
 def is_abandoned_at_once(exchange):
-    """Return whether a request is stopped when its caller leaves.
+    """Return whether a request is cancelled when its caller disconnects.
 
     Explanation
     ===========
 
-    One that may run once only runs to its end: broken off, nobody would know
-    whether it has run.
+    A request that may run only once is completed: if it were cancelled, it
+    would be unknown whether it has run.
     """
     return exchange.route.kind is not Kind.ONCE
--- a/pollenstile/forward/_silence.py
+++ b/pollenstile/forward/_silence.py
@@ -1,41 +1,51 @@
-"""Noticing that an upstream has fallen silent."""
+"""Detection of upstreams that stop sending."""
 
 
-class Silence:
-    """Calls a function after too long a silence; never with no patience.
+class SilenceTimer:
+    """Calls a function when an upstream is silent for too long.
+
+    Parameters
+    ==========
+
+    clock : IReactorTime
+        Timers.
+    limit : float or None
+        Seconds of silence that are allowed; None for no limit.
 
     Attributes
     ==========
 
-    longest : float
+    longest_silence : float
         Seconds of the longest silence between two parts of a body.
     """
 
-    __slots__ = ('clock', 'heard_at', 'longest', 'patience', 'timer')
+    __slots__ = ('clock', 'received_at', 'longest_silence', 'limit', 'timer')
 
-    def __init__(self, clock, patience):
+    def __init__(self, clock, limit):
         self.clock = clock
-        self.patience = patience
+        self.limit = limit
         self.timer = None
-        self.heard_at = None
-        self.longest = 0.0
+        self.received_at = None
+        self.longest_silence = 0.0
 
-    def start(self, broken):
-        """Listen from now on."""
-        if self.patience is not None:
-            self.timer = self.clock.callLater(self.patience, broken)
+    def start(self, on_silence):
+        """Start the timer; call a function when it expires."""
+        if self.limit is not None:
+            self.timer = self.clock.callLater(self.limit, on_silence)
 
-    def heard(self, between=None):
-        """Begin the patience anew, another one where that is given."""
-        self.patience = between or self.patience
+    def note_received(self, new_limit=None):
+        """Restart the timer after received data, with a new limit if given."""
+        self.limit = new_limit or self.limit
         now = self.clock.seconds()
-        if self.heard_at is not None:
-            self.longest = max(self.longest, now - self.heard_at)
-        self.heard_at = now
+        if self.received_at is not None:
+            self.longest_silence = max(
+                self.longest_silence, now - self.received_at
+            )
+        self.received_at = now
         if self.timer is not None and self.timer.active():
-            self.timer.reset(self.patience)
+            self.timer.reset(self.limit)
 
     def stop(self):
-        """Listen no more."""
+        """Cancel the timer."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
--- a/pollenstile/forward/_stagecalls.py
+++ b/pollenstile/forward/_stagecalls.py
@@ -1,4 +1,4 @@
-"""Calls of stage services: batches of pieces, and releases of results."""
+"""Calls to stage services: batches of pieces, and releases of results."""
 
 from collections import Counter
 
@@ -12,19 +12,19 @@
 from pollenstile.stagework import CallLost
 from pollenstile.stagework.events import STAGE_RELEASE_FAILED
 
-_OK = 200
-# Seconds for a release; what it names lapses by itself.
-_RELEASE_SECONDS = 1.0
+_OK_STATUS = 200
+# Timeout of a release; results that are not released expire by themselves.
+_RELEASE_TIMEOUT_SECONDS = 1.0
 
 
 class StageCalls:
-    """Sends batches to upstreams of stages.
+    """Sends batches and releases to the upstreams of stage services.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        Bounds the calls.
+        Timeouts of the calls.
     client : HttpClient
         Sends requests.
     codec : object
@@ -32,19 +32,22 @@
         which return target, headers and body, and ``results(body, count)``,
         which returns a list of :class:`~pollenstile.stagework.Made` or None.
     names : HeaderNames
-        Of the header that says that nothing was run.
+        Name the header by which an upstream states that it ran nothing.
 
     Attributes
     ==========
 
     pieces_in : Counter
-        Pieces of the calls that are under way, by failure domain.
+        Pieces of the calls in flight, by failure domain.
     calls_at : Counter
-        Calls that are under way, by identifier and start of the upstream.
-    crashes : Crashes or None
-        Finds out whether an upstream that broke a call off has ended.
+        Calls in flight, by identifier and start time of the upstream.
+    crashes : CrashDetector or None
+        Checks whether an upstream that broke a connection has crashed.
     on_answer : function
-        Called with an incarnation's name and when it was asked.
+        Called with an incarnation's name and the time of the call.
+    on_misdirected : function or None
+        Called with identifier and start time of an upstream whose address now
+        has another incarnation.
     """
 
     __slots__ = (
@@ -73,52 +76,63 @@
         self.on_answer = None
 
     def look_at_crashes(self, crashes, quarantine):
-        """Report what was under way at upstreams that crash."""
+        """Report broken calls to a detector, and answers to a quarantine."""
         self.crashes = crashes
         self.on_answer = quarantine.note_answer
         crashes.busy_checks.append(self.is_busy)
 
     def is_busy(self, upstream):
-        """Return whether calls are under way at an incarnation."""
+        """Return whether calls to an incarnation are in flight."""
         return self.calls_at[upstream.ident, upstream.born] > 0
 
     def call(self, worker, pieces, seconds):
-        """Return a Deferred of the pieces' results, or of ``CallLost``."""
+        """Send a batch; return a Deferred of its results or ``CallLost``.
+
+        Parameters
+        ==========
+
+        worker : Worker
+            The upstream.
+        pieces : list of Piece
+            The batch.
+        seconds : float
+            Timeout of the call.
+        """
         began = self.clock.seconds()
-        work = Deferred.fromCoroutine(self._called(worker, pieces))
+        work = Deferred.fromCoroutine(self._send_batch(worker, pieces))
         work.addTimeout(seconds, self.clock)
-        work.addErrback(self._gave_up, worker)
+        work.addErrback(self._call_failed, worker)
         self.pieces_in[worker.domain] += len(pieces)
         self.calls_at[worker.ident, worker.born] += 1
-        work.addBoth(self._ended, worker, len(pieces))
+        work.addBoth(self._count_end, worker, len(pieces))
         return work.addCallback(
             lambda outcome: Deferred.fromCoroutine(
-                self._examined(outcome, worker, pieces, began)
+                self._check_crash(outcome, worker, pieces, began)
             )
         )
 
     def release(self, address, handles):
-        """Release results at their maker; return a Deferred of success."""
-        work = Deferred.fromCoroutine(self._released(address, handles))
-        work.addTimeout(_RELEASE_SECONDS, self.clock)
-        return work.addErrback(self._not_released, address)
+        """Release results at their upstream; return a Deferred of success."""
+        work = Deferred.fromCoroutine(self._send_release(address, handles))
+        work.addTimeout(_RELEASE_TIMEOUT_SECONDS, self.clock)
+        return work.addErrback(self._release_failed, address)
 
-    def _ended(self, outcome, worker, count):
+    def _count_end(self, outcome, worker, count):
         self.pieces_in[worker.domain] -= count
-        place = worker.ident, worker.born
-        self.calls_at[place] -= 1
-        if not self.calls_at[place]:
-            self.calls_at.pop(place)
+        key = worker.ident, worker.born
+        self.calls_at[key] -= 1
+        if not self.calls_at[key]:
+            self.calls_at.pop(key)
         return outcome
 
-    async def _examined(self, outcome, worker, pieces, began):
-        """Learn whether a call's upstream has ended; return the outcome.
+    async def _check_crash(self, outcome, worker, pieces, began):
+        """Check whether a lost call's upstream crashed; return the outcome.
 
         Explanation
         ===========
 
-        The pieces wait until that is known: sent again together, none of them
-        could be told from the one that is to blame.
+        The pieces wait for the check: if they were sent again together, the
+        one that causes the crash could not be identified.
         """
         if self.crashes is None:
             return outcome
@@ -130,19 +144,19 @@
             return outcome
         ran = self.clock.seconds() - began
         groups = {piece.group.ident: piece.group for piece in pieces}
-        looks = [
+        checks = [
             self.crashes.note_broken(
-                incarnation, Suspect(one.content, one.team, ran)
+                incarnation, Suspect(group.content, group.team, ran)
             )
-            for one in groups.values()
+            for group in groups.values()
         ]
-        await looks[-1]
+        await checks[-1]
         return outcome
 
-    async def _called(self, worker, pieces):
+    async def _send_batch(self, worker, pieces):
         now = self.clock.seconds()
         target, headers, body = self.codec.batch(worker, pieces, now)
-        status, response, content = await self._exchanged(
+        status, response, content = await self._exchange(
             worker.address,
             target,
             headers,
@@ -162,42 +176,42 @@
                 self.on_misdirected(worker.ident, worker.born)
             return CallLost(f'status {status}', worker.ident, arrived=False)
         results = None
-        if status == _OK:
+        if status == _OK_STATUS:
             results = self.codec.results(content, len(pieces))
         if results is None:
             return CallLost(f'status {status}', worker.ident, arrived=True)
         return results
 
-    async def _released(self, address, handles):
+    async def _send_release(self, address, handles):
         target, headers, body = self.codec.release(address, handles)
-        status, response, _ = await self._exchanged(
+        status, response, _ = await self._exchange(
             address,
             target,
             headers,
             body,
         )
-        if status != _OK:
+        if status != _OK_STATUS:
             self.log(
                 STAGE_RELEASE_FAILED,
                 peer=address,
                 reason=getattr(response, 'reason', f'status {status}'),
             )
-        return status == _OK
+        return status == _OK_STATUS
 
-    async def _exchanged(self, address, target, headers, body):
+    async def _exchange(self, address, target, headers, body):
         call = self.client.send(address, b'POST', target, headers, body)
         try:
-            return await _whole(call)
+            return await _read_response(call)
         except CancelledError:
             call.cancel()
             raise
 
-    def _gave_up(self, failure, worker):
+    def _call_failed(self, failure, worker):
         if failure.check(TimeoutError):
             return CallLost('timeout', worker.ident, arrived=True)
         return CallLost('torn answer', worker.ident, arrived=True, broken=True)
 
-    def _not_released(self, failure, address):
+    def _release_failed(self, failure, address):
         self.log(
             STAGE_RELEASE_FAILED,
             peer=address,
@@ -206,8 +220,8 @@
         return False
 
 
-async def _whole(call):
-    """Return status, head and body of a call; status 0 when there is none."""
+async def _read_response(call):
+    """Return status, head and body of a call; status 0 without an answer."""
     response = await call.head
     if isinstance(response, (NotRun, Lost)):
         return 0, response, b''
--- a/pollenstile/forward/_types.py
+++ b/pollenstile/forward/_types.py
@@ -1,4 +1,4 @@
-"""A caller's request as it is forwarded, and how sending it ends."""
+"""Data types of forwarded requests and of the outcomes of attempts."""
 
 import enum
 from dataclasses import dataclass, field
@@ -11,8 +11,8 @@
     Explanation
     ===========
 
-    The platform has its own names; an adapter hands them over. The defaults
-    are those of the project's own interface.
+    The platform's adapter supplies its own names. The defaults are those of
+    the project's own interface.
 
     Parameters
     ==========
@@ -20,27 +20,27 @@
     attempt : bytes
         Identifies one request of a caller; the answer echoes it.
     deadline : bytes
-        Milliseconds that are left.
+        Remaining milliseconds.
     stamp : bytes
-        An upstream's proof that the answer is its own.
+        Set by an upstream to show that the answer is its own.
     not_run : bytes
-        Says that an upstream has not run the request.
+        Set by an upstream that has not run the request.
     expect : bytes
         The incarnation that a request is meant for.
     team : bytes
         The caller's team, for upstreams.
     load : bytes
-        Running, waiting, slots.
+        Load of an upstream: running, waiting, slots.
     counts, stage_key : bytes
         Pieces by step, and the input of the first steps.
     results : bytes
         Handles of stage results, for model engines.
     prompt : bytes
-        Parts of the prompt, ``ID:TOKENS`` by commas.
+        Parts of the prompt, ``ID:TOKENS`` separated by commas.
     last_event : bytes
-        Event after which a stream goes on.
+        Event after which a stream continues.
     urgency : bytes
-        0 to 9 for model engines.
+        Urgency for model engines, 0 to 9.
     reserved : frozenset of bytes
         Headers that callers must not set, in lower case.
     """
@@ -63,15 +63,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Asked:
-    """What a request asks for, and in whose name.
+    """The parts of a request that decide on its route and admission.
 
     Parameters
     ==========
 
     host, path : str
-        By which its route is found.
+        Select the route.
     authorization : str
-        The header with the team's key.
+        Value of the header with the team's key.
     """
 
     host: str
@@ -87,34 +87,44 @@
     ==========
 
     ident : str
-        As the caller named it; the host's own where it did not.
+        The caller's identifier of the attempt; requests without one are
+        refused.
     method, target : bytes
-        Sent on untouched.
+        Forwarded unchanged.
     headers : list of tuple
-        Names and values that are sent on.
+        Names and values that are forwarded.
     body : bytes
-        Whole.
+        The complete body.
     route : Route
-        Matched.
+        The matched route.
     table : RouteTable
-        That the request was held against last.
+        The table by which the request was last admitted.
     asked : Asked
-        By which it is held against a newer one.
+        Used to admit the request again by a newer table.
     team : str
-        Name, empty on public routes.
+        Name of the caller's team; empty on public routes.
     urgency : int
         0 is the most urgent.
     arrived, aim, ends : float
-        On the clock, in seconds.
+        Time of arrival, target time of the answer and deadline, in seconds on
+        the clock.
     counts : tuple of int
         Pieces by step of the route.
+    stage_key : str
+        Input of the first stage steps.
     prompt : tuple
-        Identifier and tokens of each part.
+        Identifier and token count of each prompt part.
+    last_event : str
+        Event after which the caller continues a stream.
+    service : str
+        The service that the request is sent to.
+    handles : tuple of str
+        Handles of its stage results.
     proof_ms : int
-        Age of the table's proof when the request came, in milliseconds.
+        Milliseconds between the table's last verification and the arrival.
     fingerprint : str
-        Of the content, the same for each request that repeats this one; empty
-        while the fleet's key is not known.
+        Keyed digest of the request, the same for each repetition of it; empty
+        while the fleet's key is unknown.
     """
 
     ident: str
@@ -142,17 +152,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Refusal:
-    """A final answer of the system's own.
+    """A final answer that the system itself gives in place of an upstream's.
 
     Parameters
     ==========
 
     status : int
-        429 and 503 say that the request did not run and won't.
-    reason, step, peer : str
-        Why and where.
+        429 and 503 state that the request did not run and will not.
+    reason : str
+        Why the request was refused.
+    step, peer : str
+        Step and upstream at which it was refused.
     retry_after : float
-        Seconds; 0 for no advice.
+        Advised seconds until a retry; 0 for no advice.
     """
 
     status: int
@@ -164,13 +176,19 @@
 
 @dataclass(slots=True, frozen=True)
 class NotRun:
-    """An attempt that surely did not run.
+    """Outcome of an attempt that certainly did not run.
 
     Parameters
     ==========
 
+    reason : str
+        Why it did not run.
+    peer : str
+        Identifier of the upstream.
     arrived : bool
         Whether it reached the upstream, and so counts as a send.
+    retry_after : float
+        Seconds until a retry may succeed; 0 if unknown.
     """
 
     reason: str
@@ -181,13 +199,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Lost:
-    """An attempt that may have run and brought no whole answer.
+    """Outcome of an attempt that may have run without a complete answer.
 
     Parameters
     ==========
 
+    reason : str
+        How it was lost.
+    peer : str
+        Identifier of the upstream.
     broken : bool
-        Whether the upstream's side broke the connection.
+        Whether the upstream closed or reset the connection.
     """
 
     reason: str
--- a/pollenstile/forward/_watched.py
+++ b/pollenstile/forward/_watched.py
@@ -1,50 +1,57 @@
-"""Settings that may change while a host runs."""
+"""Polling of settings that may change while a host runs."""
 
 from pollenstile.forward import events
 
 
 class WatchedSettings:
-    """Settings that are read again and again.
+    """Settings that are read again on each poll.
 
     Parameters
     ==========
 
     read : function
-        Returns the settings now; raises ValueError with one clear line.
+        Returns the current settings; raises ValueError with a one-line message.
 
     Attributes
     ==========
 
     settings : object
-        In force.
+        The settings in force.
+    last_error : str
+        Message of the last failed read; empty after a successful one.
     """
 
-    __slots__ = ('read', 'settings', 'wrong')
+    __slots__ = ('last_error', 'read', 'settings')
 
     def __init__(self, read):
         self.read = read
         self.settings = read()
-        self.wrong = ''
+        self.last_error = ''
 
-    def look(self, take, log):
-        """Hand changed settings over; a wrong file is logged once.
+    def look(self, apply, log):
+        """Read the settings and apply them if they changed.
+
+        Explanation
+        ===========
+
+        Settings that can't be read are logged once for each new message.
 
         Parameters
         ==========
 
-        take : function
-            Takes the settings.
+        apply : function
+            Called with the changed settings.
         log : function
             Writes events.
         """
         try:
-            found = self.read()
+            new_settings = self.read()
         except ValueError as error:
-            if str(error) != self.wrong:
-                self.wrong = str(error)
-                log(events.SETTINGS_BAD, level='error', reason=self.wrong)
+            if str(error) != self.last_error:
+                self.last_error = str(error)
+                log(events.SETTINGS_BAD, level='error', reason=self.last_error)
             return
-        self.wrong = ''
-        if found != self.settings:
-            self.settings = found
-            take(found)
+        self.last_error = ''
+        if new_settings != self.settings:
+            self.settings = new_settings
+            apply(new_settings)
