--- a/pollenstile/forward/_request_log.py
+++ b/pollenstile/forward/_request_log.py
@@ -63,7 +63,7 @@
 
 
 def _since_arrival(exchange, moment):
-    """Return milliseconds from arrival to a moment; 0 if it has not happened."""
+    """Return milliseconds from arrival to an event; 0 if there was none."""
     return int((moment - exchange.arrived) * _MS) if moment else 0
 
 
--- a/pollenstile/forward/_run.py
+++ b/pollenstile/forward/_run.py
@@ -287,7 +287,7 @@
             peer=self.attempt.view.ident,
             reason=lost.reason,
             arrived=arrived,
-            resend=resend,
+            again=resend,
         )
         return resend
 
