--- a/features/deciding.feature
+++ b/features/deciding.feature
@@ -10,7 +10,7 @@
     Then it is refused with urgency 0
 
   Scenario: A less urgent group is judged by a longer wait, not by fewer seconds
-    A team that is less urgent asks with an aim of a second. By 0.4 s a step it
+    A team that is less urgent asks with a target latency of a second. By 0.4 s a step it
     was refused on a calm day, with 266 ms of wait and 214 ms to spare.
     Given a first stage group due in 0.214 seconds that would wait 0.266
     Then it is taken with urgency 2 though a later stage is crowded
@@ -25,7 +25,7 @@
     And pieces near the overdue one may be taken by the other
 
   Scenario: The measured rate counts only where room is short
-    Given a stage queue over workers in "a,b" that has room and made nothing
+    Given a stage queue over idle workers in "a,b" with a low measured rate
     Then its wait for 8 pieces is under 1.0 seconds
 
   Scenario: Pieces that are late wait a call for a worker near their inputs
@@ -46,21 +46,21 @@
     One of three domains has lost its only worker of the last step. Results made
     there cross with each chain, a third of all.
     Given a chain whose heavy last step has workers in "b,c" only
-    Then its step before is wanted in "b,c"
+    Then its previous step is preferred in "b,c"
     When that step is made in "b"
-    Then its last step is wanted in "b"
+    Then its last step is preferred in "b"
 
   Scenario: An engine is chosen near large results
     A request holds 5 MB of results and little that an engine has read before.
     100 of 115 such requests went to an engine of another domain.
     Given model engines in "a,b,c" that are idle
     Then a request with 5 MB of results in "b" goes to one in "b"
-    And a request whose subject is at home in "a" goes there in spite of 1 MB in "b"
+    And a request whose home engine is in "a" goes there despite 1 MB in "b"
 
   Scenario: Results are released when they were fetched, not at the first token
     Results of 3 MB keep their room until the engine's first token, 0.25 s and
     more, though it has them in 60 ms; others are refused for want of room.
-    Given a "stream" request with stage work whose engine has a free place
+    Given a "stream" request with stage work whose engine has a free slot
     When 0.2 seconds pass without a first token
     Then its stage results are released
 
@@ -79,13 +79,13 @@
     A host wakes after 30 s and takes all of them for one answer's time. Believed,
     every request would count as late for the next minute.
     Given first tokens after 0.2 seconds, 50 times
-    When one comes after 30.0 seconds
+    When one token arrives after 30.0 seconds
     Then the next is expected after 0.2 to 0.25 seconds
-    But after 60 more that come after 0.5 seconds it is expected after 0.4 to 0.5
+    But after 60 more that arrive after 0.5 seconds it is expected after 0.4 to 0.5
 
   Scenario Outline: Silence is judged by what the route says: <kind>
-    Given a "<kind>" route with an aim of <aim> and pauses of <pause> seconds
-    Then with <usual> usual seconds its patience is <first> and <between>
+    Given a "<kind>" route with a target latency of <aim> and pauses of <pause> seconds
+    Then with <usual> expected seconds its silence limits are <first> and <between>
 
     Examples:
       | kind       | aim | pause | usual | first | between |
--- a/features/drained.feature
+++ b/features/drained.feature
@@ -5,7 +5,7 @@
     are sent there all the same lose them when the power goes.
     Given upstreams in "a,b,b" and a forwarded "<kind>" request
     When the domain "b" is drained
-    And the request is taken in
+    And the request arrives
     Then forwarded send 0 went to "a"
 
     Examples:
@@ -19,14 +19,14 @@
     A lookup is under way as the domain is drained, and is lost. Sent once more,
     it must not go where nothing new may go.
     Given upstreams in "a,b,b" and a forwarded "idempotent" request
-    When the request is taken in
+    When the request arrives
     And the domain "b" is drained
     And forwarded send 0 is lost
     Then every later forwarded send went to "a"
 
   Scenario: A stream that breaks goes on in no drained domain
     Given upstreams in "a,b,b" and a forwarded "resumable" request
-    When the request is taken in
+    When the request arrives
     And forwarded send 0 begins a stream with events 1 to 3
     And the domain "b" is drained
     And the stream of send 0 breaks
@@ -37,27 +37,27 @@
     with the time to come back.
     Given upstreams in "b,b,b" and a forwarded "once" request
     When the domain "b" is drained
-    And the request is taken in
+    And the request arrives
     Then the caller of the forwarded request gets 503
-    And it is refused as "drained" and told when to come back
+    And it is refused as "drained" with retry advice
     And 0 forwarded sends were made
 
   Scenario: A domain that is taken back gets work again
     Given upstreams in "b,b,b" and a forwarded "once" request
     When the domain "b" is drained
-    And the domain "b" is taken back
-    And the request is taken in
+    And the drain of the domain "b" ends
+    And the request arrives
     Then 1 forwarded sends were made
 
   Scenario: Stage pieces that wait go to workers of other domains
     A call of the drained domain is under way. It ends whole and its results are
     used; what waits in the queue is made elsewhere.
-    Given a stage queue whose workers stand in "a,b"
-    When stage groups "x,y" of 8 pieces come to it
+    Given a stage queue whose workers are in "a,b"
+    When stage groups "x,y" of 8 pieces are submitted to it
     And the stage workers of "b" are drained
     And the call in "b" is answered
     Then the group of that call is done
-    When 6 further stage groups come and all calls are answered
+    When 6 further stage groups arrive and all calls are answered
     Then no later stage call went to "b"
 
   Scenario: Every host hears of a drain from its reader
@@ -65,7 +65,7 @@
     When the domain "hall" is drained in the store and 0.2 seconds pass
     Then "r,s,t,u" have drained "hall"
     And "s,t,u" called the store 0 times for it
-    When the domain "hall" is taken back in the store and 0.2 seconds pass
+    When the drain of the domain "hall" ends in the store and 0.2 seconds pass
     Then "r,s,t,u" have drained ""
 
   Scenario Outline: A domain is drained as the reader <fault>
@@ -87,7 +87,7 @@
     upstreams would stay without work.
     Given hosts "r,s,t,u" that watch drained domains
     When the domain "hall" is drained in the store and 0.2 seconds pass
-    And the domain "hall" is taken back while no watch hears of it
+    And the drain of the domain "hall" ends while no watch reports it
     And 5.0 seconds of relaying pass
     Then "r,s,t,u" have drained ""
 
@@ -122,18 +122,18 @@
     When the domain of the fleet is drained
     Then host "one" answers a draft with 503
     And host "one" logs event "domain-drained" with its revision
-    And the measures of host "one" say that the domain is drained
-    When the domain of the fleet is taken back
+    And the metrics of host "one" show that the domain is drained
+    When the drain of the domain of the fleet ends
     Then host "one" goes on serving drafts
 
   Scenario Outline: Operators drain a domain and see whether it is empty
-    Given a store and the measures of two hosts, of which <state>
+    Given a store and the metrics of two hosts, of which <state>
     Then the drain command writes the entry, and ends it, each once
     And the drain command shows "<line>" with exit code <code>
 
     Examples:
       | state              | line                                       | code |
-      | both obey          | 0 requests and pieces left, 2 of 2 hosts   | 0    |
-      | one has not heard  | 0 requests and pieces left, 1 of 2 hosts   | 1    |
-      | one has some left  | 3 requests and pieces left, 2 of 2 hosts   | 1    |
+      | both drained          | 0 requests and pieces left, 2 of 2 hosts   | 0    |
+      | one has not drained  | 0 requests and pieces left, 1 of 2 hosts   | 1    |
+      | one is not empty  | 3 requests and pieces left, 2 of 2 hosts   | 1    |
       | one does not answer| 0 requests and pieces left, 1 of 2 hosts   | 1    |
--- a/features/forward.feature
+++ b/features/forward.feature
@@ -13,8 +13,8 @@
     one that may run once is sent to another.
     Given a forwarded "once" request
     When forwarded send 0 is answered 503 and not run
-    And forwarded send 1 is answered 200 whole
-    Then the caller of the forwarded request gets 200 whole
+    And forwarded send 1 is answered 200 completely
+    Then the caller of the forwarded request gets a complete 200
 
   Scenario: A refusal says truthfully that nothing ran, and when to return
     All upstreams are full. The caller learns at once that the request has not
@@ -22,7 +22,7 @@
     Given a forwarded "once" request
     When all forwarded sends are answered 503 and not run
     Then the caller of the forwarded request gets 503
-    And it is told when to come back
+    And it gets retry advice
 
   Scenario: A lost attempt after others that did not run is no refusal
     One upstream was full; the next took the request and fell silent. The
@@ -36,24 +36,24 @@
     A lookup fails at one upstream in seven. Asked again elsewhere, the caller
     sees nothing of it.
     Given a forwarded "idempotent" request
-    When forwarded send 0 is answered 500 whole
-    And forwarded send 1 is answered 200 whole
-    Then the caller of the forwarded request gets 200 whole
+    When forwarded send 0 is answered 500 completely
+    And forwarded send 1 is answered 200 completely
+    Then the caller of the forwarded request gets a complete 200
 
   Scenario: Without repeats left the upstream's own failure is passed on
     Every upstream fails. Repeats without a bound would double the load on a
     service that is in trouble.
     Given a forwarded "idempotent" request
-    And no forwarded repeats are left
-    When forwarded send 0 is answered 500 whole
-    Then the caller of the forwarded request gets 500 whole
+    And no forwarded retries are left
+    When forwarded send 0 is answered 500 completely
+    Then the caller of the forwarded request gets a complete 500
     And 1 forwarded sends were made
 
   Scenario: No more upstreams than the route allows
     Given a forwarded "idempotent" request
-    When forwarded send 0 is answered 500 whole
-    And forwarded send 1 is answered 500 whole
-    Then the caller of the forwarded request gets 500 whole
+    When forwarded send 0 is answered 500 completely
+    And forwarded send 1 is answered 500 completely
+    Then the caller of the forwarded request gets a complete 500
     And 2 forwarded sends were made
 
   Scenario: Another request's answer is never passed on
@@ -66,31 +66,31 @@
 
   Scenario: A success without proof is not passed on
     Given a forwarded "once" request
-    When forwarded send 0 is answered 200 without proof
+    When forwarded send 0 is answered 200 without a stamp
     Then the caller of the forwarded request gets 502
 
   Scenario: A promise without proof is not passed on
     An upstream says 503 and not whether it ran. Passed on, it would promise
     the caller that asking again is safe.
     Given a forwarded "once" request
-    When forwarded send 0 is answered 503 without proof
+    When forwarded send 0 is answered 503 without a stamp
     Then the caller of the forwarded request gets 502
 
   Scenario: An answer that is torn does not look whole
     A plain answer ends early. Held back until it is whole, it is asked for
     again, and the caller gets one whole answer.
     Given a forwarded "idempotent" request
-    When forwarded send 0 is answered 200 torn
-    And forwarded send 1 is answered 200 whole
-    Then the caller of the forwarded request gets 200 whole
+    When forwarded send 0 is answered 200 incompletely
+    And forwarded send 1 is answered 200 completely
+    Then the caller of the forwarded request gets a complete 200
 
   Scenario: An address that has another incarnation now
     An upstream's address was given to another service. It answers that it is
     not the one that was meant; nothing ran, and it is not asked again.
     Given a forwarded "once" request
     When forwarded send 0 is answered 421 and not run
-    And forwarded send 1 is answered 200 whole
-    Then the caller of the forwarded request gets 200 whole
+    And forwarded send 1 is answered 200 completely
+    Then the caller of the forwarded request gets a complete 200
     And the upstream of forwarded send 0 is forgotten
 
   Scenario: A stream that may be resumed goes on without a seam
@@ -99,9 +99,9 @@
     Given a forwarded "resumable" request
     When forwarded send 0 streams events 1 to 3 and half of the next
     And forwarded send 0 breaks
-    Then forwarded send 1 asks to go on after event 3
+    Then forwarded send 1 resumes after event 3
     When forwarded send 1 streams events 4 to 5 and ends
-    Then the caller of the forwarded request has events 1 to 5 whole
+    Then the caller of the forwarded request has all events 1 to 5
 
   Scenario: A stream that may not be resumed breaks visibly
     Given a forwarded "stream" request
@@ -115,7 +115,7 @@
     Given a forwarded "resumable" request
     When forwarded send 0 streams events 1 to 2 and half of the next
     And 1.6 seconds of forwarding pass
-    Then forwarded send 1 asks to go on after event 2
+    Then forwarded send 1 resumes after event 2
 
   Scenario: The final answer at the deadline
     An upstream never answers a request that may run once.
@@ -136,7 +136,7 @@
     Given a forwarded "stream" request with stage work
     And its stage work is refused as "busy"
     Then the caller of the forwarded request gets 503
-    And it is told to come back after at least 0.7 seconds
+    And it gets retry advice of at least 0.7 seconds
     And 0 forwarded sends were made
 
   Scenario: Results that lapsed are made again
@@ -146,7 +146,7 @@
     When forwarded send 0 finds its results gone
     Then its stage work was done 2 times
     When forwarded send 1 streams events 1 to 2 and ends
-    Then the caller of the forwarded request has events 1 to 2 whole
+    Then the caller of the forwarded request has all events 1 to 2
     And all its stage results are released
 
   Scenario: A caller who leaves stops a stream
@@ -156,15 +156,15 @@
 
   Scenario: Repeats are counted over a sliding window and shared
     Nine hosts share the slack of a service. Each may use its part only.
-    Given a repeat budget of 9 hosts with a slack of 58 in 10 seconds
-    Then 3 repeats may be sent at once and no more
+    Given a retry budget of 9 hosts with a slack of 58 in 10 seconds
+    Then 3 retries may be sent at once and no more
     And after 10 seconds 3 more
 
   Scenario: The owner of a stage has the repeats of its service
     One host sends all pieces of a stage. With a ninth of the slack only, a
     crashed upstream would use it up with its first call.
-    Given a repeat budget of 9 hosts with a slack of 58 in 10 seconds
-    Then 17 repeats may be sent by one of 2 hosts
+    Given a retry budget of 9 hosts with a slack of 58 in 10 seconds
+    Then 17 retries may be sent by one of 2 hosts
 
   Scenario: Requests of one subject meet at one engine
     A long history is read once where its requests meet, and again at each
@@ -186,7 +186,7 @@
     request was sent on by the configuration of its arrival.
     Given a forwarded "once" request with stage work
     And its stage work never ends
-    When its <thing> is taken away
+    When its <thing> is removed
     And its stage work ends
     Then the caller of the forwarded request gets <status>
     And 0 forwarded sends were made
@@ -199,31 +199,31 @@
 
   Scenario: A key that is taken away between two attempts is not used again
     Given a forwarded "once" request
-    When its key is taken away
+    When its key is removed
     And forwarded send 0 is answered 503 and not run
     Then the caller of the forwarded request gets 401
     And 1 forwarded sends were made
 
   Scenario: A request that may have run is not refused for a key taken away
     Given a forwarded "idempotent" request
-    When its key is taken away
-    And forwarded send 0 is answered 500 whole
-    And forwarded send 1 is answered 200 whole
-    Then the caller of the forwarded request gets 200 whole
+    When its key is removed
+    And forwarded send 0 is answered 500 completely
+    And forwarded send 1 is answered 200 completely
+    Then the caller of the forwarded request gets a complete 200
 
   Scenario: A route that moves while the stages work leads to its new service
     Given a forwarded "once" request with stage work
     And its stage work never ends
     When its route is moved to the service "other"
     And its stage work ends
-    Then the request goes on to "10.0.1.0:1" for the team "team"
+    Then the request is sent to "10.0.1.0:1" for the team "team"
 
   Scenario: A key that another team gets meanwhile is sent on as that team's
     Given a forwarded "once" request with stage work
     And its stage work never ends
     When its key goes to the team "new"
     And its stage work ends
-    Then the request goes on to "10.0.0.0:1" for the team "new"
+    Then the request is sent to "10.0.0.0:1" for the team "new"
 
   Scenario: A host that loses the store meanwhile serves what it has taken
     Its proof was young enough when the request came; refused now, the work of
@@ -231,6 +231,6 @@
     Given a forwarded "once" request with stage work
     And its stage work never ends
     When its key goes to the team "new"
-    And its host can prove nothing any more
+    And its host can no longer verify its configuration
     And its stage work ends
-    Then the request goes on to "10.0.0.0:1" for the team "new"
+    Then the request is sent to "10.0.0.0:1" for the team "new"
--- a/features/forward_state.feature
+++ b/features/forward_state.feature
@@ -19,13 +19,13 @@
     another one. Changes of longer ago than the bound may be missing.
     Given a configuration reader that has read version 7
     Then its table is in use for 1.9 seconds
-    But not for 2.1 seconds, until a read is on its way without an answer
+    But not for 2.1 seconds, until a read is in flight without an answer
 
   Scenario: A host that has lost the store goes on by what it knows
     Given a configuration reader at a store that is silent for 0 seconds
     When 5 seconds of reading pass
     And the store falls silent, and 4.0 seconds of reading pass
-    Then its table was in use all the while
+    Then its table was in use throughout
 
   Scenario: A proof dates from before its read was sent
     An answer takes three seconds. What it says was true at some moment in
@@ -43,7 +43,7 @@
 
   Scenario: A configuration that can't be used leaves the last good one
     Given a configuration reader that has read version 7
-    When it reads a version 9 that is no configuration
+    When it reads a version 9 that is invalid
     Then version 7 is in force
     And its keys are trusted for 0 seconds
     And the reason is logged once
@@ -55,7 +55,7 @@
     Given a configuration reader at a store that is silent for 2.0 seconds
     When 2.9 seconds of reading pass
     Then its keys are trusted
-    And no more than 3 of its reads were under way at a time
+    And no more than 3 of its reads were in flight at a time
 
   Scenario: Reads of a sound store are paced
     Each call of the store is paid for.
@@ -65,13 +65,13 @@
 
   Scenario: Reading goes on when a part can't bear a new version
     Given a configuration reader that has read version 7
-    And a part that fails at each new version
+    And a listener that raises at each new version
     When it reads version 8 with a newer revision
     Then version 8 is in force
 
   Scenario: An upstream that leaves gets no new work
     Given a registry with the upstreams "a,b" of a service
-    When the registry says that "a" leaves
+    When the registry reports that "a" leaves
     Then the usable upstreams are "b"
 
   Scenario: Entries that lapsed while the store was away may come back
@@ -80,7 +80,7 @@
     Given a registry with the upstreams "a,b" of a service
     When the store fails, and 0.5 seconds later "a,b" are missing
     Then the usable upstreams are "a,b"
-    When the registry says that "a" is back
+    When the registry reports that "a" is back
     And 2.5 seconds of registry time pass
     Then the usable upstreams are "a"
 
@@ -98,7 +98,7 @@
   Scenario: A host's entry is written until the store has it
     Given a store that fails twice
     When a host registers there
-    Then its entry stands in the store
+    Then its entry is in the store
     And 2 failures to register are logged
 
   Scenario: Routes are matched by host and longest prefix, services by weight
@@ -109,14 +109,14 @@
 
   Scenario: A host that starts again under its name
     Its entry stands from before the crash; each call of the store is paid for.
-    Given a member whose own entry stands in the store
+    Given a member whose own entry is in the store
     When it registers
     Then it has written nothing
-    When its entry is taken back by a call that came late
-    Then its entry stands again
+    When its entry is deleted by a late call
+    Then its entry is restored
 
   Scenario: A host that leaves does not come back
-    Given a member whose own entry stands in the store
+    Given a member whose own entry is in the store
     When it registers
     And it leaves
     Then its entry is gone
@@ -128,6 +128,6 @@
 
   Scenario: An entry that another process of the same name wrote meanwhile
     Given a member without an entry in the store
-    When its last process writes an entry of another address
+    When its previous process writes an entry of another address
     And it registers
-    Then its entry stands again
+    Then its entry is restored
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -15,7 +15,7 @@
 
 
 @given(
-    'a registry whose upstream "a" says that it is cold for {seconds:g} seconds'
+    'a registry whose upstream "a" reports that it is cold for {seconds:g} seconds'
 )
 def given_cold(context, seconds):
     context.clock = Clock()
@@ -23,12 +23,12 @@
     context.registry.take('a', _entry(seconds))
 
 
-@when('"a" says that it is warm')
+@when('"a" reports that it is warm')
 def when_warm(context):
     context.registry.take('a', _entry(0.0))
 
 
-@when('"a" says that it is cold for {seconds:g} seconds, with no new start')
+@when('"a" reports that it is cold for {seconds:g} seconds without a restart')
 def when_cold_again(context, seconds):
     context.registry.take('a', _entry(seconds))
 
@@ -53,7 +53,7 @@
 
 
 @given(
-    'upstreams that bear {rate:d} requests a second while cold, "{names}" of'
+    'upstreams that accept {rate:d} requests a second while cold, "{names}" of'
     ' them cold'
 )
 def given_rate(context, rate, names):
@@ -63,20 +63,20 @@
         view.cold_until = 100.0
 
 
-@given('a host that shares them with no other')
+@given('a host that is the only one')
 def given_alone(context):
     context.story.core.cold = ColdShares('h', 'd')
     context.story.core.cold.take_hosts({})
 
 
-@when('{count:d} requests of one second are taken in')
+@when('{count:d} requests arrive within one second')
 def when_taken_in(context, count):
     for _ in range(count):
         context.story.start()
         context.story.clock.advance(1 / (count + 1))
 
 
-@then('of {count:d} requests of one second {sent:d} went to "{name}"')
+@then('of {count:d} requests within one second {sent:d} went to "{name}"')
 def then_of_them(context, count, sent, name):
     when_taken_in(context, count)
     address = context.story.registry.views[name].address
@@ -86,7 +86,7 @@
 
 
 @then(
-    'the last of them is refused as "{reason}" and told to come back in'
+    'the last of them is refused as "{reason}" with retry advice of'
     ' {least:g} to {most:g} seconds'
 )
 def then_last_refused(context, reason, least, most):
@@ -111,7 +111,7 @@
 
 @given(
     '{count:d} hosts in {domains:d} domains, and {upstreams:d} upstreams that'
-    ' bear {rate:d} requests a second'
+    ' accept {rate:d} requests a second'
 )
 def given_fleet(context, count, domains, upstreams, rate):
     context.rate = float(rate)
@@ -130,7 +130,7 @@
         context.senders[-1].shares.take_hosts(others)
 
 
-@given('either half of the hosts knows only itself')
+@given('each half of the hosts knows only its own members')
 def given_halves(context):
     names = list(context.domains)
     middle = len(names) // 2
@@ -143,7 +143,7 @@
             sender.shares.take_hosts(known)
 
 
-@when('every host sends each of them what it may for {seconds:d} seconds')
+@when('every host sends each of them all that its share allows for {seconds:d} seconds')
 def when_sent(context, seconds):
     context.arrivals = {}
     for step in range(round(seconds / _STEP)):
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -31,13 +31,13 @@
     context.story.registry.take(upstream.ident, leaving)
 
 
-@given('another request is under way at the upstream of forwarded send 0')
+@given('another request is in flight at the upstream of forwarded send 0')
 def given_busy(context):
     upstream = _upstream(context, 0)
     context.story.registry.views[upstream.ident].flying += 1
 
 
-@when('nobody listens any more at the upstream of forwarded send {place:d}')
+@when('the upstream of forwarded send {place:d} resets it and refuses connections')
 def when_ended(context, place):
     context.story.reaches = Reach.REFUSED
     _break(context, place)
@@ -48,7 +48,7 @@
     _break(context, 0)
 
 
-@when('the connection of forwarded send 0 breaks, and nothing answers there')
+@when('the connection of forwarded send 0 breaks, and a probe gets no answer')
 def when_unknown(context):
     context.story.reaches = Reach.UNKNOWN
     _break(context, 0)
@@ -74,18 +74,18 @@
     assert not _crashed(context), _crashed(context)
 
 
-@given('two fleets with keys of their own')
+@given('two fleets with different keys')
 def given_fleets(context):
     context.keys = (b'key-1', b'key-2')
 
 
-@then('the same request has another fingerprint in each')
+@then('the same request has a different fingerprint in each')
 def then_other(context):
     first, second = [fingerprint(key, b'a', b'b') for key in context.keys]
     assert first != second
 
 
-@then("another team's, another target's and another body's differ within one")
+@then("requests of another team, target or body differ within one")
 def then_differ(context):
     requests = (
         (b'team', b'POST', b'host', b'/a', b'body'),
--- a/features/steps/deciding_steps.py
+++ b/features/steps/deciding_steps.py
@@ -89,7 +89,7 @@
 
 
 @given(
-    'a stage queue over workers in "{domains}" that has room and made nothing'
+    'a stage queue over idle workers in "{domains}" with a low measured rate'
 )
 def given_idle_rate(context, domains):
     context.queue = Queue(*domains.split(','))
@@ -120,8 +120,8 @@
     context.client.made('a')
 
 
-@then('its step before is wanted in "{domains}"')
-@then('its last step is wanted in "{domains}"')
+@then('its previous step is preferred in "{domains}"')
+@then('its last step is preferred in "{domains}"')
 def then_wanted(context, domains):
     near = context.client.groups[-1].near
     assert near == tuple(domains.split(',')), near
@@ -162,7 +162,7 @@
 
 
 @then(
-    'a request whose subject is at home in "{home}" goes there in spite of'
+    'a request whose home engine is in "{home}" goes there despite'
     ' {size:d} MB in "{domain}"',
 )
 def then_goes_home(context, home, size, domain):
@@ -176,7 +176,7 @@
     assert _engine_for(context, prompt, inputs).domain == home
 
 
-@given('a "{kind}" request with stage work whose engine has a free place')
+@given('a "{kind}" request with stage work whose engine has a free slot')
 def given_staged(context, kind):
     context.story = Story(kind, staged=True)
     context.story.start()
@@ -240,7 +240,7 @@
         context.tokens.learn(SERVICE, _TOKENS, seconds)
 
 
-@when('one comes after {seconds:g} seconds')
+@when('one token arrives after {seconds:g} seconds')
 def when_one_comes(context, seconds):
     _learn(context, seconds, 1)
 
@@ -252,7 +252,7 @@
 
 
 @then(
-    'after {times:d} more that come after {seconds:g} seconds it is expected'
+    'after {times:d} more that arrive after {seconds:g} seconds it is expected'
     ' after {least:g} to {most:g}',
 )
 def then_expected_later(context, times, seconds, least, most):
@@ -261,13 +261,13 @@
 
 
 @given(
-    'a "{kind}" route with an aim of {aim:g} and pauses of {pause:g} seconds'
+    'a "{kind}" route with a target latency of {aim:g} and pauses of {pause:g} seconds'
 )
 def given_route(context, kind, aim, pause):
     context.route = route(kind, aim=aim, pause=pause)
 
 
-@then('with {usual:g} usual seconds its patience is {first} and {between}')
+@then('with {usual:g} expected seconds its silence limits are {first} and {between}')
 def then_patience(context, usual, first, between):
     patience = patience_of(context.route, usual)
     wanted = [None if one == 'none' else float(one) for one in (first, between)]
--- a/features/steps/drained_steps.py
+++ b/features/steps/drained_steps.py
@@ -33,12 +33,12 @@
     context.story.registry.drain(frozenset((domain,)))
 
 
-@when('the domain "{domain}" is taken back')
+@when('the drain of the domain "{domain}" ends')
 def when_taken_back(context, domain):
     context.story.registry.drain(frozenset())
 
 
-@when('the request is taken in')
+@when('the request arrives')
 def when_taken_in(context):
     context.story.start()
 
@@ -69,20 +69,20 @@
     assert later <= {_ADDRESSES[domain]}, later
 
 
-@then('it is refused as "{reason}" and told when to come back')
+@then('it is refused as "{reason}" with retry advice')
 def then_refused_as(context, reason):
     refusal = context.story.answer.refusal
     assert refusal.reason == reason, refusal
     assert refusal.retry_after > 0, refusal
 
 
-@given('a stage queue whose workers stand in "{domains}"')
+@given('a stage queue whose workers are in "{domains}"')
 def given_queue(context, domains):
     context.domains = domains.split(',')
     context.queue = Queue(*context.domains)
 
 
-@when('stage groups "{requests}" of {count:d} pieces come to it')
+@when('stage groups "{requests}" of {count:d} pieces are submitted to it')
 def when_groups(context, requests, count):
     for request in requests.split(','):
         context.queue.submit(group(request, count, size=10))
@@ -109,7 +109,7 @@
         assert context.queue.outcomes[request].handles, request
 
 
-@when('{count:d} further stage groups come and all calls are answered')
+@when('{count:d} further stage groups arrive and all calls are answered')
 def when_further(context, count):
     for number in range(count):
         context.queue.submit(group(f'later-{number}', 4, size=10))
@@ -149,7 +149,7 @@
 
 
 @when(
-    'the domain "{domain}" is taken back in the store and {seconds:g} seconds'
+    'the drain of the domain "{domain}" ends in the store and {seconds:g} seconds'
     ' pass'
 )
 def when_store_taken_back(context, domain, seconds):
@@ -167,7 +167,7 @@
     context.fleet.write(DRAINED, domain, {})
 
 
-@when('the domain "{domain}" is taken back while no watch hears of it')
+@when('the drain of the domain "{domain}" ends while no watch reports it')
 def when_taken_back_unheard(context, domain):
     fleet = context.fleet
     for host in fleet.hosts.values():
@@ -259,7 +259,7 @@
     turned_until(lambda: all(one.drained for one in found))
 
 
-@when('the domain of the fleet is taken back')
+@when('the drain of the domain of the fleet ends')
 def when_fleet_taken_back(context):
     result_of(context.fleet.store.delete(DRAINED, 'here'))
     found = _registries(context)
@@ -285,7 +285,7 @@
     assert found[0]['revision'] > 0, found
 
 
-@then('the measures of host "{name}" say that the domain is drained')
+@then('the metrics of host "{name}" show that the domain is drained')
 def then_measured(context, name):
     drained = context.fleet.daemons[name].parts.drained
     assert set(drained.ages()) == {'here'}
@@ -298,9 +298,9 @@
 pollenstile_under_way{domain="other"} 7
 """
 _STATES = {
-    'both obey': _MEASURES % ('hall', 0),
-    'one has not heard': _MEASURES % ('other', 0),
-    'one has some left': _MEASURES % ('hall', 3),
+    'both drained': _MEASURES % ('hall', 0),
+    'one has not drained': _MEASURES % ('other', 0),
+    'one is not empty': _MEASURES % ('hall', 3),
     'one does not answer': '',
 }
 
@@ -327,9 +327,9 @@
         return self.store.delete(*args)
 
 
-@given('a store and the measures of two hosts, of which {state}')
+@given('a store and the metrics of two hosts, of which {state}')
 def given_measures(context, state):
-    first = drain_of('a:1', 'hall', _STATES['both obey'])
+    first = drain_of('a:1', 'hall', _STATES['both drained'])
     second = HostDrain('b:1', answers=False)
     if _STATES[state]:
         second = drain_of('b:1', 'hall', _STATES[state])
--- a/features/steps/forward_state_steps.py
+++ b/features/steps/forward_state_steps.py
@@ -144,7 +144,7 @@
             context.unused.append(context.clock.seconds())
 
 
-@then('its table was in use all the while')
+@then('its table was in use throughout')
 def then_in_use(context):
     assert not context.unused, context.unused
     assert context.reading.age() > context.reading.apply_seconds
@@ -157,7 +157,7 @@
 
 
 @then(
-    'not for {seconds:g} seconds, until a read is on its way without an answer'
+    'not for {seconds:g} seconds, until a read is in flight without an answer'
 )
 def then_not_current(context, seconds):
     reader = context.reader.reader
@@ -174,7 +174,7 @@
     assert context.reading.is_proven()
 
 
-@then('no more than {count:d} of its reads were under way at a time')
+@then('no more than {count:d} of its reads were in flight at a time')
 def then_under_way(context, count):
     assert context.store.most <= count, context.store.most
 
@@ -184,7 +184,7 @@
     assert least <= context.store.reads <= most, context.store.reads
 
 
-@given('a part that fails at each new version')
+@given('a listener that raises at each new version')
 def given_broken(context):
     context.reader.reader.listeners.append(_broken)
 
@@ -195,7 +195,7 @@
     context.reader.read(version, version)
 
 
-@when('it reads a version {version:d} that is no configuration')
+@when('it reads a version {version:d} that is invalid')
 def when_bad(context, version):
     context.reader.now += 10
     found = Found('config', 'main', version, 'nonsense')
@@ -263,12 +263,12 @@
     return Upstream(name, SERVICE, address, 'd', leaving=leaving)
 
 
-@when('the registry says that "{name}" leaves')
+@when('the registry reports that "{name}" leaves')
 def when_leaves(context, name):
     context.registry.take(name, _upstream(name, leaving=True))
 
 
-@when('the registry says that "{name}" is back')
+@when('the registry reports that "{name}" is back')
 def when_back(context, name):
     context.registry.take(name, _upstream(name))
 
@@ -347,7 +347,7 @@
         members.clock.advance(0.1)
 
 
-@then('its entry stands in the store')
+@then('its entry is in the store')
 def then_stands(context):
     assert context.store.entries[HOSTS, 'one']['address'] == '10.0.0.1:7'
 
@@ -392,7 +392,7 @@
     Deferred.fromCoroutine(coroutine)
 
 
-@given('a member whose own entry stands in the store')
+@given('a member whose own entry is in the store')
 def given_standing(context):
     context.store = MemoryStore(Clock())
     context.member = _members(context.store, 'one')
@@ -420,12 +420,12 @@
     _done(context.member.register())
 
 
-@when('its last process writes an entry of another address')
+@when('its previous process writes an entry of another address')
 def when_last_process(context):
     _done(context.store.put(HOSTS, 'one', {'address': '10.0.0.9:7'}))
 
 
-@when('its entry is taken back by a call that came late')
+@when('its entry is deleted by a late call')
 def when_taken_back(context):
     _done(context.store.delete(HOSTS, 'one'))
     _tell_member(context)
@@ -447,7 +447,7 @@
     assert context.store.calls['put'] == count, context.store.calls
 
 
-@then('its entry stands again')
+@then('its entry is restored')
 def then_member_stands(context):
     found = context.store.objects.found(HOSTS, 'one')
     assert found.value['address'] == '10.0.0.1:7', found
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -53,13 +53,13 @@
     context.story.start()
 
 
-@given('no forwarded repeats are left')
+@given('no forwarded retries are left')
 def given_no_repeats(context):
     remaining = int(context.story.budget.remaining(SERVICE))
     assert context.story.budget.spend(SERVICE, remaining)
 
 
-@when('its {thing} is taken away')
+@when('its {thing} is removed')
 def when_taken_away(context, thing):
     changes = {'key': {'keys': {}}, 'route': {'by_host': {}}}
     context.story.change(**changes[thing])
@@ -79,7 +79,7 @@
     story.change(by_host={'host': (moved,)})
 
 
-@when('its host can prove nothing any more')
+@when('its host can no longer verify its configuration')
 def when_host_lost(context):
     context.story.core.configuration.proven = False
 
@@ -89,7 +89,7 @@
     context.story.stages.finish()
 
 
-@then('the request goes on to "{address}" for the team "{team}"')
+@then('the request is sent to "{address}" for the team "{team}"')
 def then_goes_to(context, address, team):
     assert len(context.story.calls) == 1
     call = context.story.calls[0]
@@ -115,21 +115,21 @@
         place += 1
 
 
-@when('forwarded send {place:d} is answered {code:d} whole')
+@when('forwarded send {place:d} is answered {code:d} completely')
 def when_whole(context, place, code):
     call = context.story.calls[place]
     call.answer(code)
     call.body(_BODY)
 
 
-@when('forwarded send {place:d} is answered {code:d} torn')
+@when('forwarded send {place:d} is answered {code:d} incompletely')
 def when_torn(context, place, code):
     call = context.story.calls[place]
     call.answer(code)
     call.body(_BODY[:3], whole=False)
 
 
-@when('forwarded send {place:d} is answered {code:d} without proof')
+@when('forwarded send {place:d} is answered {code:d} without a stamp')
 def when_unproven(context, place, code):
     context.story.calls[place].answer(code, stamp='')
 
@@ -186,7 +186,7 @@
     assert answer.end == 'refused', answer.end
 
 
-@then('the caller of the forwarded request gets {code:d} whole')
+@then('the caller of the forwarded request gets a complete {code:d}')
 def then_gets_whole(context, code):
     answer = context.story.answer
     assert answer.status == code, (answer.status, answer.refusal)
@@ -199,12 +199,12 @@
     assert len(context.story.calls) == count, len(context.story.calls)
 
 
-@then('it is told when to come back')
+@then('it gets retry advice')
 def then_come_back(context):
     assert context.story.answer.refusal.retry_after > 0
 
 
-@then('it is told to come back after at least {seconds:g} seconds')
+@then('it gets retry advice of at least {seconds:g} seconds')
 def then_come_back_after(context, seconds):
     assert context.story.answer.refusal.retry_after >= seconds
 
@@ -222,7 +222,7 @@
     assert address not in {view.address for view in views}
 
 
-@then('forwarded send {place:d} asks to go on after event {number:d}')
+@then('forwarded send {place:d} resumes after event {number:d}')
 def then_goes_on(context, place, number):
     headers = context.story.calls[place].headers
     assert headers[NAMES.last_event] == b'%d' % number, headers
@@ -230,7 +230,7 @@
 
 
 @then(
-    'the caller of the forwarded request has events {first:d} to {last:d} whole'
+    'the caller of the forwarded request has all events {first:d} to {last:d}'
 )
 def then_events(context, first, last):
     answer = context.story.answer
@@ -269,7 +269,7 @@
 
 
 @given(
-    'a repeat budget of {hosts:d} hosts with a slack of {slack:d} in 10 seconds'
+    'a retry budget of {hosts:d} hosts with a slack of {slack:d} in 10 seconds'
 )
 def given_budget(context, hosts, slack):
     context.clock = Clock()
@@ -277,7 +277,7 @@
     context.budget.hosts = hosts
 
 
-@then('{count:d} repeats may be sent at once and no more')
+@then('{count:d} retries may be sent at once and no more')
 def then_repeats(context, count):
     sent = 0
     while context.budget.spend(SERVICE):
@@ -285,7 +285,7 @@
     assert sent == count, sent
 
 
-@then('{count:d} repeats may be sent by one of {sharers:d} hosts')
+@then('{count:d} retries may be sent by one of {sharers:d} hosts')
 def then_shared(context, count, sharers):
     sent = 0
     while context.budget.spend(SERVICE, sharers=sharers):
--- a/features/steps/incarnations_steps.py
+++ b/features/steps/incarnations_steps.py
@@ -93,7 +93,7 @@
     return Upstream(name, SERVICE, '10.0.0.1:1', 'd', 6, leaving, born)
 
 
-@given('a registry with an upstream "{name}" born at {born:d}')
+@given('a registry with an upstream "{name}" started at {born:d}')
 def given_registry(context, name, born):
     context.registry = Registry(Clock())
     context.registry.take(name, _upstream(name, born))
@@ -107,38 +107,38 @@
     learn_load(context.view, '6,9,6', 0.0)
 
 
-@given('a request under way at it')
+@given('a request in flight there')
 def given_under_way(context):
     context.view.flying += 1
 
 
-@when('the entry of "{name}" says that it was born at {born:d}')
+@when('the entry of "{name}" reports that it started at {born:d}')
 def when_born(context, name, born):
     context.registry.take(name, _upstream(name, born))
 
 
-@when('the entry of "{name}" says that it was born at {born:d} and leaves')
+@when('the entry of "{name}" reports that it started at {born:d} and leaves')
 def when_born_leaving(context, name, born):
     context.registry.take(name, _upstream(name, born, leaving=True))
 
 
-@when('the request under way ends')
+@when('the request in flight ends')
 def when_ends(context):
     context.view.flying -= 1
 
 
-@when('the request under way finds another incarnation')
+@when('the request in flight finds another incarnation')
 def when_misdirected(context):
     context.registry.drop(context.view.ident, context.view.born)
 
 
-@when('another writer puts a list in the place of "{name}"')
+@when('another writer replaces "{name}" by a list')
 def when_spoiled(context, name):
     context.registry.take(name, decode_upstream(name, ['x']))
 
 
 @then(
-    '"{name}" is known with no failures, no load and no requests under way',
+    '"{name}" is known with no failures, no load and no requests in flight',
 )
 def then_fresh(context, name):
     view = context.registry.usable(SERVICE)[0]
@@ -146,7 +146,7 @@
     assert seen == (name, 0, 0, 0, 0), seen
 
 
-@then('the usable upstream "{name}" was born at {born:d}')
+@then('the usable upstream "{name}" started at {born:d}')
 def then_born(context, name, born):
     view = context.registry.usable(SERVICE)[0]
     assert (view.ident, view.born) == (name, born), view
@@ -157,7 +157,7 @@
     assert not context.registry.usable(SERVICE)
 
 
-@given('a stage queue whose worker was born at {born:d} and has no room left')
+@given('a stage queue whose worker started at {born:d} and has no free result memory')
 def given_full_worker(context, born):
     context.queue = Queue('a')
     context.queue.owner.configure(LIMITS, [_worker(born)])
@@ -165,7 +165,7 @@
     context.queue.answer(0)
 
 
-@when('that worker is born again at {born:d}')
+@when('that worker restarts at {born:d}')
 def when_worker_born(context, born):
     context.queue.owner.configure(LIMITS, [_worker(born)])
 
@@ -181,14 +181,14 @@
 
 
 @given(
-    'a watch of the registry that hears of two upstreams and one with {fault}',
+    'a watch of the registry that reports two upstreams and one with {fault}',
 )
 def given_events(context, fault):
     context.lines = []
     context.values = _watched(events_with([FOREIGN[fault]]), context.lines)
 
 
-@then('its two upstreams are known, and one line says what was left out')
+@then('its two upstreams are known, and one log line names what was skipped')
 def then_two_known(context):
     assert sorted(_upstreams(context.values)) == list(SOUND), context.values
     # What can't be read at all is logged where it is read, the rest by the
@@ -197,7 +197,7 @@
     assert len(context.lines) + len(foreign) == 1, (context.lines, foreign)
 
 
-@then('whatever stands beside two sound entries, these two are known')
+@then('with any value beside two valid entries, these two are known')
 def then_neighbours(context):
     @settings(max_examples=_EXAMPLES, deadline=None, derandomize=True)
     @for_all(_VALUES)
@@ -208,7 +208,7 @@
     holds()
 
 
-@then('whatever is put for a field, the entry names a whole upstream or none')
+@then('with any value in a field, the entry is a complete upstream or none')
 def then_whole_or_none(context):
     @settings(max_examples=_EXAMPLES, deadline=None, derandomize=True)
     @for_all(strategies.sampled_from(sorted(ENTRY)), _VALUES)
