--- a/features/builders/forward.py
+++ b/features/builders/forward.py
@@ -1,4 +1,4 @@
-"""Builders of forwarded requests over scripted upstreams in virtual time."""
+"""Builders of forwarded requests to scripted upstreams in virtual time."""
 
 from dataclasses import replace
 from random import Random
@@ -45,7 +45,7 @@
 
 
 def route(kind, attempts=2, timeout=3.0, steps=(), aim=1.0, pause=0.0):
-    """Return a route of a kind: a key of the table above."""
+    """Return a route of a kind, which is a key of ``_KINDS``."""
     sort, resumable = _KINDS[kind]
     return Route(
         kind,
@@ -63,14 +63,14 @@
 
 
 class ScriptedCall(HeldCall):
-    """One send, answered by the test."""
+    """A send that the test answers."""
 
     def __init__(self, address, headers):
         super().__init__(address, headers)
         self.sent = True
 
     def answer(self, code=200, ident=IDENT, stamp='proof', **extra):
-        """Answer with a head; ``extra`` headers by field of the names."""
+        """Answer with a head; ``extra`` maps fields of ``HeaderNames``."""
         headers = {}
         if ident:
             headers[NAMES.attempt] = [ident]
@@ -84,13 +84,13 @@
         """Send bytes and end the body."""
         if data:
             self.on_data(data)
-        # As the client does with a connection whose body has ended.
+        # The client also does this when the body has ended.
         self.cancelled = True
         self.on_end(BodyEnd.WHOLE if whole else BodyEnd.BROKEN)
 
 
 class ScriptedStages:
-    """Stage work that is done at once, or refused with a reason."""
+    """Stage work that completes at once, or is refused with a reason."""
 
     def __init__(self):
         self.refusal = ''
@@ -100,11 +100,11 @@
         self.cancelled = []
 
     def seconds(self, service, count):
-        """Return no time."""
+        """Return a short time."""
         return 0.1
 
     def submit(self, group, on_read):
-        """Return what became of a group."""
+        """Return a Deferred of the outcome of a group."""
         waiter = Deferred()
         if self.refusal == 'never':
             self.waiting = (group, waiter)
@@ -116,7 +116,7 @@
         return waiter
 
     def finish(self):
-        """End the stage work that never ended."""
+        """Complete the pending stage work."""
         self._make(*self.waiting)
 
     def _make(self, group, waiter):
@@ -125,52 +125,52 @@
         waiter.callback(('h', GroupDone((handle,) * group.count)))
 
     def refreshed(self, services):
-        """Ask no owner."""
+        """Succeed without a request to an owner."""
         return succeed(None)
 
     def limits_of(self, service):
-        """Return the usual limits."""
+        """Return the default limits."""
         return StageLimits()
 
     def cancel(self, service, plan):
-        """Note that pieces are useless."""
+        """Record a cancelled service."""
         self.cancelled.append(service)
 
     def release(self, host, service, handles):
-        """Note results that were released."""
+        """Record released results."""
         self.released.extend(handles)
 
     def is_crowded(self, service):
-        """Return that no queue is long."""
+        """Return False: no queue is long."""
         return False
 
     def domains_with(self, service):
-        """Return no domain."""
+        """Return no domains."""
         return ()
 
     def domain_of(self, handles):
-        """Return no domain."""
+        """Return an unknown domain."""
         return ''
 
 
 class _Configuration:
-    """A route table and its proof, which the test replaces."""
+    """A route table and its verification state, both set by the test."""
 
     def __init__(self, table):
         self.table = table
         self.proven = True
 
     def is_current(self):
-        """Return what the test says."""
+        """Return whether the table may be used."""
         return self.proven
 
     def is_proven(self):
-        """Return what the test says."""
+        """Return whether the table is verified."""
         return self.proven
 
 
 class Story:
-    """One request through a host whose upstreams the test plays."""
+    """One request through a host whose upstreams are scripted by the test."""
 
     def __init__(
         self,
@@ -187,11 +187,11 @@
         self.reaches = Reach.ACCEPTED
         self.logged = []
         self.registry = Registry(self.clock)
-        for place in range(upstreams):
+        for index in range(upstreams):
             self.registry.take(
-                f'i{place}',
+                f'i{index}',
                 Upstream(
-                    f'i{place}', SERVICE, f'10.0.0.{place}:1', domains[place]
+                    f'i{index}', SERVICE, f'10.0.0.{index}:1', domains[index]
                 ),
             )
         self.stages = ScriptedStages()
@@ -222,18 +222,18 @@
         self.work = None
 
     def send(self, address, method, target, headers, body):
-        """Be the client: note a send."""
+        """Stand in for the client: record a send."""
         call = ScriptedCall(address, headers)
         self.calls.append(call)
         return call
 
     def reach(self, address):
-        """Be the client: open a connection, as the test says."""
+        """Stand in for the client: return the scripted probe result."""
         self.reached.append(address)
         return succeed(self.reaches)
 
     def start(self, deadline=3.0):
-        """Take the request in."""
+        """Start to serve the request."""
         now = self.clock.seconds()
         exchange = Exchange(
             IDENT,
@@ -256,7 +256,7 @@
         self.work = serve(self.core, exchange, self.answer)
 
     def change(self, **fields):
-        """Put a newer table in force, with some fields of its own."""
+        """Put a newer table with some changed fields in force."""
         newer = replace(self.table, version=self.table.version + 1, **fields)
         self.core.configuration.table = newer
 
@@ -265,7 +265,7 @@
         return [fields for name, fields in self.logged if name == event]
 
     def leave(self):
-        """Let the caller close its connection."""
+        """Close the caller's connection."""
         self.answer.gone = True
         self.work.cancel()
 
--- a/features/builders/registry.py
+++ b/features/builders/registry.py
@@ -1,4 +1,4 @@
-"""Builders of the registry's entries, sound and foreign, on the wire."""
+"""Builders of registry entries on the wire, valid and invalid."""
 
 import json
 
@@ -14,21 +14,23 @@
     'seq': 4,
 }
 SOUND = ('i-1', 'i-2')
-# Marks in a page that become bytes that JSON can't be written with.
+# Placeholders in a page for bytes that ``json.dumps`` can't produce.
 _BYTE = '<byte>'
 _SURROGATE = '<surrogate>'
-# A backslash, and the first half of a pair.
+# A backslash and the escape of the first half of a surrogate pair.
 _HALF_PAIR = bytes((0x5C, *b'ud800'))
 
 
 def entry(**fields):
-    """Return an entry; a field that is None is left out."""
+    """Return an entry; fields that are None are left out."""
     document = {**ENTRY, **fields}
-    return {name: one for name, one in document.items() if one is not None}
+    return {
+        name: value for name, value in document.items() if value is not None
+    }
 
 
 def wire_object(name, spec):
-    """Return an object of the store as it stands on the wire."""
+    """Return an object of the store in its wire format."""
     return {'metadata': {'name': name, 'revision': 7}, 'spec': spec}
 
 
@@ -53,16 +55,16 @@
 
 
 def page_with(rows):
-    """Return the bytes of a list: the first sound entry, rows, the second."""
+    """Return an encoded list: a valid entry, the rows, another valid entry."""
     first, second = (wire_object(name, entry()) for name in SOUND)
     return _encoded({'items': [first, *rows, second], 'current_rev': 9})
 
 
 def events_with(rows):
-    """Return the bytes of a watch's answer, with the same in a row."""
+    """Return an encoded answer to a watch with the same objects as events."""
     first, second = (wire_object(name, entry()) for name in SOUND)
     events = [
-        {'object': one, 'tombstone': False} for one in (first, *rows, second)
+        {'object': item, 'tombstone': False} for item in (first, *rows, second)
     ]
     return _encoded({'events': events, 'current_rev': 9})
 
--- a/features/crashes.feature
+++ b/features/crashes.feature
@@ -1,39 +1,39 @@
-Feature: crashes: which upstreams have ended, and what they were running
+Feature: detection of crashed upstreams and of the requests that they ran
 
-  Scenario: The upstreams that ended under a request can be told from its line
-    Lines named the attempt, which is new each time that a request comes again.
+  Scenario: The log line of a crash names the request that was running
+    Lines named the attempt, which differs each time that a caller retries.
     Given a forwarded "resumable" request
     When the upstream of forwarded send 0 resets it and refuses connections
     Then the upstream of forwarded send 0 is logged as crashed under the request
 
-  Scenario: A reset alone is no crash
-    Connections are reset by what lies between, and answers are spoilt.
+  Scenario: A reset alone is not a crash
+    The network resets connections, and answers are corrupted on the way.
     Given a forwarded "resumable" request
     When the connection of forwarded send 0 breaks
     Then no upstream is logged as crashed
 
-  Scenario: An upstream that leaves may end
-    A release ends one upstream after the other, with what is still under way.
+  Scenario: The end of a leaving upstream is not a crash
+    A rollout ends one upstream after the other, with requests still in flight.
     Given a forwarded "resumable" request
     And the upstream of forwarded send 0 leaves
     When the upstream of forwarded send 0 resets it and refuses connections
     Then no upstream is logged as crashed
 
-  Scenario: An upstream that goes on with other requests has not ended
-    A full one refuses connections, and what it has goes on.
+  Scenario: An upstream that continues with other requests has not crashed
+    A full upstream refuses connections and continues with accepted requests.
     Given a forwarded "resumable" request
     And another request is in flight at the upstream of forwarded send 0
     When the upstream of forwarded send 0 resets it and refuses connections
     And 0.3 seconds pass for the forwarded request
     Then no upstream is logged as crashed
 
-  Scenario: A cut-off upstream is not taken for one that ended
+  Scenario: An unreachable upstream does not count as crashed
     Given a forwarded "resumable" request
     When the connection of forwarded send 0 breaks, and a probe gets no answer
     Then no upstream is logged as crashed
 
-  Scenario: A fingerprint tells nobody what was asked
-    Of a request's body and key nothing may stand in logs or go between hosts.
+  Scenario: A fingerprint does not reveal the request
+    No part of a request's body or key may be logged or sent between hosts.
     Given two fleets with different keys
     Then the same request has a different fingerprint in each
     And requests of another team, target or body differ within one
--- a/features/drained.feature
+++ b/features/drained.feature
@@ -1,8 +1,8 @@
-Feature: a failure domain is drained: its upstreams get nothing new
+Feature: drained failure domains: their upstreams get no new requests
 
-  Scenario Outline: A <kind> request goes to no upstream of a drained domain
-    An operator empties a hall before work on its power. Callers whose requests
-    are sent there all the same lose them when the power goes.
+  Scenario Outline: A <kind> request is not sent to a drained domain
+    An operator drains a hall before work on its power supply. Requests that
+    were still sent there would be lost when the power is cut.
     Given upstreams in "a,b,b" and a forwarded "<kind>" request
     When the domain "b" is drained
     And the request arrives
@@ -15,16 +15,16 @@
       | stream     |
       | resumable  |
 
-  Scenario: A second try goes to no upstream of a drained domain
-    A lookup is under way as the domain is drained, and is lost. Sent once more,
-    it must not go where nothing new may go.
+  Scenario: A retry is not sent to a drained domain
+    A lookup is in flight when the domain is drained, and is lost. Its retry
+    counts as a new request.
     Given upstreams in "a,b,b" and a forwarded "idempotent" request
     When the request arrives
     And the domain "b" is drained
     And forwarded send 0 is lost
     Then every later forwarded send went to "a"
 
-  Scenario: A stream that breaks goes on in no drained domain
+  Scenario: A broken stream is not resumed in a drained domain
     Given upstreams in "a,b,b" and a forwarded "resumable" request
     When the request arrives
     And forwarded send 0 begins a stream with events 1 to 3
@@ -33,8 +33,8 @@
     Then every later forwarded send went to "a"
 
   Scenario: All domains of a service are drained
-    Nothing is left to serve the request. Its caller is told the truth at once,
-    with the time to come back.
+    No upstream can serve the request. The caller is refused at once, with
+    retry advice.
     Given upstreams in "b,b,b" and a forwarded "once" request
     When the domain "b" is drained
     And the request arrives
@@ -42,16 +42,16 @@
     And it is refused as "drained" with retry advice
     And 0 forwarded sends were made
 
-  Scenario: A domain that is taken back gets work again
+  Scenario: A domain gets work again after the end of its drain
     Given upstreams in "b,b,b" and a forwarded "once" request
     When the domain "b" is drained
     And the drain of the domain "b" ends
     And the request arrives
     Then 1 forwarded sends were made
 
-  Scenario: Stage pieces that wait go to workers of other domains
-    A call of the drained domain is under way. It ends whole and its results are
-    used; what waits in the queue is made elsewhere.
+  Scenario: Waiting stage pieces go to workers of other domains
+    A call to the drained domain is in flight. It completes and its results are
+    used; the pieces that wait in the queue are made in other domains.
     Given a stage queue whose workers are in "a,b"
     When stage groups "x,y" of 8 pieces are submitted to it
     And the stage workers of "b" are drained
@@ -60,7 +60,7 @@
     When 6 further stage groups arrive and all calls are answered
     Then no later stage call went to "b"
 
-  Scenario: Every host hears of a drain from its reader
+  Scenario: Every host learns of a drain from its reader
     Given hosts "r,s,t,u" that watch drained domains
     When the domain "hall" is drained in the store and 0.2 seconds pass
     Then "r,s,t,u" have drained "hall"
@@ -68,9 +68,9 @@
     When the drain of the domain "hall" ends in the store and 0.2 seconds pass
     Then "r,s,t,u" have drained ""
 
-  Scenario Outline: A domain is drained as the reader <fault>
-    Followers that went on believing it would send to the domain until their
-    next list. They must know within the bound of five seconds.
+  Scenario Outline: A domain is drained when the reader <fault>
+    Followers that kept relying on the reader would send to the domain until
+    their next list. They must learn of the drain within five seconds.
     Given hosts "r,s,t,u" that watch drained domains
     When the reader <fault>, and "hall" is drained 0.05 seconds later
     And 3.5 seconds of relaying pass
@@ -82,8 +82,8 @@
       | freezes         |
       | is gone         |
 
-  Scenario: The store forgets its history while a domain is taken back
-    Nobody hears of the deletion by a watch. Believed for good, a quarter of the
+  Scenario: The store compacts its history when the drain of a domain ends
+    No watch reports the deletion. If hosts kept the drain, a quarter of the
     upstreams would stay without work.
     Given hosts "r,s,t,u" that watch drained domains
     When the domain "hall" is drained in the store and 0.2 seconds pass
@@ -92,32 +92,32 @@
     Then "r,s,t,u" have drained ""
 
   Scenario: The store refuses all calls for ten seconds
-    Each host tried each kind three times a second, and each call is paid for.
-    The reads of the configuration, two a second, tell soon enough that it is back.
+    Each host retried each kind three times a second, and each call is billed.
+    The reads of the configuration, two a second, detect its return soon enough.
     Given hosts "r,s,t,u" that watch drained domains
     When all of them lose the store and 10 seconds of relaying pass
     Then none of them has called the store more than 30 times meanwhile
     When they reach the store and "hall" is drained and 1.5 seconds pass
     Then "r,s,t,u" have drained "hall"
 
-  Scenario: A host that can't read its configuration hears of drains all the same
+  Scenario: A host that can't read its configuration still learns of drains
     Only its reads of the configuration fail. Its watches, which wait for these
-    while the store is away, must not wait for good.
+    reads while the store is unavailable, must not wait forever.
     Given hosts "r,s,t,u" that watch drained domains
     When the reads of the configuration of "r" count as failing
     And the domain "hall" is drained in the store and 7.0 seconds pass
     Then "r" have drained "hall"
 
-  Scenario: A host that starts hears of a drain without a call of the store
-    60 hosts are restarted in turn. A list each would be a call of the store for
-    each start, and all of them at once after a loss of power.
+  Scenario: A starting host learns of a drain without a call to the store
+    60 hosts are restarted in turn. If each listed the drains, every start would
+    cost a call to the store, all of them at once after a power failure.
     Given hosts "r,s,t,u" that watch drained domains
     When the domain "hall" is drained in the store and 0.2 seconds pass
     And the host "v" starts and 2.0 seconds of relaying pass
     Then "v" have drained "hall"
     And "v" listed the drained domains 0 times
 
-  Scenario: A whole host obeys, and says so
+  Scenario: A complete host applies a drain, logs it and exports it as a metric
     Given a forwarding fleet of the hosts "one"
     When the domain of the fleet is drained
     Then host "one" answers a draft with 503
@@ -126,7 +126,7 @@
     When the drain of the domain of the fleet ends
     Then host "one" goes on serving drafts
 
-  Scenario Outline: Operators drain a domain and see whether it is empty
+  Scenario Outline: The drain command drains a domain and shows whether it is empty
     Given a store and the metrics of two hosts, of which <state>
     Then the drain command writes the entry, and ends it, each once
     And the drain command shows "<line>" with exit code <code>
--- a/features/incarnations.feature
+++ b/features/incarnations.feature
@@ -1,18 +1,18 @@
-Feature: upstreams that start again under their identifier, and foreign entries
+Feature: upstreams that restart under their identifier, and invalid entries
 
-  Scenario: An upstream that started again is not blamed for its last life
-    A model engine that failed half its requests crashes, and starts again
-    under its identifier. Callers keep being sent past it, to siblings that are
-    full, for as long as the failures of before count.
+  Scenario: Statistics of the last incarnation do not apply to a restarted upstream
+    A model engine that failed half its requests crashes, and restarts under its
+    identifier. While the earlier failures count, requests avoid it and go to
+    other engines that are full.
     Given a registry with an upstream "a" started at 1000
     And its requests fail until it counts as sick
     When the entry of "a" reports that it started at 2000
     Then "a" is known with no failures, no load and no requests in flight
 
-  Scenario: What the last incarnation still has under way does not count
-    Requests that were sent before the crash end after the new start. Taken
-    from the new incarnation's, its load would fall below zero, and it would
-    draw more requests than its siblings.
+  Scenario: Requests in flight at the last incarnation do not count
+    Requests that were sent before the crash end after the restart. If they were
+    subtracted from the load of the new incarnation, its load would fall below
+    zero, and it would attract more requests than the other upstreams.
     Given a registry with an upstream "a" started at 1000
     And a request in flight there
     When the entry of "a" reports that it started at 2000
@@ -20,33 +20,34 @@
     When the request in flight ends
     Then "a" is known with no failures, no load and no requests in flight
 
-  Scenario: A late word of the last incarnation changes nothing
-    A write of the last incarnation reaches the store after the first of the
-    new one. Believed, hosts would forget an upstream that just came.
+  Scenario: A late entry of the last incarnation is ignored
+    A write of the last incarnation reaches the store after the first one of the
+    new incarnation. If it were applied, hosts would drop an upstream that has
+    just started.
     Given a registry with an upstream "a" started at 2000
     When the entry of "a" reports that it started at 1000 and leaves
     Then the usable upstream "a" started at 2000
 
-  Scenario: A request that found the last incarnation gone leaves the new one
-    A send that was meant for the incarnation before is answered by another
-    upstream at that address, while the entry of the new one has come.
+  Scenario: A misdirected request of the last incarnation keeps the new one
+    A request to the previous incarnation is answered by another upstream at
+    that address, after the entry of the new incarnation has arrived.
     Given a registry with an upstream "a" started at 1000
     And a request in flight there
     When the entry of "a" reports that it started at 2000
     And the request in flight finds another incarnation
     Then the usable upstream "a" started at 2000
 
-  Scenario: A stage worker that started again holds no results
-    Its room is all free. Counted as full by what it held before the crash, a
-    third of a stage's room stays unused until those results would lapse.
+  Scenario: A restarted stage worker holds no results
+    Its result memory is free. If results from before the crash still counted, a
+    third of a stage's result memory would stay unused until they expire.
     Given a stage queue whose worker started at 1000 and has no free result memory
     When that worker restarts at 2000
     And stage groups "y" of 6 pieces and 100 bytes come
     Then stage call 1 holds 6 pieces
 
-  Scenario Outline: An entry with <fault> names no upstream, and the others hold
-    Another program writes to the same kind of objects. Decoded as one, a page
-    with its entry was no page at all, and hosts knew no upstream.
+  Scenario Outline: An entry with <fault> is skipped, and the others are kept
+    Another program writes objects of the same kind. When a page was decoded as
+    one unit, one such entry made the page invalid, and hosts knew no upstream.
     Given a page of the registry with two upstreams and one with <fault>
     Then its two upstreams are known, and one log line names what was skipped
 
@@ -69,7 +70,7 @@
       | a number that is NaN       |
       | an infinite number         |
 
-  Scenario Outline: A change by another writer does not end a watch: <fault>
+  Scenario Outline: An invalid change by another writer does not end a watch: <fault>
     Given a watch of the registry that reports two upstreams and one with <fault>
     Then its two upstreams are known, and one log line names what was skipped
 
@@ -80,11 +81,11 @@
       | no name                     |
       | half a surrogate pair       |
 
-  Scenario: An entry that another writer spoils names no upstream any more
+  Scenario: An entry that another writer makes invalid removes its upstream
     Given a registry with an upstream "a" started at 1000
     When another writer replaces "a" by a list
     Then no upstream is usable
 
-  Scenario: No input raises, drops a sound neighbour or passes as an upstream
+  Scenario: No input raises, drops a valid neighbour or is accepted as an upstream
     Then with any value beside two valid entries, these two are known
     And with any value in a field, the entry is a complete upstream or none
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -1,4 +1,4 @@
-"""Steps of upstreams that are cold."""
+"""Steps for cold upstreams."""
 
 from behave import given, then, when
 from twisted.internet.task import Clock
@@ -102,7 +102,7 @@
 
 
 class _Sender:
-    """A host that sends cold upstreams all that it may."""
+    """A host that sends as much to cold upstreams as its shares allow."""
 
     def __init__(self, name, domain, views):
         self.shares = ColdShares(name, domain)
@@ -143,7 +143,9 @@
             sender.shares.take_hosts(known)
 
 
-@when('every host sends each of them all that its share allows for {seconds:d} seconds')
+@when(
+    'every host sends each of them all that its share allows for {seconds:d} seconds'
+)
 def when_sent(context, seconds):
     context.arrivals = {}
     for step in range(round(seconds / _STEP)):
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -1,4 +1,4 @@
-"""Steps of upstreams that end, and of what they were running."""
+"""Steps for crashed upstreams and the requests that they ran."""
 
 from dataclasses import replace
 
@@ -9,10 +9,12 @@
 
 
 def _upstream(context, place):
-    """Return the registry's entry of where a send went."""
+    """Return the registry's entry of the upstream of a send."""
     address = context.story.calls[place].address
     upstreams = context.story.registry.upstreams.values()
-    return next(one for one in upstreams if one.address == address)
+    return next(
+        upstream for upstream in upstreams if upstream.address == address
+    )
 
 
 def _crashed(context):
@@ -37,7 +39,9 @@
     context.story.registry.views[upstream.ident].flying += 1
 
 
-@when('the upstream of forwarded send {place:d} resets it and refuses connections')
+@when(
+    'the upstream of forwarded send {place:d} resets it and refuses connections'
+)
 def when_ended(context, place):
     context.story.reaches = Reach.REFUSED
     _break(context, place)
@@ -85,7 +89,7 @@
     assert first != second
 
 
-@then("requests of another team, target or body differ within one")
+@then('requests of another team, target or body differ within one')
 def then_differ(context):
     requests = (
         (b'team', b'POST', b'host', b'/a', b'body'),
--- a/features/steps/deciding_steps.py
+++ b/features/steps/deciding_steps.py
@@ -1,4 +1,4 @@
-"""Steps of decisions that follow what a host observes."""
+"""Steps for decisions from a host's observations."""
 
 from random import Random
 
@@ -28,7 +28,7 @@
 )
 
 _MEGABYTE = 1_000_000
-# Seconds a token of an engine that reads 55,000 a second.
+# Seconds per token of an engine that reads 55,000 tokens a second.
 _TOKEN_SECONDS = 1 / 55000
 _LINK = 1.25e9
 _TOKENS = 2000
@@ -93,7 +93,7 @@
 )
 def given_idle_rate(context, domains):
     context.queue = Queue(*domains.split(','))
-    # Pieces have waited for two seconds, and one was made in the last one.
+    # Pieces have waited for two seconds, and one was made in the last second.
     pace = context.queue.owner.pace
     pace.rate(0.0, queued=True)
     context.queue.clock.advance(2.0)
@@ -267,7 +267,9 @@
     context.route = route(kind, aim=aim, pause=pause)
 
 
-@then('with {usual:g} expected seconds its silence limits are {first} and {between}')
+@then(
+    'with {usual:g} expected seconds its silence limits are {first} and {between}'
+)
 def then_patience(context, usual, first, between):
     patience = patience_of(context.route, usual)
     wanted = [None if one == 'none' else float(one) for one in (first, between)]
--- a/features/steps/drained_steps.py
+++ b/features/steps/drained_steps.py
@@ -1,4 +1,4 @@
-"""Steps of failure domains that are drained."""
+"""Steps for drained failure domains."""
 
 from behave import given, then, when
 from twisted.internet.defer import Deferred
@@ -90,8 +90,12 @@
 
 @when('the stage workers of "{domain}" are drained')
 def when_workers_drained(context, domain):
-    left = [one for one in workers(*context.domains) if one.domain != domain]
-    context.queue.owner.configure(LIMITS, left)
+    remaining = [
+        worker
+        for worker in workers(*context.domains)
+        if worker.domain != domain
+    ]
+    context.queue.owner.configure(LIMITS, remaining)
     context.before = len(context.queue.calls)
 
 
@@ -181,7 +185,7 @@
 @when('the reads of the configuration of "{name}" count as failing')
 def when_reads_fail(context, name):
     context.fleet.hosts[name].relayed.is_away = _always
-    # The watch that is armed ends by then.
+    # The pending watch ends within this time.
     context.fleet.pass_by(3.0)
 
 
@@ -306,14 +310,14 @@
 
 
 class _Counted:
-    """Counts the writes that pass to a store."""
+    """Counts the writes to a store."""
 
     def __init__(self, store):
         self.store = store
         self.writes = []
 
     def get(self, *args):
-        """Read."""
+        """Pass on a read."""
         return self.store.get(*args)
 
     def put(self, *args):
--- a/features/steps/forward_state_steps.py
+++ b/features/steps/forward_state_steps.py
@@ -1,4 +1,4 @@
-"""Steps of what a forwarding host believes."""
+"""Steps for the state of a forwarding host."""
 
 from random import Random
 
@@ -33,7 +33,7 @@
 
 
 class _Reader:
-    """A reader whose two clocks the test moves."""
+    """A configuration reader with two clocks that the test advances."""
 
     def __init__(self):
         self.suspended = 0.0
@@ -50,7 +50,7 @@
         )
 
     def read(self, version, revision):
-        """Take a read that is answered at once."""
+        """Apply a read that is answered at once."""
         found = Found('config', 'main', revision, version)
         self.reader.take(found, self._clock())
 
@@ -78,7 +78,7 @@
 
 
 class _SilentStore:
-    """A store that answers no read that comes before a moment."""
+    """A store that answers no read before a given time."""
 
     def __init__(self, clock, silent):
         self.clock = clock
@@ -88,12 +88,12 @@
         self.reads = 0
 
     async def listed(self, kind, prefix=''):
-        """Answer with the whole, or be given up after 2.5 seconds."""
+        """Answer with the full list, or time out after 2.5 seconds."""
         found = Found(kind, 'main', 7, 7)
         return await self._answer(Listing((found,), 9), 'list')
 
     async def watched(self, kind, since, prefix='', timeout=0):
-        """Answer that nothing has changed."""
+        """Answer without changes."""
         await paused(self.clock, timeout)
         return await self._answer(Changes(since), 'watch')
 
@@ -314,14 +314,14 @@
 
 
 class _Failing:
-    """A store that refuses its first writes."""
+    """A store that rejects its first writes."""
 
     def __init__(self, failures):
         self.failures = failures
         self.entries = {}
 
     async def put(self, kind, name, value, if_version=None):
-        """Refuse, or keep the value."""
+        """Reject the write, or store the value."""
         if self.failures:
             self.failures -= 1
             return NotApplied('put', 'store', 'down')
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -1,4 +1,4 @@
-"""Steps of forwarded requests."""
+"""Steps for forwarded requests."""
 
 from dataclasses import replace
 from random import Random
@@ -307,8 +307,8 @@
     ]
 
 
-# Seconds a token of an engine that reads 55,000 a second, half of it beside
-# other requests.
+# Seconds per token of an engine that reads 55,000 tokens a second, half of that
+# rate beside other requests.
 _TOKEN_SECONDS = 2 / 55000
 
 
--- a/features/steps/incarnations_steps.py
+++ b/features/steps/incarnations_steps.py
@@ -1,4 +1,4 @@
-"""Steps of incarnations of upstreams, and of entries of other writers."""
+"""Steps for incarnations of upstreams and for entries by other writers."""
 
 import pathlib
 import sys
@@ -48,7 +48,7 @@
 
 
 class _Caller:
-    """Answers each call of the store with the same body."""
+    """Answers each call to the store with the same body."""
 
     peer = '10.9.0.7:8624'
 
@@ -56,7 +56,7 @@
         self.body = body
 
     async def call(self, method, path, body=None, timeout=None, fresh=False):
-        """Return the answer."""
+        """Return the scripted answer."""
         return Reply(200, self.body)
 
 
@@ -84,7 +84,7 @@
 
 
 def _upstreams(values):
-    """Return the upstreams that objects of the store name, by identifier."""
+    """Return the upstreams decoded from objects of the store, by identifier."""
     decoded = {name: decode_upstream(name, one) for name, one in values.items()}
     return {name: one for name, one in decoded.items() if one is not None}
 
@@ -157,7 +157,9 @@
     assert not context.registry.usable(SERVICE)
 
 
-@given('a stage queue whose worker started at {born:d} and has no free result memory')
+@given(
+    'a stage queue whose worker started at {born:d} and has no free result memory'
+)
 def given_full_worker(context, born):
     context.queue = Queue('a')
     context.queue.owner.configure(LIMITS, [_worker(born)])
@@ -191,8 +193,8 @@
 @then('its two upstreams are known, and one log line names what was skipped')
 def then_two_known(context):
     assert sorted(_upstreams(context.values)) == list(SOUND), context.values
-    # What can't be read at all is logged where it is read, the rest by the
-    # host that finds no upstream in it.
+    # Undecodable objects are logged by the store client; the host logs objects
+    # that decode but are not upstreams.
     foreign = [one for one in context.values if one not in SOUND]
     assert len(context.lines) + len(foreign) == 1, (context.lines, foreign)
 
--- a/pollenstile/forward/_choose.py
+++ b/pollenstile/forward/_choose.py
@@ -112,8 +112,8 @@
     ===========
 
     When most upstreams fail or are backing off, the cause is not a single
-    upstream, and excluding them would leave nothing to send to. All that are
-    not backing off remain candidates then, or simply all.
+    upstream, and excluding them would serve nobody. Then all upstreams that are
+    not backing off are returned, or all if every one is backing off.
 
     Parameters
     ==========
--- a/pollenstile/forward/_crash_evidence.py
+++ b/pollenstile/forward/_crash_evidence.py
@@ -25,7 +25,7 @@
 
 
 def record_outcome(core, exchange, attempt, outcome):
-    """Record an attempt's outcome; return a Deferred to wait for before a retry.
+    """Record an attempt's outcome; return a Deferred that precedes a retry.
 
     Returns
     =======
--- a/pollenstile/forward/_dispatch.py
+++ b/pollenstile/forward/_dispatch.py
@@ -12,8 +12,8 @@
 from pollenstile.forward._input_release import InputRelease
 from pollenstile.forward._types import NotRun
 
-# Assumed answer time of a plain upstream without measurements, as a share of the
-# route's target latency.
+# Assumed answer time of a plain upstream without measurements, as a share of
+# the route's target latency.
 _DEFAULT_ANSWER_SHARE = 0.25
 
 
