--- a/features/builders/registry.py
+++ b/features/builders/registry.py
@@ -47,7 +47,7 @@
     'no content': wire_object('x', None),
     'a list for an object': ['x', 'y'],
     'no name': {'metadata': {'revision': 7}, 'spec': entry()},
-    'a byte that is not UTF-8': wire_object('x', entry(state=_BYTE)),
+    'a byte that is undecodable': wire_object('x', entry(state=_BYTE)),
     'a number that is NaN': wire_object('x', entry(slots=float('nan'))),
     'an infinite number': wire_object('x', entry(slots=float('inf'))),
     'half a surrogate pair': wire_object('x', entry(state=_SURROGATE)),
--- a/features/incarnations.feature
+++ b/features/incarnations.feature
@@ -65,7 +65,7 @@
       | no content               |
       | a list for an object        |
       | no name                     |
-      | a byte that is not UTF-8      |
+      | a byte that is undecodable    |
       | half a surrogate pair       |
       | a number that is NaN       |
       | an infinite number         |
