--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -36,14 +36,14 @@
 @given('another request is in flight at the upstream of forwarded send 0')
 def given_busy(context):
     upstream = _upstream(context, 0)
-    context.story.registry.views[upstream.ident].flying += 1
+    context.story.registry.views[upstream.ident].in_flight += 1
 
 
 @when(
     'the upstream of forwarded send {place:d} resets it and refuses connections'
 )
 def when_ended(context, place):
-    context.story.reaches = Reach.REFUSED
+    context.story.probe_result = Reach.REFUSED
     _break(context, place)
 
 
@@ -54,7 +54,7 @@
 
 @when('the connection of forwarded send 0 breaks, and a probe gets no answer')
 def when_unknown(context):
-    context.story.reaches = Reach.UNKNOWN
+    context.story.probe_result = Reach.UNKNOWN
     _break(context, 0)
 
 
--- a/pollenstile/forward/_admission.py
+++ b/pollenstile/forward/_admission.py
@@ -32,7 +32,7 @@
     team: Team | None
 
 
-def admitted(configuration, asked):
+def admit_request(configuration, query):
     """Return the :class:`Admission` of a request, or a :class:`Refusal`.
 
     Parameters
@@ -40,26 +40,26 @@
 
     configuration : Configuration
         The route table in force and when it was last verified.
-    asked : Asked
+    query : RouteQuery
         Host, path and key of the request.
     """
     if not configuration.is_current():
         return _unavailable('the configuration can not be checked')
-    outcome = _match_table(configuration.table, asked)
+    outcome = _match_table(configuration.table, query)
     has_key = isinstance(outcome, Admission) and outcome.team is not None
     if has_key and not configuration.is_proven():
         return _unavailable('the key can not be checked')
     return outcome
 
 
-def _match_table(table, asked):
+def _match_table(table, query):
     """Admit or refuse a request by a route table, regardless of its age."""
-    route = route_of(table, asked.host, asked.path)
+    route = route_of(table, query.host, query.path)
     if route is None:
         return Refusal(_NOT_FOUND, 'no such route', _STEP)
     if table.keys is None or route.public:
         return Admission(route, None)
-    team = team_of(table, asked.authorization)
+    team = team_of(table, query.authorization)
     if team is None:
         return Refusal(_UNAUTHORIZED, 'unknown key', _STEP)
     return Admission(route, team)
@@ -79,7 +79,7 @@
     table = core.configuration.table
     if table is exchange.table:
         return None
-    outcome = _match_table(table, exchange.asked)
+    outcome = _match_table(table, exchange.query)
     if isinstance(outcome, Refusal):
         return outcome
     exchange.table = table
--- a/pollenstile/forward/_attempt.py
+++ b/pollenstile/forward/_attempt.py
@@ -2,7 +2,6 @@
 
 from twisted.internet.defer import CancelledError, Deferred, TimeoutError
 
-from pollenstile.forward._choose import own_tokens
 from pollenstile.forward._crashes import incarnation_of
 from pollenstile.forward._learning import (
     learn_failure,
@@ -10,6 +9,7 @@
     learn_success,
     learn_unavailable,
 )
+from pollenstile.forward._selection import own_tokens
 from pollenstile.forward._silence import SilenceTimer
 from pollenstile.forward._sse import EventSplitter
 from pollenstile.forward._types import BodyEnd, Lost, NotRun
@@ -75,7 +75,7 @@
         Components of the host.
     exchange : Exchange
         The request.
-    view : EngineView
+    view : UpstreamView
         The upstream.
     answer : Answer
         Writes to the caller.
@@ -153,7 +153,7 @@
             beginning.
         """
         tokens = sum(size for _, size in self.exchange.prompt)
-        self.view.flying += 1
+        self.view.in_flight += 1
         self.view.in_flight_tokens += tokens
         try:
             outcome = await self._send(silence_limits, last_event)
@@ -168,7 +168,7 @@
 
     def _release_counts(self, tokens):
         self.input_release.stop()
-        self.view.flying -= 1
+        self.view.in_flight -= 1
         self.view.in_flight_tokens -= tokens
 
     async def _send(self, silence_limits, last_event):
@@ -240,7 +240,7 @@
     async def _read_failure(self, head, silence_limit):
         parts = []
         end = await self._relay_body(head, parts.append, silence_limit)
-        if end is not BodyEnd.WHOLE:
+        if end is not BodyEnd.COMPLETE:
             return self._incomplete('torn failure', end)
         return UpstreamFailure(
             head.code,
@@ -260,7 +260,7 @@
                 self._write_buffered()
 
         end = await self._relay_body(head, pass_on, silence_limit)
-        if end is not BodyEnd.WHOLE:
+        if end is not BodyEnd.COMPLETE:
             return self._incomplete('torn answer', end)
         if not self.answer.begun:
             self._begin_answer(head)
@@ -284,7 +284,7 @@
         end = await self._relay_body(
             head, pass_on, silence_limits.first, silence_limits.between
         )
-        if end is not BodyEnd.WHOLE:
+        if end is not BodyEnd.COMPLETE:
             return self._incomplete('torn stream', end)
         if not self.answer.begun:
             self._begin_answer(head)
--- a/pollenstile/forward/_budget.py
+++ b/pollenstile/forward/_budget.py
@@ -8,7 +8,7 @@
 _USED_SHARE_OF_ALLOWANCE = 0.6
 
 
-class RepeatBudget:
+class SharedRetryBudget:
     """Limits retries (sends after a request's first) for each service.
 
     Explanation
--- a/pollenstile/forward/_cold.py
+++ b/pollenstile/forward/_cold.py
@@ -57,7 +57,7 @@
         Parameters
         ==========
 
-        view : EngineView
+        view : UpstreamView
             State of the upstream.
         rate : float
             Requests a second that a cold upstream accepts; 0 for no limit.
--- a/pollenstile/forward/_core.py
+++ b/pollenstile/forward/_core.py
@@ -34,7 +34,7 @@
         Known upstreams.
     configuration : Configuration
         The route table in force.
-    budget : RepeatBudget
+    budget : SharedRetryBudget
         Limits retries.
     stages : StageClient
         Submits stage work.
--- a/pollenstile/forward/_decisions.py
+++ b/pollenstile/forward/_decisions.py
@@ -29,14 +29,14 @@
 _DEFAULT_PAUSE_SECONDS = 0.75
 
 
-class Next(enum.Enum):
+class RetryDecision(enum.Enum):
     """What to do with a request after a failed attempt."""
 
-    AGAIN = 'again'
+    RETRY = 'again'
     GIVE_UP = 'give-up'
 
 
-def after_failure(route, outcome, sends, runs, *, resumed, may_repeat=True):
+def decide_retry(route, outcome, sends, runs, *, resumed, may_repeat=True):
     """Return whether a request may be sent again.
 
     Explanation
@@ -62,12 +62,16 @@
         all attempts of its callers.
     """
     if isinstance(outcome, NotRun):
-        return Next.AGAIN if sends < _MAX_SENDS else Next.GIVE_UP
+        return (
+            RetryDecision.RETRY if sends < _MAX_SENDS else RetryDecision.GIVE_UP
+        )
     if not route.repeatable or not may_repeat:
-        return Next.GIVE_UP
+        return RetryDecision.GIVE_UP
     if resumed and route.kind is not Kind.STREAM:
-        return Next.GIVE_UP
-    return Next.AGAIN if runs < route.attempts else Next.GIVE_UP
+        return RetryDecision.GIVE_UP
+    return (
+        RetryDecision.RETRY if runs < route.attempts else RetryDecision.GIVE_UP
+    )
 
 
 @dataclass(slots=True, frozen=True)
@@ -86,7 +90,7 @@
     between: float | None = None
 
 
-def patience_of(route, expected_seconds):
+def silence_limits_of(route, expected_seconds):
     """Return the :class:`SilenceLimits` of an attempt.
 
     Parameters
--- a/pollenstile/forward/_dispatch.py
+++ b/pollenstile/forward/_dispatch.py
@@ -1,15 +1,15 @@
 """Selection of a request's next upstream from the host's current state."""
 
-from pollenstile.forward._choose import (
-    chosen_engine,
-    chosen_plain,
-    home_engine,
+from pollenstile.forward._input_release import InputRelease
+from pollenstile.forward._selection import (
     current_load,
+    home_engine,
     own_tokens,
+    select_engine,
+    select_plain_upstream,
     subject_of,
     usable,
 )
-from pollenstile.forward._input_release import InputRelease
 from pollenstile.forward._types import NotRun
 
 # Assumed answer time of a plain upstream without measurements, as a share of
@@ -66,7 +66,7 @@
     Returns
     =======
 
-    EngineView or NotRun
+    UpstreamView or NotRun
         ``NotRun`` states why there is no upstream and when to retry.
     """
     now = core.clock.seconds()
@@ -76,8 +76,8 @@
     if not ready:
         return _unavailable_reason(core, exchange, views, rate)
     if not exchange.prompt:
-        return chosen_plain(ready, now, core.domain, core.rng)
-    return chosen_engine(
+        return select_plain_upstream(ready, now, core.domain, core.rng)
+    return select_engine(
         ready,
         now,
         core.domain,
@@ -121,7 +121,7 @@
         Holds the results; None for a request without stage work.
     inputs : dict
         Bytes of the results by failure domain.
-    view : EngineView
+    view : UpstreamView
         The upstream that reads them.
     """
     if chain is None:
--- a/pollenstile/forward/_learning.py
+++ b/pollenstile/forward/_learning.py
@@ -45,8 +45,8 @@
     Examples
     ========
 
-    >>> from pollenstile.forward import EngineView
-    >>> view = EngineView('i', 'a:1', 'd')
+    >>> from pollenstile.forward import UpstreamView
+    >>> view = UpstreamView('i', 'a:1', 'd')
     >>> learn_load(view, '3,0,8', 5.0)
     >>> view.running, view.slots, view.load_at
     (3, 8, 5.0)
@@ -62,4 +62,4 @@
     view.queued = queued
     view.slots = max(1, slots)
     view.load_at = now
-    view.in_flight_at_report = view.flying
+    view.in_flight_at_report = view.in_flight
--- a/pollenstile/forward/_request_log.py
+++ b/pollenstile/forward/_request_log.py
@@ -19,7 +19,7 @@
         peer=view.ident,
         address=view.address,
         send=run.sends,
-        flying=view.flying,
+        flying=view.in_flight,
         running=view.running,
         queued=view.queued,
         age_ms=_load_age(view, now),
--- a/pollenstile/forward/_run.py
+++ b/pollenstile/forward/_run.py
@@ -10,24 +10,27 @@
     Delivered,
     UpstreamFailure,
 )
+from pollenstile.forward._crash_evidence import (
+    quarantine_refusal,
+    record_outcome,
+)
 from pollenstile.forward._decisions import (
-    Next,
-    after_failure,
+    RetryDecision,
+    decide_retry,
     expired_refusal,
     final_refusal,
-    patience_of,
     retry_after,
+    silence_limits_of,
 )
 from pollenstile.forward._dispatch import (
-    select_view,
     cold_rate,
+    expected_answer_seconds,
     expected_first_token_seconds,
     home_domain,
     input_release_for,
-    expected_answer_seconds,
+    select_view,
 )
 from pollenstile.forward._request_log import log_end, log_send
-from pollenstile.forward._crash_evidence import held_refusal, record_outcome
 from pollenstile.forward._types import Lost, NotRun, Refusal
 from pollenstile.quarantine import HELD_REASON
 from pollenstile.routes import Kind
@@ -137,7 +140,7 @@
     async def forward(self):
         """Run the stages, then attempts until one ends the request."""
         self.core.budget.note_request(self.exchange.service)
-        refusal = held_refusal(self.core, self.exchange)
+        refusal = quarantine_refusal(self.core, self.exchange)
         if refusal is not None:
             self._refuse(refusal)
             return
@@ -253,7 +256,7 @@
             self.attempt.splitter.last = last_event.encode('latin-1')
         log_send(self, view)
         expected = expected_answer_seconds(self.core, self.exchange, view)
-        limits = patience_of(self.exchange.route, expected)
+        limits = silence_limits_of(self.exchange.route, expected)
         outcome = await self.attempt.outcome(limits, last_event)
         if not isinstance(outcome, NotRun):
             self.runs += 1
@@ -267,7 +270,7 @@
             lost = Lost(f'status {outcome.status}', self.attempt.view.ident)
         else:
             lost = outcome
-        decision = after_failure(
+        decision = decide_retry(
             self.exchange.route,
             lost,
             self.sends,
@@ -277,7 +280,7 @@
                 self.exchange.fingerprint
             ),
         )
-        resend = decision is Next.AGAIN
+        resend = decision is RetryDecision.RETRY
         arrived = getattr(outcome, 'arrived', True)
         if resend and arrived:
             resend = self.core.budget.spend(self.exchange.service)
@@ -332,7 +335,7 @@
     that a refusal would wrongly state that it did not run, or cut the answer
     off.
     """
-    refusal = held_refusal(run.core, run.exchange)
+    refusal = quarantine_refusal(run.core, run.exchange)
     if refusal is not None:
         return refusal
     if not run.runs and not run.answer.begun:
@@ -342,7 +345,7 @@
     return select_view(run.core, run.exchange, run.tried, inputs)
 
 
-def is_abandoned_at_once(exchange):
+def is_cancelled_on_disconnect(exchange):
     """Return whether a request is cancelled when its caller disconnects.
 
     Explanation
--- a/pollenstile/forward/_choose.py
+++ b/pollenstile/forward/_selection.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class EngineView:
+class UpstreamView:
     """Observed state of one upstream, local to this host.
 
     Attributes
@@ -41,7 +41,7 @@
 
     born : int
         Start of its incarnation; see :class:`~pollenstile.forward.Upstream`.
-    flying : int
+    in_flight : int
         This host's requests in flight there.
     in_flight_tokens : int
         Prompt tokens of this host's unanswered requests.
@@ -71,7 +71,7 @@
     domain: str
     slots: int = 1
     born: int = 0
-    flying: int = 0
+    in_flight: int = 0
     in_flight_tokens: int = 0
     running: int = 0
     queued: int = 0
@@ -91,8 +91,8 @@
     Examples
     ========
 
-    >>> from pollenstile.forward import EngineView
-    >>> view = EngineView('i', 'a:1', 'd', flying=2)
+    >>> from pollenstile.forward import UpstreamView
+    >>> view = UpstreamView('i', 'a:1', 'd', in_flight=2)
     >>> current_load(view, 0)
     2
     >>> view.running, view.load_at, view.in_flight_at_report = 9, 0, 1
@@ -100,9 +100,11 @@
     10
     """
     if now - view.load_at > _LOAD_REPORT_TTL_SECONDS:
-        return view.flying
+        return view.in_flight
     reported = view.running + view.queued
-    return max(view.flying, reported + view.flying - view.in_flight_at_report)
+    return max(
+        view.in_flight, reported + view.in_flight - view.in_flight_at_report
+    )
 
 
 def usable(views, now, tried=()):
@@ -118,7 +120,7 @@
     Parameters
     ==========
 
-    views : list of EngineView
+    views : list of UpstreamView
         Upstreams of the service.
     now : float
         Seconds on the clock.
@@ -154,13 +156,13 @@
     return prompt[-2][0] if len(prompt) > 1 else ''
 
 
-def chosen_plain(views, now, domain, rng):
+def select_plain_upstream(views, now, domain, rng):
     """Return the plain upstream with the lowest expected latency, or None.
 
     Parameters
     ==========
 
-    views : list of EngineView
+    views : list of UpstreamView
         Candidates.
     now : float
         Seconds on the clock.
@@ -214,7 +216,7 @@
     return max(views, key=weight)
 
 
-def chosen_engine(views, now, domain, rng, prompt, token_seconds, inputs=None):
+def select_engine(views, now, domain, rng, prompt, token_seconds, inputs=None):
     """Return the model engine with the earliest expected first token, or None.
 
     Explanation
@@ -227,7 +229,7 @@
     Parameters
     ==========
 
-    views : list of EngineView
+    views : list of UpstreamView
         Candidates.
     now : float
         Seconds on the clock.
--- a/pollenstile/forward/_stagecalls.py
+++ b/pollenstile/forward/_stagecalls.py
@@ -75,7 +75,7 @@
         self.crashes = None
         self.on_answer = None
 
-    def look_at_crashes(self, crashes, quarantine):
+    def attach_crash_detector(self, crashes, quarantine):
         """Report broken calls to a detector, and answers to a quarantine."""
         self.crashes = crashes
         self.on_answer = quarantine.note_answer
--- a/pollenstile/forward/_types.py
+++ b/pollenstile/forward/_types.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class RouteQuery:
     """The parts of a request that decide on its route and admission.
 
     Parameters
@@ -99,7 +99,7 @@
         The matched route.
     table : RouteTable
         The table by which the request was last admitted.
-    asked : Asked
+    query : RouteQuery
         Used to admit the request again by a newer table.
     team : str
         Name of the caller's team; empty on public routes.
@@ -134,7 +134,7 @@
     body: bytes
     route: object
     table: object
-    asked: Asked
+    query: RouteQuery
     team: str = ''
     urgency: int = 0
     arrived: float = 0.0
@@ -220,6 +220,6 @@
 class BodyEnd(enum.Enum):
     """How an answer's body ended."""
 
-    WHOLE = 'whole'
+    COMPLETE = 'whole'
     BROKEN = 'broken'
     SILENT = 'silent'
--- a/pollenstile/forward/_watched.py
+++ b/pollenstile/forward/_watched.py
@@ -28,7 +28,7 @@
         self.settings = read()
         self.last_error = ''
 
-    def look(self, apply, log):
+    def poll(self, apply, log):
         """Read the settings and apply them if they changed.
 
         Explanation
