--- a/features/builders/forward.py
+++ b/features/builders/forward.py
@@ -124,7 +124,7 @@
         handle = f'10.0.0.9:1/{self.made}'
         waiter.callback(('h', GroupDone((handle,) * group.count)))
 
-    def refreshed(self, services):
+    def refresh_backlogs(self, services):
         """Succeed without a request to an owner."""
         return succeed(None)
 
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -66,7 +66,7 @@
 @given('a host that is the only one')
 def given_alone(context):
     context.story.core.cold = ColdShares('h', 'd')
-    context.story.core.cold.take_hosts({})
+    context.story.core.cold.update_hosts({})
 
 
 @when('{count:d} requests arrive within one second')
@@ -127,7 +127,7 @@
         context.senders.append(_Sender(name, domain, views))
         others = dict(context.domains)
         others.pop(name)
-        context.senders[-1].shares.take_hosts(others)
+        context.senders[-1].shares.update_hosts(others)
 
 
 @given('each half of the hosts knows only its own members')
@@ -140,7 +140,7 @@
                 continue
             known = {one: context.domains[one] for one in half}
             known.pop(sender.shares.host)
-            sender.shares.take_hosts(known)
+            sender.shares.update_hosts(known)
 
 
 @when(
--- a/features/steps/deciding_steps.py
+++ b/features/steps/deciding_steps.py
@@ -8,7 +8,7 @@
 from features.builders.forward import SERVICE, ForwardScenario, route
 from features.builders.stagework import (
     LIMITS,
-    AskedClient,
+    RecordingClient,
     Queue,
     group,
     workers,
@@ -20,10 +20,10 @@
 from pollenstile.stagework import (
     Chain,
     Plan,
-    admitted,
-    eligible,
+    may_join_queue,
+    eligible_pieces,
     expected_wait,
-    frees_by_domain,
+    seconds_until_free,
     full_seconds,
 )
 
@@ -60,7 +60,7 @@
 
 def _taken_while_crowded(context, wait):
     one = group(due=context.due, urgency=context.urgency, later_crowded=True)
-    return admitted(one, wait, 0, full_seconds(LIMITS))
+    return may_join_queue(one, wait, 0, full_seconds(LIMITS))
 
 
 @given('two stage workers of which one is overdue by {seconds:g} seconds')
@@ -84,7 +84,7 @@
 @then('pieces near the overdue one may be taken by the other')
 def then_taken_by_other(context):
     full = full_seconds(LIMITS)
-    found = frees_by_domain(context.workers, (), context.now, full)
+    found = seconds_until_free(context.workers, (), context.now, full)
     assert set(found) == {'a'}, found
 
 
@@ -94,10 +94,10 @@
 def given_idle_rate(context, domains):
     context.queue = Queue(*domains.split(','))
     # Pieces have waited for two seconds, and one was made in the last second.
-    pace = context.queue.owner.pace
-    pace.rate(0.0, queued=True)
+    stats = context.queue.owner.stats
+    stats.rate(0.0, queued=True)
     context.queue.clock.advance(2.0)
-    pace.note_made(1.9)
+    stats.record_made(1.9)
     context.queue.owner.waiting = ['a piece']
 
 
@@ -109,13 +109,13 @@
 
 @then('a worker in "{domain}" takes them when a round takes {count:d} pieces')
 def then_round(context, domain, count):
-    found = eligible(context.pieces, domain, {'b': 0.3}, 0, 0.4, count)
+    found = eligible_pieces(context.pieces, domain, {'b': 0.3}, 0, 0.4, count)
     assert len(found) == 3
 
 
 @given('a chain whose heavy last step has workers in "{domains}" only')
 def given_chain(context, domains):
-    context.client = AskedClient(tuple(domains.split(',')))
+    context.client = RecordingClient(tuple(domains.split(',')))
     Deferred.fromCoroutine(Chain(context.client, _PLAN).handles())
     context.client.made('a')
 
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -337,8 +337,8 @@
 
 @given('a batch of a first piece and of one with inputs')
 def given_batch(context):
-    first = group('r1', key='k1', ends=2.0)
-    second = group('r2', inputs=('10.0.0.1:1/a',), step=2, ends=3.0)
+    first = group('r1', key='k1', deadline=2.0)
+    second = group('r2', inputs=('10.0.0.1:1/a',), step=2, deadline=3.0)
     context.batch = pieces_of(first, second)
 
 
--- a/pollenstile/forward/_run.py
+++ b/pollenstile/forward/_run.py
@@ -34,7 +34,7 @@
 from pollenstile.forward._types import Lost, NotRun, Refusal
 from pollenstile.quarantine import HELD_REASON
 from pollenstile.routes import Kind
-from pollenstile.stagework import Chain, ChainFailed, plan_of
+from pollenstile.stagework import Chain, ChainFailed, build_plan
 
 _UNAVAILABLE = 503
 _SERVER_ERRORS = range(500, 600)
@@ -199,8 +199,10 @@
         if not any(exchange.counts):
             return True
         steps = exchange.route.steps
-        await self.core.stages.refreshed([step.service for step in steps])
-        plan = plan_of(
+        await self.core.stages.refresh_backlogs(
+            [step.service for step in steps]
+        )
+        plan = build_plan(
             exchange,
             min(exchange.aim, exchange.ends)
             - expected_first_token_seconds(self.core, exchange),
--- a/pollenstile/forward/_stagecalls.py
+++ b/pollenstile/forward/_stagecalls.py
@@ -30,7 +30,7 @@
     codec : object
         With ``batch(worker, pieces, now)`` and ``release(address, handles)``,
         which return target, headers and body, and ``results(body, count)``,
-        which returns a list of :class:`~pollenstile.stagework.Made` or None.
+        which returns a list of :class:`~pollenstile.stagework.Result` or None.
     names : HeaderNames
         Name the header by which an upstream states that it ran nothing.
 
