--- a/features/builders/quarantine.py
+++ b/features/builders/quarantine.py
@@ -1,13 +1,21 @@
-"""Builders of what hosts tell each other of requests that crash upstreams."""
+"""Builders of quarantine verdicts."""
 
-from pollenstile.quarantine import News, Verdict
+from pollenstile.quarantine import QuarantineUpdate, Verdict
 
 
-def verdict(content, changed=1, ends=600.0, *, is_held=True):
-    """Return a verdict on a request, by fingerprint."""
-    return Verdict(content, 'team', 's', 3, changed, is_held=is_held, ends=ends)
+def verdict(fingerprint, changed=1, expires_at=600.0, *, is_held=True):
+    """Return a verdict on a request."""
+    return Verdict(
+        fingerprint,
+        'team',
+        's',
+        3,
+        changed,
+        is_held=is_held,
+        expires_at=expires_at,
+    )
 
 
-def tell(quarantine, *verdicts):
-    """Let a host hear of verdicts."""
-    quarantine.take(News(verdicts=verdicts))
+def apply_verdicts(quarantine, *verdicts):
+    """Apply verdicts as if a peer had sent them."""
+    quarantine.apply(QuarantineUpdate(verdicts=verdicts))
--- a/features/steps/quarantine_stage_steps.py
+++ b/features/steps/quarantine_stage_steps.py
@@ -1,9 +1,9 @@
-"""Steps of stage pieces that crash the upstreams that make them."""
+"""Steps for stage pieces that crash the upstreams that process them."""
 
 from behave import given, then, when
 
 from features.builders.forward import Story
-from features.builders.quarantine import tell, verdict
+from features.builders.quarantine import apply_verdicts, verdict
 from features.builders.stagework import SERVICE, Queue, group, pieces_of
 from features.builders.stagework import workers as workers_of
 from pollenstile.forward import HeaderNames, Lost, PlainCodec, Reach, Upstream
@@ -12,63 +12,62 @@
 from pollenstile.stagework import CallLost
 
 
-def _piece_of(name):
-    return group(name, content=_content(name))
+def _group_of(name):
+    return group(name, content=_fingerprint(name))
 
 
-def _content(name):
+def _fingerprint(name):
     return name.encode().hex()
 
 
-def _crash(context, place):
-    """Let the worker of a call crash with all that it has."""
-    worker, pieces, _ = context.queue.calls[place]
+def _crash(context, index):
+    """Crash the worker of a call while it processes all its pieces."""
+    worker, pieces, _ = context.queue.calls[index]
     suspects = tuple(
         Suspect(piece.group.content, 'team', 0.05) for piece in pieces
     )
     quarantine = context.queue.owner.quarantine
-    quarantine.note_crash(f'{worker.ident}/{place}', SERVICE, suspects)
+    quarantine.note_crash(f'{worker.ident}/{index}', SERVICE, suspects)
     lost = CallLost('torn answer', worker.ident, arrived=True, broken=True)
-    context.queue.answer(place, lost)
+    context.queue.answer(index, lost)
 
 
 @given(
-    'a queue over {count:d} workers with pieces of "a", "deadly" and "b" in one'
+    'a queue over {count:d} workers with pieces of "a", "crashing" and "b" in one'
     ' call'
 )
 def given_queue(context, count):
     context.queue = Queue(*'dddd'[:count])
-    for name in ('a', 'deadly', 'b'):
-        one = _piece_of(name)
-        waiter = context.queue.owner.submit(one)
+    for name in ('a', 'crashing', 'b'):
+        waiter = context.queue.owner.submit(_group_of(name))
         waiter.addCallback(context.queue.note, name)
     context.queue.clock.advance(0.01)
 
 
 @given('pieces of "{name}" wait there')
 def given_waiting(context, name):
-    context.queue.submit(_piece_of(name))
+    context.queue.submit(_group_of(name))
 
 
 @when('each worker crashes that has a piece of "{name}"')
 def when_crashes(context, name):
     queue = context.queue
-    context.had = 0
-    place = 0
-    while place < len(queue.calls):
-        if name in queue.requests(place):
-            context.had += 1
-            _crash(context, place)
+    context.crashed = 0
+    index = 0
+    while index < len(queue.calls):
+        if name in queue.requests(index):
+            context.crashed += 1
+            _crash(context, index)
         else:
-            queue.answer(place)
-        place += 1
+            queue.answer(index)
+        index += 1
 
 
-@when('"{name}" is put into quarantine')
-def when_held(context, name):
+@when('"{name}" is quarantined')
+def when_quarantined(context, name):
     quarantine = context.queue.owner.quarantine
     quarantine.on_held = context.queue.owner.withdraw
-    tell(quarantine, verdict(_content(name)))
+    apply_verdicts(quarantine, verdict(_fingerprint(name)))
 
 
 @then('the pieces of "{one}" and "{other}" are made')
@@ -77,20 +76,20 @@
         assert context.queue.outcomes[name].handles, context.queue.outcomes
 
 
-@then('"{name}" was at {count:d} workers, and is refused')
+@then('"{name}" was sent to {count:d} workers, and is refused')
 def then_refused(context, name, count):
-    assert context.had == count, context.had
+    assert context.crashed == count, context.crashed
     assert context.queue.outcomes[name].reason == 'failed'
 
 
 @then('"{name}" is refused for crashing upstreams')
-def then_held(context, name):
+def then_refused_as_quarantined(context, name):
     assert context.queue.outcomes.pop(name).reason == HELD_REASON
 
 
-@then('"{name}" is refused so when it comes again')
-def then_held_again(context, name):
-    context.queue.submit(_piece_of(name))
+@then('"{name}" is refused for the same reason when it is retried')
+def then_refused_again(context, name):
+    context.queue.submit(_group_of(name))
     assert context.queue.outcomes[name].reason == HELD_REASON
 
 
@@ -103,7 +102,7 @@
     worker = workers_of('d')[0]
     upstream = Upstream(worker.ident, SERVICE, worker.address, 'd')
     core.registry.take(worker.ident, upstream)
-    pieces = pieces_of(_piece_of(one), _piece_of(other))
+    pieces = pieces_of(_group_of(one), _group_of(other))
     context.outcomes = []
     calls.call(worker, pieces, 9.0).addCallback(context.outcomes.append)
 
@@ -115,12 +114,12 @@
     context.story.calls[-1].head.callback(lost)
 
 
-@then('both are reported as under way there, and then the call counts as lost')
+@then('both are reported as in flight there, and then the call counts as lost')
 def then_reported(context):
     reported = [
-        content
+        fingerprint
         for fields in context.story.lines('upstream-crashed')
-        for content in fields['requests']
+        for fingerprint in fields['requests']
     ]
-    assert sorted(reported) == [_content('a'), _content('b')], reported
+    assert sorted(reported) == [_fingerprint('a'), _fingerprint('b')], reported
     assert isinstance(context.outcomes[0], CallLost), context.outcomes
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps of requests that crash the upstreams that run them."""
+"""Steps for the quarantine of requests that crash upstreams."""
 
 from random import Random
 
@@ -6,7 +6,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from features.builders.quarantine import tell, verdict
+from features.builders.quarantine import apply_verdicts, verdict
 from pollenstile.bench._crashworld import DEADLY, CrashWorld
 from pollenstile.bench.crashes import FAULTS
 from pollenstile.ops._quarantinecmd import held_requests, lifted
@@ -14,8 +14,8 @@
 from pollenstile.quarantine import (
     HELD_REASON,
     QUARANTINED,
-    News,
     Quarantine,
+    QuarantineUpdate,
     Record,
     Report,
     Suspect,
@@ -23,9 +23,9 @@
 )
 from pollenstile.standin.objectapi import MemoryStore
 
-_SOUND = b'sound'
-# Seconds between a sound caller's requests: more than one takes.
-_AGAIN = 2.0
+_HARMLESS = b'sound'
+# Seconds between the retries of a harmless request, longer than one attempt.
+_RETRY_SECONDS = 2.0
 _WORLD = (
     '{hosts:d} hosts and {upstreams:d} upstreams in {domains:d} failure'
     ' domains, for {route} requests'
@@ -36,8 +36,8 @@
     return context.world.fleet
 
 
-def _holding(context):
-    """Return the hosts that keep some request from upstreams."""
+def _quarantining_hosts(context):
+    """Return the hosts with a quarantined request."""
     return [
         host.name
         for host in _fleet(context).running()
@@ -45,8 +45,8 @@
     ]
 
 
-def _held(context):
-    """Return the fingerprint of what a host keeps from upstreams."""
+def _held_fingerprint(context):
+    """Return the fingerprint of a quarantined request."""
     host = _fleet(context).running()[0]
     return host.core.quarantine.verdicts.all_held()[0].fingerprint
 
@@ -60,30 +60,30 @@
     return listed[0].objects
 
 
-def _send_deadly(context, bodies, pause, seconds, names):
+def _send_crashing(context, bodies, pause, seconds, names):
     context.world.repeat(bodies, pause, seconds, names)
     context.world.pass_by(seconds + 1)
 
 
 @given(_WORLD)
-def given_world(context, hosts, upstreams, domains, route):
+def given_fleet(context, hosts, upstreams, domains, route):
     context.world = CrashWorld(hosts, upstreams, domains, route)
 
 
 @given(
-    'sound requests come 8 times a second, each 4 times whatever comes of it'
+    'harmless requests arrive 8 times a second, each 4 times whatever the result'
 )
-def given_sound(context):
+def given_harmless(context):
     rng = Random(1)
     names = list(_fleet(context).hosts)
     for number in range(80):
-        for again in range(4):
-            moment = number / 8 + again * _AGAIN
-            body = _SOUND + b'%d' % number
+        for attempt in range(4):
+            moment = number / 8 + attempt * _RETRY_SECONDS
+            body = _HARMLESS + b'%d' % number
             context.world.later(moment, rng.choice(names), body)
 
 
-@given('"{text}" comes 40 times a second for {seconds:d} seconds')
+@given('"{text}" arrives 40 times a second for {seconds:d} seconds')
 def given_same(context, text, seconds):
     rng = Random(1)
     names = list(_fleet(context).hosts)
@@ -96,8 +96,8 @@
     FAULTS[fault](_fleet(context))
 
 
-@given('one failure domain is cut off from the others')
-def given_cut(context):
+@given('one failure domain is partitioned from the others')
+def given_partition(context):
     fleet = _fleet(context)
     domain = next(iter(fleet.hosts.values())).domain
     fleet.cut.add(domain)
@@ -106,34 +106,34 @@
 
 
 @when(
-    'a deadly request comes each {pause:g} seconds for {seconds:g} seconds,'
+    'a crashing request arrives every {pause:g} seconds for {seconds:g} seconds,'
     ' at all hosts in turn'
 )
-def when_comes(context, pause, seconds):
+def when_arrives(context, pause, seconds):
     names = [host.name for host in _fleet(context).running()]
-    _send_deadly(context, [DEADLY], pause, seconds, names)
+    _send_crashing(context, [DEADLY], pause, seconds, names)
 
 
 @when(
-    'a deadly request comes each {pause:g} seconds for {seconds:g} seconds,'
+    'a crashing request arrives every {pause:g} seconds for {seconds:g} seconds,'
     ' at the other hosts'
 )
-def when_comes_elsewhere(context, pause, seconds):
+def when_arrives_elsewhere(context, pause, seconds):
     fleet = _fleet(context)
     names = [
         host.name for host in fleet.running() if host.domain not in fleet.cut
     ]
-    _send_deadly(context, [DEADLY], pause, seconds, names)
+    _send_crashing(context, [DEADLY], pause, seconds, names)
 
 
 @when(
-    '{count:d} deadly requests come each {pause:g} seconds for {seconds:g}'
+    '{count:d} crashing requests arrive every {pause:g} seconds for {seconds:g}'
     ' seconds, at all hosts in turn'
 )
-def when_some_come(context, count, pause, seconds):
+def when_several_arrive(context, count, pause, seconds):
     context.bodies = [DEADLY + b'%d' % number for number in range(count)]
     names = list(_fleet(context).hosts)
-    _send_deadly(context, context.bodies, pause, seconds, names)
+    _send_crashing(context, context.bodies, pause, seconds, names)
     context.world.pass_by(5.0)
 
 
@@ -147,7 +147,7 @@
     context.world.pass_by(5.0)
 
 
-@when('{count:d} upstreams crash at one moment, {seconds:g} seconds on')
+@when('{count:d} upstreams crash at the same time, after {seconds:g} seconds')
 def when_crash_together(context, count, seconds):
     context.world.pass_by(seconds)
     for process in context.world.upstreams.running()[:count]:
@@ -155,7 +155,7 @@
     context.world.pass_by(seconds + 1)
 
 
-@when('the cut is healed')
+@when('the partition heals')
 def when_healed(context):
     fleet = _fleet(context)
     fleet.cut.clear()
@@ -163,8 +163,8 @@
         host.path.silent = False
 
 
-@when('all hosts are killed and start again')
-def when_killed(context):
+@when('all hosts are killed and restart')
+def when_all_restart(context):
     fleet = _fleet(context)
     domains = {host.name: host.domain for host in fleet.hosts.values()}
     for host in fleet.hosts.values():
@@ -177,78 +177,82 @@
 @when('an operator deletes its entry')
 def when_deleted(context):
     store = _fleet(context).store
-    Deferred.fromCoroutine(store.delete(QUARANTINED, _held(context)))
+    Deferred.fromCoroutine(
+        store.delete(QUARANTINED, _held_fingerprint(context))
+    )
 
 
-def _listed(context):
+def _listed_requests(context):
     return held_requests(_entries(context), unix_ms())
 
 
 @then('the command lists one request of a team, with its service and crashes')
 def then_listed(context):
-    listed = _listed(context)
-    assert [one.fingerprint for one in listed] == [_held(context)]
+    listed = _listed_requests(context)
+    assert [request.fingerprint for request in listed] == [
+        _held_fingerprint(context)
+    ]
     assert (listed[0].team, listed[0].service) == ('team', 's')
     assert listed[0].crashes >= 3
 
 
-@when('an operator lifts it by the command')
+@when('an operator releases it by the command')
 def when_lifted(context):
     store = _fleet(context).store
-    Deferred.fromCoroutine(lifted(store, _held(context)))
+    Deferred.fromCoroutine(lifted(store, _held_fingerprint(context)))
 
 
 @then('the command lists no request')
 def then_none_listed(context):
-    assert not _listed(context)
+    assert not _listed_requests(context)
 
 
-@when('one host sees it run to its end')
-def when_whole(context):
+@when('one host sees it run to completion')
+def when_completed(context):
     host = _fleet(context).running()[-1]
-    host.core.quarantine.note_whole(_held(context))
+    host.core.quarantine.note_whole(_held_fingerprint(context))
 
 
-@when('a host reports 3 upstreams as crashed under a request, wrongly')
-def when_wrong(context):
+@when('a host wrongly reports 3 upstreams as crashed while running a request')
+def when_wrongly_reported(context):
     world = context.world
     quarantine = _fleet(context).running()[0].core.quarantine
     suspect = Suspect(quarantine.fingerprint(b'a'), 'team', 0.001)
     for process in world.upstreams.running()[:3]:
         quarantine.note_crash(f'{process.ident}/0', 's', (suspect,))
     world.pass_by(1.0)
-    assert len(_holding(context)) == len(_fleet(context).hosts)
+    assert len(_quarantining_hosts(context)) == len(_fleet(context).hosts)
 
 
 @when('a request is answered by one of them')
 def when_answered(context):
     for name in _fleet(context).hosts:
-        context.world.ask(name, _SOUND)
+        context.world.ask(name, _HARMLESS)
     context.world.pass_by(1.0)
 
 
 @when('{seconds:g} seconds pass for all hosts')
-def when_long(context, seconds):
+def when_time_passes(context, seconds):
     _fleet(context).pass_coarsely(seconds)
 
 
 @then(
     'from {seconds:g} seconds after its third crash on it reached upstreams at'
-    ' most {most:d} times more'
+    ' most {most:d} more times'
 )
-def then_kept(context, seconds, most):
+def then_few_arrivals(context, seconds, most):
     late = context.world.arrivals_after_third(DEADLY, seconds)
     assert len(late) <= most, late
 
 
-@then('at most {most:d} upstreams have ended')
-def then_few_ends(context, most):
+@then('at most {most:d} upstreams have crashed')
+def then_few_crashes(context, most):
     ends = context.world.upstreams.ends
     assert len(ends) <= most, ends
 
 
 @then('each of them has crashed at most {most:d} upstreams')
-def then_few_each(context, most):
+def then_few_crashes_each(context, most):
     for body in context.bodies:
         ends = context.world.ends_of(body)
         assert len(ends) <= most, (body, ends)
@@ -257,90 +261,98 @@
         assert len(held) == len(context.bodies), (host.name, held)
 
 
-@then('no sound request was refused for crashing upstreams')
-def then_none_blamed(context):
+@then('no harmless request was refused for crashing upstreams')
+def then_no_harmless_refused(context):
     refused = [
-        one
-        for one in context.world.sent
-        if one.answer.refusal is not None
-        and one.answer.refusal.reason == HELD_REASON
-        and not one.body.startswith(DEADLY)
+        sent
+        for sent in context.world.sent
+        if sent.answer.refusal is not None
+        and sent.answer.refusal.reason == HELD_REASON
+        and not sent.body.startswith(DEADLY)
     ]
     assert not refused, refused
 
 
 @then(
-    'each host that runs keeps it from upstreams {seconds:g} seconds after its'
+    'each running host keeps it from upstreams {seconds:g} seconds after its'
     ' third crash'
 )
 def then_all_hold(context, seconds):
     late = context.world.arrivals_after_third(DEADLY, seconds)
     assert not late, late
     running = [host.name for host in _fleet(context).running()]
-    assert running and _holding(context) == running, _holding(context)
+    assert running and _quarantining_hosts(context) == running, (
+        _quarantining_hosts(context)
+    )
 
 
-@then('each host that runs keeps it from upstreams within {seconds:g} seconds')
+@then('each running host keeps it from upstreams within {seconds:g} seconds')
 def then_all_hold_soon(context, seconds):
     context.world.pass_by(seconds)
     running = [host.name for host in _fleet(context).running()]
-    assert running and _holding(context) == running, _holding(context)
+    assert running and _quarantining_hosts(context) == running, (
+        _quarantining_hosts(context)
+    )
 
 
 @then('no host keeps it from upstreams after {seconds:g} seconds')
 def then_none_holds(context, seconds):
     context.world.pass_by(seconds)
-    assert not _holding(context), _holding(context)
+    assert not _quarantining_hosts(context), _quarantining_hosts(context)
 
 
-@then('its entry does not come back')
+@then('its entry does not reappear')
 def then_no_entry(context):
     context.world.pass_by(2.0)
     assert not _entries(context), _entries(context)
 
 
-@given('a forwarded "{kind}" request whose content is in quarantine')
-def given_held(context, kind):
+@given('a forwarded "{kind}" request whose fingerprint is in quarantine')
+def given_quarantined(context, kind):
     context.execute_steps(f'Given a forwarded "{kind}" request with stage work')
-    _hold(context)
+    _quarantine_request(context)
 
 
-def _hold(context):
-    tell(context.story.core.quarantine, verdict('f1'))
+def _quarantine_request(context):
+    apply_verdicts(context.story.core.quarantine, verdict('f1'))
 
 
-@when('the forwarded request comes')
+@when('the forwarded request arrives')
 def when_started(context):
     context.story.start()
 
 
-@when('its content is put into quarantine, and the stage work ends')
-def when_held_meanwhile(context):
-    _hold(context)
+@when('its fingerprint is quarantined, and the stage work ends')
+def when_quarantined_while_waiting(context):
+    _quarantine_request(context)
     context.story.stages.finish()
 
 
-@then('it is not told when to come back')
-def then_no_advice(context):
+@then('it is not told when to retry')
+def then_no_retry_time(context):
     assert not context.story.answer.refusal.retry_after
 
 
-@then('its entry stands')
-def then_entry(context):
-    assert [one.name for one in _entries(context)] == [_held(context)]
+@then('its entry exists')
+def then_entry_exists(context):
+    assert [entry.name for entry in _entries(context)] == [
+        _held_fingerprint(context)
+    ]
 
 
-@given('a host that has heard of a release, and reads the store')
+@given('a host that has applied a release and reads the store')
 def given_released(context):
     clock = Clock()
     context.store = MemoryStore(clock)
     context.quarantine = Quarantine(clock, 'h', lambda service: 9)
     context.quarantine.now_ms = lambda: 2000
     context.record = Record(context.store, context.quarantine, {})
-    tell(context.quarantine, verdict('f1', changed=1000, is_held=False))
+    apply_verdicts(
+        context.quarantine, verdict('f1', changed=1000, is_held=False)
+    )
 
 
-@when('the store has a newer entry for the same request')
+@when('the store reports a newer entry for the same request')
 def when_newer(context):
     entry = {'team': 'team', 'service': 's', 'crashes': 3, 'since_ms': 1500}
     put = context.store.put(QUARANTINED, 'f1', entry)
@@ -363,27 +375,31 @@
     context.quarantine = Quarantine(Clock(), 'h', lambda service: 9)
 
 
-@when('{crashes:d} crashes with {count:d} suspects each are reported to it')
+@when(
+    '{crashes:d} crashes with {count:d} suspects each are reported to the host'
+)
 def when_reported(context, crashes, count):
     for number in range(crashes):
         suspects = tuple(
-            Suspect(f'{number:x}/{place:x}') for place in range(count)
+            Suspect(f'{number:x}/{index:x}') for index in range(count)
         )
         report = Report(f'i{number}', 's', 'h', suspects)
-        context.quarantine.take(News(reports=(report,)))
+        context.quarantine.apply(QuarantineUpdate(reports=(report,)))
 
 
 @then('it remembers at most {crashes:d} crashes, of {count:d} suspects each')
 def then_bounded(context, crashes, count):
     evidence = context.quarantine.evidence
     assert 0 < len(evidence.crashes) <= crashes
-    sizes = [len(one.suspects) for one in evidence.crashes.values()]
+    sizes = [len(crash.suspects) for crash in evidence.crashes.values()]
     assert 0 < max(sizes) <= count
-    assert len(evidence.under) <= crashes * count
+    assert len(evidence.incarnations) <= crashes * count
 
 
 @then('it remembers at most {most:d} verdicts of {count:d}')
 def then_verdicts_bounded(context, most, count):
     for number in range(count):
-        tell(context.quarantine, verdict(f'v{number}', ends=9.0))
+        apply_verdicts(
+            context.quarantine, verdict(f'v{number}', expires_at=9.0)
+        )
     assert 0 < len(context.quarantine.verdicts.by_fingerprint) <= most
--- a/pollenstile/quarantine/__init__.py
+++ b/pollenstile/quarantine/__init__.py
@@ -1,10 +1,19 @@
-"""Requests that crash the upstreams that run them."""
+"""Quarantine of requests that crash the upstreams that run them."""
 
 from pollenstile.quarantine._evidence import Crash, Evidence
 from pollenstile.quarantine._fingerprint import fingerprint
 from pollenstile.quarantine._quarantine import HELD_REASON, Quarantine, unix_ms
 from pollenstile.quarantine._record import QUARANTINED, Record
 from pollenstile.quarantine._sharing import Sharing
-from pollenstile.quarantine._types import News, Report, Suspect, Verdict
-from pollenstile.quarantine._verdict import Blame, blamed, chance_of
+from pollenstile.quarantine._types import (
+    QuarantineUpdate,
+    Report,
+    Suspect,
+    Verdict,
+)
+from pollenstile.quarantine._verdict import (
+    Attribution,
+    attribute_crashes,
+    poisson_tail,
+)
 from pollenstile.quarantine._verdicts import HOLD_SECONDS, Verdicts
--- a/pollenstile/quarantine/_codec.py
+++ b/pollenstile/quarantine/_codec.py
@@ -1,33 +1,38 @@
-"""News on the peers' protocol."""
+"""Encoding of quarantine updates for the peer protocol."""
 
 import pathlib
 
 from pollenstile.peer import decoded, loaded_schema
-from pollenstile.quarantine._types import News, Report, Suspect, Verdict
+from pollenstile.quarantine._types import (
+    QuarantineUpdate,
+    Report,
+    Suspect,
+    Verdict,
+)
 
 _MS = 1000
 _schema = loaded_schema(pathlib.Path(__file__).with_name('messages.capnp'))
 
 
-def news_bytes(news, now):
-    """Return the encoding of news; ends become times left."""
+def encode_update(update, now):
+    """Return an encoded update; expiry times become remaining times."""
     return _schema.News.new_message(
-        reports=[_report_row(one) for one in news.reports],
-        alive=list(news.alive),
-        cleared=[bytes.fromhex(one) for one in news.cleared],
-        verdicts=[_verdict_row(one, now) for one in news.verdicts],
+        reports=[_report_row(report) for report in update.reports],
+        alive=list(update.alive),
+        cleared=[bytes.fromhex(digest) for digest in update.cleared],
+        verdicts=[_verdict_row(verdict, now) for verdict in update.verdicts],
     ).to_bytes()
 
 
-def news_from(encoded, now):
-    """Return news; raise BadMessageError when the bytes hold none."""
+def decode_update(encoded, now):
+    """Return a decoded update; raise BadMessageError for malformed bytes."""
 
     def build(reader):
-        return News(
-            tuple(_report_from(one) for one in reader.reports),
+        return QuarantineUpdate(
+            tuple(_report_from(report) for report in reader.reports),
             tuple(reader.alive),
-            tuple(one.hex() for one in reader.cleared),
-            tuple(_verdict_from(one, now) for one in reader.verdicts),
+            tuple(digest.hex() for digest in reader.cleared),
+            tuple(_verdict_from(verdict, now) for verdict in reader.verdicts),
         )
 
     return decoded(_schema.News, encoded, build)
@@ -40,19 +45,19 @@
         'host': report.host,
         'suspects': [
             {
-                'fingerprint': bytes.fromhex(one.fingerprint),
-                'team': one.team,
-                'ranMs': max(0, int(one.ran * _MS)),
+                'fingerprint': bytes.fromhex(suspect.fingerprint),
+                'team': suspect.team,
+                'ranMs': max(0, int(suspect.ran * _MS)),
             }
-            for one in report.suspects
+            for suspect in report.suspects
         ],
     }
 
 
 def _report_from(reader):
     suspects = tuple(
-        Suspect(one.fingerprint.hex(), one.team, one.ranMs / _MS)
-        for one in reader.suspects
+        Suspect(suspect.fingerprint.hex(), suspect.team, suspect.ranMs / _MS)
+        for suspect in reader.suspects
     )
     return Report(reader.incarnation, reader.service, reader.host, suspects)
 
@@ -65,7 +70,7 @@
         'crashes': verdict.crashes,
         'changed': verdict.changed,
         'held': verdict.is_held,
-        'leftMs': max(0, int((verdict.ends - now) * _MS)),
+        'leftMs': max(0, int((verdict.expires_at - now) * _MS)),
     }
 
 
--- a/pollenstile/quarantine/_evidence.py
+++ b/pollenstile/quarantine/_evidence.py
@@ -1,29 +1,30 @@
-"""Crashes that were reported, and which requests were under way in each."""
+"""Crash reports by incarnation, and the requests in flight at each crash."""
 
 from dataclasses import dataclass, field
 
 from pollenstile.quarantine._types import Report
 
-# Seconds for which a report speaks against a request.
+# Seconds for which a report counts as evidence against a request.
 KEPT_SECONDS = 600.0
-# Crashes that are remembered, and suspects of each: two batches.
-_MOST_CRASHES = 256
-_MOST_SUSPECTS = 128
-# Incarnations of which reports were found void.
-_MOST_VOID = 256
+# Crashes that are remembered, and suspects of each. The number of suspects is
+# that of two batches.
+_MAX_CRASHES = 256
+_MAX_SUSPECTS = 128
+# Incarnations that are remembered because reports of them were retracted.
+_MAX_RETRACTED = 256
 
 
 @dataclass(slots=True)
 class Crash:
-    """A process that has ended, as all hosts together report it.
+    """A crashed upstream process, merged from the reports of all hosts.
 
     Attributes
     ==========
 
     at : float
-        On the clock: when this host heard of it first.
+        Local clock time at which this host received the first report.
     suspects : dict
-        :class:`Suspect` by fingerprint, each with its longest time.
+        :class:`Suspect` by fingerprint, each with its longest run time.
     hosts : dict
         Hosts that reported a suspect, by fingerprint.
     """
@@ -36,7 +37,7 @@
 
 
 class Evidence:
-    """Reports of all hosts, put together by incarnation.
+    """Crash reports of all hosts, merged by incarnation.
 
     Parameters
     ==========
@@ -48,22 +49,24 @@
     ==========
 
     crashes : dict
-        By incarnation, oldest first.
-    under : dict
-        Incarnations that ended under each request, by fingerprint.
+        :class:`Crash` by incarnation, oldest first.
+    incarnations : dict
+        Incarnations that crashed while running a request, by fingerprint.
+    retracted : dict
+        Incarnations whose reports were retracted, oldest first.
     """
 
-    __slots__ = ('clock', 'crashes', 'under', 'void')
+    __slots__ = ('clock', 'crashes', 'incarnations', 'retracted')
 
     def __init__(self, clock):
         self.clock = clock
         self.crashes = {}
-        self.under = {}
-        self.void = {}
+        self.incarnations = {}
+        self.retracted = {}
 
     def add(self, report):
-        """Take a report; return the part of it that is new, or None."""
-        if report.incarnation in self.void:
+        """Record a report; return the part of it that is new, or None."""
+        if report.incarnation in self.retracted:
             return None
         crash = self.crashes.get(report.incarnation)
         is_new = crash is None
@@ -72,7 +75,9 @@
             crash = Crash(report.incarnation, report.service, now)
             self.crashes[report.incarnation] = crash
         fresh = tuple(
-            one for one in report.suspects if self._add(crash, report, one)
+            suspect
+            for suspect in report.suspects
+            if self._add_suspect(crash, report, suspect)
         )
         if not (is_new or fresh):
             return None
@@ -80,69 +85,69 @@
         return Report(report.incarnation, report.service, report.host, fresh)
 
     def clear(self, fingerprint):
-        """Forget what speaks against a request; return whether any did."""
-        incarnations = self.under.pop(fingerprint, ())
+        """Drop the evidence against a request; return whether any existed."""
+        incarnations = self.incarnations.pop(fingerprint, ())
         for incarnation in incarnations:
             self.crashes[incarnation].suspects.pop(fingerprint)
         return bool(incarnations)
 
     def retract(self, incarnation):
-        """Void the reports of an incarnation; return whose they were."""
+        """Retract an incarnation's reports; return its suspects."""
         crash = self.crashes.get(incarnation)
-        self.void[incarnation] = True
-        if len(self.void) > _MOST_VOID:
-            self.void.pop(next(iter(self.void)))
+        self.retracted[incarnation] = True
+        if len(self.retracted) > _MAX_RETRACTED:
+            self.retracted.pop(next(iter(self.retracted)))
         if crash is None:
             return ()
         self._drop(crash)
         return tuple(crash.suspects)
 
-    def count(self, fingerprint):
-        """Return how many processes have ended under a request."""
-        return len(self.under.get(fingerprint, ()))
+    def crash_count(self, fingerprint):
+        """Return the number of processes that crashed running a request."""
+        return len(self.incarnations.get(fingerprint, ()))
 
-    def of(self, service):
+    def crashes_of(self, service):
         """Return the crashes of a service's upstreams."""
         return [
             crash for crash in self.crashes.values() if crash.service == service
         ]
 
     def reporters(self, fingerprint):
-        """Return the hosts that had a request where a process ended."""
+        """Return the hosts that reported a request as a suspect."""
         found = set()
-        for incarnation in self.under.get(fingerprint, ()):
+        for incarnation in self.incarnations.get(fingerprint, ()):
             found.update(self.crashes[incarnation].hosts.get(fingerprint, ()))
         return found
 
     def expire(self):
-        """Forget what is too old."""
+        """Drop crashes older than :data:`KEPT_SECONDS`."""
         oldest = self.clock.seconds() - KEPT_SECONDS
         for crash in list(self.crashes.values()):
             if crash.at < oldest:
                 self._drop(crash)
 
-    def _add(self, crash, report, suspect):
-        """Add a suspect to a crash; return whether it is new there."""
+    def _add_suspect(self, crash, report, suspect):
+        """Add a suspect to a crash; return whether it was changed by it."""
         known = crash.suspects.get(suspect.fingerprint)
-        if known is None and len(crash.suspects) >= _MOST_SUSPECTS:
+        if known is None and len(crash.suspects) >= _MAX_SUSPECTS:
             return False
         hosts = crash.hosts.setdefault(suspect.fingerprint, set())
         hosts.add(report.host)
         if known is not None and known.ran >= suspect.ran:
             return False
         crash.suspects[suspect.fingerprint] = suspect
-        under = self.under.setdefault(suspect.fingerprint, set())
-        under.add(crash.incarnation)
+        incarnations = self.incarnations.setdefault(suspect.fingerprint, set())
+        incarnations.add(crash.incarnation)
         return True
 
     def _drop_oldest(self):
-        if len(self.crashes) > _MOST_CRASHES:
+        if len(self.crashes) > _MAX_CRASHES:
             self._drop(next(iter(self.crashes.values())))
 
     def _drop(self, crash):
         self.crashes.pop(crash.incarnation)
         for fingerprint in crash.suspects:
-            under = self.under[fingerprint]
-            under.discard(crash.incarnation)
-            if not under:
-                self.under.pop(fingerprint)
+            incarnations = self.incarnations[fingerprint]
+            incarnations.discard(crash.incarnation)
+            if not incarnations:
+                self.incarnations.pop(fingerprint)
--- a/pollenstile/quarantine/_fingerprint.py
+++ b/pollenstile/quarantine/_fingerprint.py
@@ -1,10 +1,10 @@
-"""What identifies a request's content, and tells nobody what it is."""
+"""Keyed digests that identify requests without revealing their content."""
 
 import hashlib
 
-# A fingerprint names a request in log lines, on the wire and in the store: long
-# enough that no two requests of a fleet share one by chance.
-_BYTES = 12
+# Fingerprints identify requests in log lines, on the wire and in the store.
+# They are long enough that no two requests of a fleet collide by chance.
+_DIGEST_BYTES = 12
 _LENGTH_BYTES = 8
 
 
@@ -14,23 +14,23 @@
     Explanation
     ===========
 
-    Without the key nobody can tell from a fingerprint whether a guess of the
-    content is right. Each part goes in with its length, so that no bytes can
-    move from one part to the next.
+    Without the key, a guess of the content can't be verified against its
+    fingerprint. The length of each part is hashed as well, so that moving
+    bytes from one part to the next changes the digest.
 
     Parameters
     ==========
 
     key : bytes
-        Secret of the fleet's hosts; empty while it isn't known.
+        Secret shared by the fleet's hosts; empty while it is unknown.
     parts : tuple of bytes
-        What makes two requests the same.
+        The parts of a request that identify it.
 
     Returns
     =======
 
     str
-        Hexadecimal; empty without a key.
+        Hexadecimal digest; empty without a key.
 
     Examples
     ========
@@ -46,7 +46,7 @@
     if not key:
         return ''
     digest = hashlib.blake2b(
-        key=key[: hashlib.blake2b.MAX_KEY_SIZE], digest_size=_BYTES
+        key=key[: hashlib.blake2b.MAX_KEY_SIZE], digest_size=_DIGEST_BYTES
     )
     for part in parts:
         digest.update(len(part).to_bytes(_LENGTH_BYTES))
--- a/pollenstile/quarantine/_quarantine.py
+++ b/pollenstile/quarantine/_quarantine.py
@@ -1,32 +1,34 @@
-"""What a host knows of requests that crash upstreams, and what follows."""
+"""Quarantine state of a host: crash evidence and the verdicts based on it."""
 
 import time
 from dataclasses import replace
 
 from pollenstile.ops.logs import silent_log
 from pollenstile.quarantine import events
+from pollenstile.quarantine._completedruns import CompletedRuns
 from pollenstile.quarantine._evidence import Evidence
-from pollenstile.quarantine._fingerprint import fingerprint
-from pollenstile.quarantine._types import News, Report, Verdict
-from pollenstile.quarantine._verdict import LEAST_CRASHES, blamed
+from pollenstile.quarantine._fingerprint import (
+    fingerprint as keyed_fingerprint,
+)
+from pollenstile.quarantine._types import QuarantineUpdate, Report, Verdict
+from pollenstile.quarantine._verdict import MIN_CRASHES, attribute_crashes
 from pollenstile.quarantine._verdicts import HOLD_SECONDS, Verdicts
-from pollenstile.quarantine._wholeruns import WholeRuns
 
 _MS = 1000
-# Why a request in quarantine is refused, for callers and between hosts.
+# Refusal reason of quarantined requests, for callers and between hosts.
 HELD_REASON = 'crashes upstreams'
-# Upstreams that may crash under a request before a host leaves it to the caller
-# whether it is sent again: a victim seldom meets two.
-_MOST_REPEATED = 2
+# Upstreams that may crash while running a request before a host leaves it to
+# the caller to retry. A request that is not the cause rarely meets two crashes.
+_MAX_CRASHES_BEFORE_RETRY = 2
 
 
 def unix_ms():
-    """Return the time of day in milliseconds."""
+    """Return the time of day in Unix milliseconds."""
     return int(time.time() * _MS)
 
 
 class Quarantine:
-    """Requests that are kept from upstreams, and what speaks against others.
+    """Quarantined requests, and the evidence against other requests.
 
     Parameters
     ==========
@@ -34,9 +36,9 @@
     clock : IReactorTime
         Seconds.
     host : str
-        The own name.
+        Name of this host.
     count_upstreams : function
-        Returns how many upstreams a service has.
+        Returns the number of upstreams of a service.
     log : function
         Writes events.
 
@@ -44,20 +46,21 @@
     ==========
 
     key : bytes
-        Secret of the fleet's hosts; empty while it isn't known, and no request
-        has a fingerprint.
+        Secret shared by the fleet's hosts. While it is empty (unknown),
+        requests have no fingerprints.
     now_ms : function
         Returns Unix milliseconds.
-    on_news : function
-        Called with :class:`News` that this host has found itself.
+    on_update : function
+        Called with each :class:`QuarantineUpdate` that originates here.
     on_verdict : function
-        Called with a verdict that this host has reached, or that lifts one.
+        Called with each verdict that this host reaches, and with each release.
     on_held : function
-        Called with the fingerprint of a request that is held from now on.
+        Called with the fingerprint of each newly quarantined request.
     """
 
     __slots__ = (
         'clock',
+        'completed_runs',
         'count_upstreams',
         'evidence',
         'host',
@@ -65,10 +68,9 @@
         'log',
         'now_ms',
         'on_held',
-        'on_news',
+        'on_update',
         'on_verdict',
         'verdicts',
-        'whole_runs',
     )
 
     def __init__(self, clock, host, count_upstreams, log=silent_log):
@@ -80,127 +82,134 @@
         self.key = b''
         self.evidence = Evidence(clock)
         self.verdicts = Verdicts(clock)
-        self.whole_runs = WholeRuns(clock)
-        self.on_news = _nobody
-        self.on_verdict = _nobody
-        self.on_held = _nobody
+        self.completed_runs = CompletedRuns(clock)
+        self.on_update = _ignore
+        self.on_verdict = _ignore
+        self.on_held = _ignore
 
     def fingerprint(self, *parts):
-        """Return a content's fingerprint; empty while there is no key."""
-        return fingerprint(self.key, *parts)
+        """Return a request's fingerprint; empty while the key is unknown."""
+        return keyed_fingerprint(self.key, *parts)
 
-    def is_held(self, content):
-        """Return whether a request is kept from upstreams, by fingerprint."""
-        return self.verdicts.held(content) is not None
+    def is_held(self, fingerprint):
+        """Return whether a request is in quarantine."""
+        return self.verdicts.held_verdict(fingerprint) is not None
 
-    def is_suspect(self, content):
-        """Return whether an upstream has crashed under a request."""
-        return self.evidence.count(content) > 0
+    def is_suspect(self, fingerprint):
+        """Return whether an upstream has crashed while running a request."""
+        return self.evidence.crash_count(fingerprint) > 0
 
-    def may_repeat(self, content):
-        """Return whether a host sends a request again by itself."""
-        return self.evidence.count(content) < _MOST_REPEATED
+    def may_repeat(self, fingerprint):
+        """Return whether a host may retry a request without its caller."""
+        crashes = self.evidence.crash_count(fingerprint)
+        return crashes < _MAX_CRASHES_BEFORE_RETRY
 
     def note_crash(self, incarnation, service, suspects):
-        """Take what this host had at a process that has ended."""
+        """Report a crashed process and the requests in flight there."""
         fresh = tuple(
-            one
-            for one in suspects
-            if not self.whole_runs.is_shown(one.fingerprint)
+            suspect
+            for suspect in suspects
+            if not self.completed_runs.has_recent(suspect.fingerprint)
         )
         report = Report(incarnation, service, self.host, fresh)
-        self._tell(self.take(News(reports=(report,))))
+        self._announce(self.apply(QuarantineUpdate(reports=(report,))))
 
-    def note_whole(self, content):
-        """Note that a request ran to its end on some upstream."""
-        if not content:
+    def note_whole(self, fingerprint):
+        """Record that a request ran to completion on some upstream."""
+        if not fingerprint:
             return
-        self.whole_runs.note(content)
-        if self.is_suspect(content) or self.is_held(content):
-            self._tell(self.take(News(cleared=(content,))))
-
-    def note_answer(self, incarnation, asked_at):
-        """Note that a process answered what it was asked at some time."""
+        self.completed_runs.add(fingerprint)
+        if self.is_suspect(fingerprint) or self.is_held(fingerprint):
+            self._announce(
+                self.apply(QuarantineUpdate(cleared=(fingerprint,))),
+            )
+
+    def note_answer(self, incarnation, sent_at):
+        """Record that a process answered a call that was sent at a time."""
         crash = self.evidence.crashes.get(incarnation)
-        if crash is not None and asked_at > crash.at:
-            self._tell(self.take(News(alive=(incarnation,))))
+        if crash is not None and sent_at > crash.at:
+            self._announce(self.apply(QuarantineUpdate(alive=(incarnation,))))
 
-    def lift(self, content, reason):
-        """Let a request go to upstreams again."""
-        held = self.verdicts.held(content)
+    def release(self, fingerprint, reason):
+        """Release a request from quarantine."""
+        held = self.verdicts.held_verdict(fingerprint)
         if held is None:
             return
         changed = max(self.now_ms(), held.changed + 1)
-        lifted = replace(held, changed=changed, is_held=False)
-        self._take_lifted(lifted, reason)
-        self._tell(News(verdicts=(lifted,)))
-
-    def take(self, news):
-        """Take what was told; return the part of it that is new here."""
-        added = [self.evidence.add(one) for one in news.reports]
-        reports = tuple(one for one in added if one is not None)
-        fresh = News(
+        released = replace(held, changed=changed, is_held=False)
+        self._apply_release(released, reason)
+        self._announce(QuarantineUpdate(verdicts=(released,)))
+
+    def apply(self, update):
+        """Apply an update; return the part of it that is new here."""
+        added = [self.evidence.add(report) for report in update.reports]
+        reports = tuple(report for report in added if report is not None)
+        fresh = QuarantineUpdate(
             reports,
-            tuple(one for one in news.alive if self._retract(one)),
-            tuple(one for one in news.cleared if self._clear(one)),
-            tuple(one for one in news.verdicts if self._take_verdict(one)),
+            tuple(name for name in update.alive if self._retract(name)),
+            tuple(digest for digest in update.cleared if self._clear(digest)),
+            tuple(
+                verdict
+                for verdict in update.verdicts
+                if self._apply_verdict(verdict)
+            ),
         )
         for report in reports:
             self._judge(report)
         return fresh
 
     def expire(self):
-        """Forget what is too old; return the verdicts that have ended."""
+        """Drop old evidence and verdicts; return the expired verdicts."""
         self.evidence.expire()
-        ended = self.verdicts.expire()
-        for verdict in ended:
+        expired = self.verdicts.expire()
+        for verdict in expired:
             if verdict.is_held:
-                _log_lifted(self.log, verdict, 'its time is over')
-        return ended
+                _log_release(self.log, verdict, 'its time is over')
+        return expired
 
     def _judge(self, report):
-        """Hold those of a report's requests that have crashed too many."""
+        """Quarantine those suspects of a report that caused crashes."""
         suspected = [
-            one.fingerprint
-            for one in report.suspects
-            if self.evidence.count(one.fingerprint) >= LEAST_CRASHES
+            suspect.fingerprint
+            for suspect in report.suspects
+            if self.evidence.crash_count(suspect.fingerprint) >= MIN_CRASHES
         ]
         if not suspected:
             return
-        held = {one.fingerprint for one in self.verdicts.all_held()}
-        found = blamed(
+        held = {verdict.fingerprint for verdict in self.verdicts.all_held()}
+        found = attribute_crashes(
             suspected,
-            self.evidence.of(report.service),
+            self.evidence.crashes_of(report.service),
             self.count_upstreams(report.service),
             self.clock.seconds(),
             held,
         )
-        for blame in found:
-            self._hold(report.service, blame)
+        for attribution in found:
+            self._hold(report.service, attribution)
 
-    def _hold(self, service, blame):
-        content = blame.suspect.fingerprint
-        known = self.verdicts.by_fingerprint.get(content)
+    def _hold(self, service, attribution):
+        fingerprint = attribution.suspect.fingerprint
+        known = self.verdicts.by_fingerprint.get(fingerprint)
         verdict = Verdict(
-            content,
-            blame.suspect.team,
+            fingerprint,
+            attribution.suspect.team,
             service,
-            blame.crashes,
+            attribution.crashes,
             max(self.now_ms(), known.changed + 1 if known else 0),
             is_held=True,
-            ends=self.clock.seconds() + HOLD_SECONDS,
+            expires_at=self.clock.seconds() + HOLD_SECONDS,
         )
-        if not self._take_verdict(verdict, chance=blame.chance):
+        if not self._apply_verdict(verdict, chance=attribution.chance):
             return
-        self._tell(News(verdicts=(verdict,)))
-        if self.is_held(content):
+        self._announce(QuarantineUpdate(verdicts=(verdict,)))
+        if self.is_held(fingerprint):
             self.on_verdict(verdict)
 
-    def _take_verdict(self, verdict, chance=None):
-        """Take a verdict; return whether it is news."""
+    def _apply_verdict(self, verdict, chance=None):
+        """Apply a verdict; return whether it is new here."""
         if not verdict.is_held:
-            return self._take_lifted(verdict, 'another host has lifted it')
-        if not self.verdicts.take(verdict):
+            return self._apply_release(verdict, 'another host has lifted it')
+        if not self.verdicts.apply(verdict):
             return False
         self.log(
             events.REQUEST_QUARANTINED,
@@ -210,52 +219,53 @@
             service=verdict.service,
             crashes=verdict.crashes,
             chance=chance,
-            left_ms=int((verdict.ends - self.clock.seconds()) * _MS),
+            left_ms=int((verdict.expires_at - self.clock.seconds()) * _MS),
         )
-        if self.whole_runs.is_shown(verdict.fingerprint):
-            # Those that saw the crashes can't know that it ran to its end here.
-            self.lift(verdict.fingerprint, 'it ran to its end here')
+        if self.completed_runs.has_recent(verdict.fingerprint):
+            # The hosts that saw the crashes don't know of the completed run on
+            # this host.
+            self.release(verdict.fingerprint, 'it ran to its end here')
         else:
             self.on_held(verdict.fingerprint)
         return True
 
-    def _take_lifted(self, verdict, reason):
-        """Take that a request is released; return whether it is news."""
+    def _apply_release(self, verdict, reason):
+        """Apply a release; return whether it is new here."""
         was_held = self.is_held(verdict.fingerprint)
-        if not self.verdicts.take(verdict):
+        if not self.verdicts.apply(verdict):
             return False
         self.evidence.clear(verdict.fingerprint)
         if was_held:
-            _log_lifted(self.log, verdict, reason)
+            _log_release(self.log, verdict, reason)
         self.on_verdict(verdict)
         return True
 
-    def _clear(self, content):
-        """Take that a request ran to its end; return whether it mattered."""
-        was_suspect = self.evidence.clear(content)
-        was_held = self.is_held(content)
+    def _clear(self, fingerprint):
+        """Apply a completed run; return whether it changed anything."""
+        was_suspect = self.evidence.clear(fingerprint)
+        was_held = self.is_held(fingerprint)
         if was_suspect:
-            self.log(events.SUSPECT_CLEARED, content=content)
-        self.lift(content, 'it ran to its end')
+            self.log(events.SUSPECT_CLEARED, content=fingerprint)
+        self.release(fingerprint, 'it ran to its end')
         return was_suspect or was_held
 
     def _retract(self, incarnation):
-        """Take that a process is alive; return whether reports fall by it."""
-        fallen = self.evidence.retract(incarnation)
-        if not fallen:
+        """Void a live process's reports; return whether there were any."""
+        suspects = self.evidence.retract(incarnation)
+        if not suspects:
             return False
-        self.log(events.CRASH_VOID, peer=incarnation, requests=len(fallen))
-        for content in fallen:
-            if self.evidence.count(content) < LEAST_CRASHES:
-                self.lift(content, 'its upstreams have not crashed')
+        self.log(events.CRASH_VOIDED, peer=incarnation, requests=len(suspects))
+        for fingerprint in suspects:
+            if self.evidence.crash_count(fingerprint) < MIN_CRASHES:
+                self.release(fingerprint, 'its upstreams have not crashed')
         return True
 
-    def _tell(self, news):
-        if not news.is_empty():
-            self.on_news(news)
+    def _announce(self, update):
+        if not update.is_empty():
+            self.on_update(update)
 
 
-def _log_lifted(log, verdict, reason):
+def _log_release(log, verdict, reason):
     log(
         events.QUARANTINE_LIFTED,
         content=verdict.fingerprint,
@@ -265,5 +275,5 @@
     )
 
 
-def _nobody(told):
-    """Stand for nobody who is told."""
+def _ignore(argument):
+    """Ignore a notification; the default of the callbacks."""
--- a/pollenstile/quarantine/_record.py
+++ b/pollenstile/quarantine/_record.py
@@ -1,4 +1,4 @@
-"""Verdicts in the store: what lasts, and what operators see."""
+"""Verdicts in the store, where they persist and operators see them."""
 
 from twisted.internet.defer import Deferred
 
@@ -6,37 +6,39 @@
 from pollenstile.peer import ranked
 from pollenstile.platform import Conflict, Written, paused
 from pollenstile.quarantine import events
-from pollenstile.quarantine._types import News, Verdict
+from pollenstile.quarantine._types import QuarantineUpdate, Verdict
 from pollenstile.quarantine._verdicts import HOLD_SECONDS
 
-# Kind of the store's entries, one for each request, by its fingerprint.
+# Kind of the store's entries: one for each quarantined request, named by its
+# fingerprint.
 QUARANTINED = 'pollenstile-quarantine'
-# Seconds for which each host waits for those before it to write a verdict.
+# Seconds that a host waits for each host ranked before it to write a verdict.
 _TURN_SECONDS = 1.0
-# Seconds between tries while the store does not answer.
-_RETRY = 1.0
+# Seconds between attempts to write while the store does not answer.
+_RETRY_SECONDS = 1.0
 _MS = 1000
 
 
 class Record:
-    """Writes verdicts into the store, and takes what stands there.
+    """Writes verdicts to the store, and applies changes of its entries.
 
     Explanation
     ===========
 
-    Of the hosts that had the request where upstreams ended, the first by
-    rendezvous writes, the next a second later if the entry has not come by
-    then. An entry that is deleted lifts the quarantine.
+    The hosts that reported the request as a suspect are ranked by rendezvous
+    hashing. The first writes the entry; each further one writes it a second
+    later, unless the entry has appeared by then. Deleting an entry releases
+    the request.
 
     Parameters
     ==========
 
     store : Store
-        Where the entries are.
+        The store that holds the entries.
     quarantine : Quarantine
-        What this host knows.
+        Quarantine state of this host.
     hosts : dict
-        The other hosts, by name; it changes as they come and go.
+        The other hosts by name; the caller updates it as membership changes.
     log : function
         Writes events.
 
@@ -44,7 +46,7 @@
     ==========
 
     standing : set of str
-        Fingerprints whose entries the store has.
+        Fingerprints with an entry in the store.
     """
 
     __slots__ = ('hosts', 'log', 'quarantine', 'standing', 'store')
@@ -58,36 +60,36 @@
         quarantine.on_verdict = self.write
 
     def take(self, change):
-        """Take a change of an entry."""
+        """Apply a change of an entry."""
         if change.value is None:
             self.standing.discard(change.name)
-            self.quarantine.lift(change.name, 'its entry was deleted')
+            self.quarantine.release(change.name, 'its entry was deleted')
             return
         self.standing.add(change.name)
         verdict = self._verdict(change)
         if verdict is None:
             return
-        if verdict.ends <= self.quarantine.clock.seconds():
+        if verdict.expires_at <= self.quarantine.clock.seconds():
             self._delete(change.name)
             return
         if self._is_released_since(verdict):
-            # Lifted before its entry had come here.
+            # The release was applied here before the entry was read.
             self._delete(change.name)
             return
-        self.quarantine.take(News(verdicts=(verdict,)))
+        self.quarantine.apply(QuarantineUpdate(verdicts=(verdict,)))
 
     def write(self, verdict):
-        """Have a verdict written, or its entry deleted."""
+        """Write an entry for a quarantine verdict; delete it for a release."""
         if not verdict.is_held:
             self._delete(verdict.fingerprint)
             return
         reporters = self.quarantine.evidence.reporters(verdict.fingerprint)
         if self.quarantine.host in reporters:
-            place = _place(verdict.fingerprint, self.quarantine.host, reporters)
-            Deferred.fromCoroutine(self._written(verdict, place))
+            rank = _rank(verdict.fingerprint, self.quarantine.host, reporters)
+            Deferred.fromCoroutine(self._write_in_turn(verdict, rank))
 
     def expire(self):
-        """Forget what is too old, in the store as well."""
+        """Drop old evidence and verdicts, in the store as well."""
         for verdict in self.quarantine.expire():
             if verdict.is_held:
                 self._delete(verdict.fingerprint)
@@ -99,9 +101,9 @@
             return False
         return known.changed >= verdict.changed
 
-    async def _written(self, verdict, place):
+    async def _write_in_turn(self, verdict, rank):
         clock = self.quarantine.clock
-        await paused(clock, place * _TURN_SECONDS)
+        await paused(clock, rank * _TURN_SECONDS)
         name = verdict.fingerprint
         while self.quarantine.is_held(name) and name not in self.standing:
             entry = {
@@ -119,18 +121,18 @@
                 content=name,
                 reason=getattr(outcome, 'reason', repr(outcome)),
             )
-            await paused(clock, _RETRY)
+            await paused(clock, _RETRY_SECONDS)
 
     def _delete(self, name):
-        """Delete an entry, if that falls to this host."""
+        """Delete an entry if this host ranks first for it."""
         hosts = {self.quarantine.host, *self.hosts}
-        is_first = _place(name, self.quarantine.host, hosts) == 0
+        is_first = _rank(name, self.quarantine.host, hosts) == 0
         if name in self.standing and is_first:
             self.standing.discard(name)
             Deferred.fromCoroutine(self.store.delete(QUARANTINED, name))
 
     def _verdict(self, change):
-        """Return the verdict of an entry, or None where it holds none."""
+        """Return the verdict of an entry, or None if it is malformed."""
         entry = change.value
         if not isinstance(entry, dict):
             return None
@@ -146,10 +148,10 @@
             crashes,
             since,
             is_held=True,
-            ends=self.quarantine.clock.seconds() + HOLD_SECONDS - age,
+            expires_at=self.quarantine.clock.seconds() + HOLD_SECONDS - age,
         )
 
 
-def _place(name, host, hosts):
-    """Return a host's place among those that could do something."""
+def _rank(name, host, hosts):
+    """Return a host's rendezvous rank for an entry, from 0."""
     return ranked(name, hosts, len(hosts)).index(host)
--- a/pollenstile/quarantine/_sharing.py
+++ b/pollenstile/quarantine/_sharing.py
@@ -1,4 +1,4 @@
-"""News of crashes and verdicts, from host to host."""
+"""Exchange of crash reports and verdicts between hosts."""
 
 from collections import defaultdict
 from functools import partial
@@ -9,32 +9,32 @@
 from pollenstile.peer import BadMessageError, Beat, Unanswered, neighbours
 from pollenstile.platform import paused
 from pollenstile.quarantine import events
-from pollenstile.quarantine._codec import news_bytes, news_from
-from pollenstile.quarantine._types import News, joined
-
-TELL = 'quarantine-news'
-COMPARE = 'quarantine-held'
-# Seconds in which news are gathered: each host that had a request at a process
-# reports it, within some round trips.
-_GATHER = 0.01
-# Seconds for a peer to take news, the connection included; tries, and the pause
-# between them.
-_TELL_SECONDS = 0.8
-_TRIES = 3
-_PAUSE = 0.3
-# Seconds between two comparisons with one peer.
-_COMPARE_PERIOD = 1.0
+from pollenstile.quarantine._codec import decode_update, encode_update
+from pollenstile.quarantine._types import QuarantineUpdate, merge_updates
+
+UPDATE_SUBJECT = 'quarantine-news'
+COMPARE_SUBJECT = 'quarantine-held'
+# Seconds over which updates are collected before they are sent. Each host with
+# requests at a crashed process reports it, within a few round trips.
+_COLLECT_SECONDS = 0.01
+# Seconds for a peer to accept an update, the connection included; the number of
+# attempts, and the pause between them.
+_SEND_TIMEOUT_SECONDS = 0.8
+_MAX_ATTEMPTS = 3
+_RETRY_SECONDS = 0.3
+# Minimum seconds between two comparisons with one peer.
+_COMPARE_PERIOD_SECONDS = 1.0
 
 
 class Sharing:
-    """Tells neighbours what is new here, and compares verdicts with peers.
+    """Forwards updates to neighbours, and compares verdicts with peers.
 
     Explanation
     ===========
 
-    What a host hears for the first time it tells its neighbours, but not the
-    one that it heard it from. Heartbeats carry a digest of the verdicts; where
-    it differs, both hosts send what they hold.
+    A host forwards each update that is new to it to its neighbours, except to
+    the one that sent it. Heartbeats carry a digest of the verdicts; when two
+    digests differ, both hosts send their verdicts.
 
     Parameters
     ==========
@@ -42,20 +42,20 @@
     hub : Hub
         Links to peers.
     quarantine : Quarantine
-        What this host knows.
+        Quarantine state of this host.
     hosts : dict
-        :class:`PeerHost` of each other host, by name; it changes as they come
-        and go.
+        :class:`PeerHost` of each other host, by name; the caller updates it as
+        membership changes.
     log : function
         Writes events.
     """
 
     __slots__ = (
         'compared_at',
-        'gathered',
         'hosts',
         'hub',
         'log',
+        'pending',
         'quarantine',
         'timer',
     )
@@ -65,29 +65,29 @@
         self.quarantine = quarantine
         self.hosts = hosts
         self.log = log
-        self.gathered = []
+        self.pending = []
         self.compared_at = {}
         self.timer = None
-        quarantine.on_news = self.tell
-        hub.requests.subjects[TELL] = self._told
-        hub.requests.subjects[COMPARE] = self._compared
-        hub.takers[Beat] = self._beaten
-
-    def tell(self, news, source=''):
-        """Tell the neighbours something, but not the host it came from."""
-        self.gathered.append((news, source))
+        quarantine.on_update = self.forward
+        hub.requests.subjects[UPDATE_SUBJECT] = self._on_update
+        hub.requests.subjects[COMPARE_SUBJECT] = self._on_compare
+        hub.takers[Beat] = self._on_heartbeat
+
+    def forward(self, update, source=''):
+        """Forward an update to the neighbours, except to its source."""
+        self.pending.append((update, source))
         if self.timer is None:
             clock = self.hub.clock
-            self.timer = clock.callLater(_GATHER, self._send_gathered)
+            self.timer = clock.callLater(_COLLECT_SECONDS, self._send_pending)
 
-    def _send_gathered(self):
+    def _send_pending(self):
         self.timer = None
-        gathered = self.gathered
-        self.gathered = []
+        pending = self.pending
+        self.pending = []
         for host in sorted(self._neighbours()):
-            parts = [news for news, source in gathered if source != host]
-            if parts:
-                Deferred.fromCoroutine(self._send(host, joined(parts)))
+            updates = [update for update, source in pending if source != host]
+            if updates:
+                Deferred.fromCoroutine(self._send(host, merge_updates(updates)))
 
     def _neighbours(self):
         hello = self.hub.hello
@@ -96,62 +96,67 @@
             domains[host.domain].append(name)
         return neighbours(hello.host, hello.domain, domains)
 
-    async def _send(self, host, news):
+    async def _send(self, host, update):
         clock = self.hub.clock
         answer = None
-        for attempt in range(_TRIES):
+        for attempt in range(_MAX_ATTEMPTS):
             if attempt:
-                await paused(clock, _PAUSE)
+                await paused(clock, _RETRY_SECONDS)
             peer = self.hosts.get(host)
             if peer is None or self.hub.stopped:
                 return
             answer = await self.hub.ask(
                 host,
-                TELL,
-                news_bytes(news, clock.seconds()),
-                _TELL_SECONDS,
+                UPDATE_SUBJECT,
+                encode_update(update, clock.seconds()),
+                _SEND_TIMEOUT_SECONDS,
                 peer.address,
             )
             if not isinstance(answer, Unanswered):
                 return
-        self.log(events.NEWS_UNTOLD, peer=host, reason=answer.reason)
+        self.log(events.UPDATE_UNSENT, peer=host, reason=answer.reason)
 
-    def _told(self, host, body):
-        fresh = self._taken(body)
+    def _on_update(self, host, body):
+        fresh = self._apply(body)
         if not fresh.is_empty():
-            self.tell(fresh, host)
+            self.forward(fresh, host)
         return b''
 
-    def _taken(self, body):
+    def _apply(self, body):
         now = self.hub.clock.seconds()
-        return self.quarantine.take(news_from(body, now))
+        return self.quarantine.apply(decode_update(body, now))
 
-    def _beaten(self, link, beat):
+    def _on_heartbeat(self, link, beat):
         """Compare verdicts with a peer whose digest differs."""
         if beat.quarantine == self.quarantine.verdicts.digest():
             return
         now = self.hub.clock.seconds()
-        last = self.compared_at.get(link.host, -_COMPARE_PERIOD)
-        if now - last < _COMPARE_PERIOD:
+        last = self.compared_at.get(link.host, -_COMPARE_PERIOD_SECONDS)
+        if now - last < _COMPARE_PERIOD_SECONDS:
             return
         self.compared_at[link.host] = now
-        answer = self.hub.ask(link.host, COMPARE, self._own(), _TELL_SECONDS)
-        answer.addCallback(partial(self._answered, link.host))
-
-    def _answered(self, host, answer):
+        answer = self.hub.ask(
+            link.host,
+            COMPARE_SUBJECT,
+            self._own_verdicts(),
+            _SEND_TIMEOUT_SECONDS,
+        )
+        answer.addCallback(partial(self._on_compare_answer, link.host))
+
+    def _on_compare_answer(self, host, answer):
         if isinstance(answer, Unanswered):
-            self.log(events.NEWS_UNTOLD, peer=host, reason=answer.reason)
+            self.log(events.UPDATE_UNSENT, peer=host, reason=answer.reason)
             return
         try:
-            self._told(host, answer)
+            self._on_update(host, answer)
         except BadMessageError as error:
-            self.log(events.NEWS_UNTOLD, peer=host, reason=str(error))
+            self.log(events.UPDATE_UNSENT, peer=host, reason=str(error))
 
-    def _compared(self, host, body):
-        self._told(host, body)
-        return self._own()
+    def _on_compare(self, host, body):
+        self._on_update(host, body)
+        return self._own_verdicts()
 
-    def _own(self):
+    def _own_verdicts(self):
         verdicts = self.quarantine.verdicts.by_fingerprint.values()
-        news = News(verdicts=tuple(verdicts))
-        return news_bytes(news, self.hub.clock.seconds())
+        update = QuarantineUpdate(verdicts=tuple(verdicts))
+        return encode_update(update, self.hub.clock.seconds())
--- a/pollenstile/quarantine/_types.py
+++ b/pollenstile/quarantine/_types.py
@@ -1,21 +1,21 @@
-"""What hosts tell each other of crashes, and what follows from them."""
+"""Crash reports, verdicts and the updates that hosts exchange about them."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class Suspect:
-    """A request that was under way where a process ended.
+    """A request that was in flight at a process when it crashed.
 
     Parameters
     ==========
 
     fingerprint : str
-        Of its content.
+        Fingerprint of the request.
     team : str
-        Who sent it; empty on public routes.
+        The calling team; empty on public routes.
     ran : float
-        Seconds for which it had run there, at most.
+        Upper bound of the time for which it had run there.
     """
 
     fingerprint: str
@@ -25,17 +25,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """One host's word on a process that has ended.
+    """One host's report of a crashed process.
 
     Parameters
     ==========
 
     incarnation, service : str
-        Which process.
+        The process, and the service that it belongs to.
     host : str
-        Who reports it.
+        The reporting host.
     suspects : tuple of Suspect
-        What that host had there.
+        Requests that the reporting host had in flight there.
     """
 
     incarnation: str
@@ -52,15 +52,15 @@
     ==========
 
     fingerprint, team, service : str
-        Of the request.
+        The request, its team and the service that it crashed.
     crashes : int
-        Processes that had ended under it.
+        Number of processes that crashed while running it.
     changed : int
-        Unix milliseconds of this word; of two the later one holds.
+        Unix milliseconds of the decision; the later of two verdicts wins.
     is_held : bool
-        Whether it is in quarantine, or was released from it.
-    ends : float
-        On this host's clock: when the word is forgotten.
+        True while the request is in quarantine, False after its release.
+    expires_at : float
+        Local clock time at which the verdict is dropped.
     """
 
     fingerprint: str
@@ -69,21 +69,22 @@
     crashes: int
     changed: int
     is_held: bool
-    ends: float
+    expires_at: float
 
 
 @dataclass(slots=True, frozen=True)
-class News:
-    """What one host tells another.
+class QuarantineUpdate:
+    """Reports and verdicts that one host sends to another.
 
     Parameters
     ==========
 
     reports : tuple of Report
     alive : tuple of str
-        Incarnations that answer, so that reports of them are void.
+        Incarnations that answer requests, so that reports of their crash are
+        void.
     cleared : tuple of str
-        Fingerprints of requests that ran to their end.
+        Fingerprints of requests that ran to completion.
     verdicts : tuple of Verdict
     """
 
@@ -93,16 +94,22 @@
     verdicts: tuple[Verdict, ...] = ()
 
     def is_empty(self):
-        """Return whether nothing is told."""
-        told = self.reports or self.alive or self.cleared or self.verdicts
-        return not told
-
-
-def joined(parts):
-    """Return one :class:`News` of several, each thing once."""
-    return News(
-        tuple(dict.fromkeys(one for part in parts for one in part.reports)),
-        tuple(dict.fromkeys(one for part in parts for one in part.alive)),
-        tuple(dict.fromkeys(one for part in parts for one in part.cleared)),
-        tuple(dict.fromkeys(one for part in parts for one in part.verdicts)),
+        """Return whether the update holds nothing."""
+        held = self.reports or self.alive or self.cleared or self.verdicts
+        return not held
+
+
+def merge_updates(updates):
+    """Return one update with the distinct entries of several."""
+    return QuarantineUpdate(
+        tuple(
+            dict.fromkeys(entry for part in updates for entry in part.reports)
+        ),
+        tuple(dict.fromkeys(entry for part in updates for entry in part.alive)),
+        tuple(
+            dict.fromkeys(entry for part in updates for entry in part.cleared)
+        ),
+        tuple(
+            dict.fromkeys(entry for part in updates for entry in part.verdicts)
+        ),
     )
--- a/pollenstile/quarantine/_verdict.py
+++ b/pollenstile/quarantine/_verdict.py
@@ -1,31 +1,33 @@
-"""Which requests crash the upstreams that run them, without I/O."""
+"""Attribution of upstream crashes to the requests that caused them."""
 
 import math
 from dataclasses import dataclass
 
-# Processes that must have ended under a request before it is blamed: with one
-# or two, all that ran beside it are as likely.
-LEAST_CRASHES = 3
-# A request is blamed when chance would bring so many crashes more rarely.
-_MOST_CHANCE = 1e-5
-# Seconds before and after a crash in which others tell how often upstreams of
-# the service crash at that time.
-_NEAR_SECONDS = 5.0
+# Processes that must have crashed while running a request before crashes are
+# attributed to it. With one or two, every request that ran beside it is as
+# likely a cause.
+MIN_CRASHES = 3
+# Crashes are attributed to a request when that many would occur by chance with
+# a smaller probability than this.
+_MAX_CHANCE = 1e-5
+# Seconds before and after a crash over which the crash rate of the service's
+# upstreams is measured.
+_RATE_WINDOW_SECONDS = 5.0
 
 
 @dataclass(slots=True, frozen=True)
-class Blame:
+class Attribution:
     """A request that has crashed upstreams.
 
     Parameters
     ==========
 
     suspect : Suspect
-        The request, as one of the reports has it.
+        The request, as one of the reports gives it.
     crashes : int
-        Processes that ended under it.
+        Number of processes that crashed while running it.
     chance : float
-        How likely that is for one that is not to blame.
+        Probability of so many crashes for a request that does not cause any.
     """
 
     suspect: object
@@ -33,96 +35,102 @@
     chance: float
 
 
-def blamed(suspected, crashes, upstreams, now, held=()):
-    """Return those of some requests that have crashed upstreams of a service.
+def attribute_crashes(suspected, crashes, upstreams, now, held=()):
+    """Return the requests that have crashed upstreams of a service.
 
     Explanation
     ===========
 
-    What crashes an upstream does so as it begins, time after time. What ran
-    beside it ran for longer: for that time, and the rate at which upstreams
-    crash, some crashes are to be expected. The request whose crashes are least
-    to be expected is blamed first. They are explained then, and speak against
-    nobody else.
+    A request that crashes upstreams does so soon after its start, each time.
+    Requests that run beside it have run for longer; from their run times and
+    the crash rate of the upstreams follows how many crashes to expect by
+    chance. Crashes are first attributed to the request for which they are
+    least probable. These crashes are then explained, and no longer count as
+    evidence against other requests.
 
     Parameters
     ==========
 
     suspected : collection of str
-        Fingerprints of those under which another upstream has crashed.
+        Fingerprints of requests with a newly reported crash.
     crashes : list of Crash
-        Of one service.
+        Crashes of one service.
     upstreams : int
-        That the service has.
+        Number of upstreams of the service.
     now : float
-        On the clock.
+        Local clock time.
     held : collection of str
-        Fingerprints that are blamed already; their crashes are explained.
+        Fingerprints in quarantine already; their crashes are explained.
 
     Returns
     =======
 
-    list of Blame
+    list of Attribution
     """
-    left = [
+    unexplained = [
         crash for crash in crashes if crash.suspects.keys().isdisjoint(held)
     ]
     found = []
     while True:
-        first = _first_to_blame(suspected, left, upstreams, now)
+        first = _least_probable(suspected, unexplained, upstreams, now)
         if first is None:
             return found
         found.append(first)
         fingerprint = first.suspect.fingerprint
-        left = [crash for crash in left if fingerprint not in crash.suspects]
+        unexplained = [
+            crash for crash in unexplained if fingerprint not in crash.suspects
+        ]
 
 
-def _first_to_blame(suspected, crashes, upstreams, now):
-    """Return the request that chance explains least, if it is to blame."""
-    rate = _rates(crashes, upstreams, now)
+def _least_probable(suspected, crashes, upstreams, now):
+    """Return the least probable attribution, or None if chance explains it."""
+    rate = _crash_rate(crashes, upstreams, now)
     found = []
-    for content in suspected:
-        own = [crash for crash in crashes if content in crash.suspects]
-        if len(own) >= LEAST_CRASHES:
-            found.append(_blame(content, own, rate))
-    first = min(found, key=lambda one: one.chance, default=None)
-    if first is None or first.chance > _MOST_CHANCE:
+    for fingerprint in suspected:
+        own = [crash for crash in crashes if fingerprint in crash.suspects]
+        if len(own) >= MIN_CRASHES:
+            found.append(_attribution(fingerprint, own, rate))
+    first = min(found, key=lambda candidate: candidate.chance, default=None)
+    if first is None or first.chance > _MAX_CHANCE:
         return None
     return first
 
 
-def _rates(crashes, upstreams, now):
-    """Return a function of how often each upstream crashes about a moment."""
+def _crash_rate(crashes, upstreams, now):
+    """Return a function of the crash rate per upstream around a time."""
 
     def rate(moment):
-        near = sum(abs(one.at - moment) <= _NEAR_SECONDS for one in crashes)
-        known = _NEAR_SECONDS + min(_NEAR_SECONDS, now - moment)
+        near = sum(
+            abs(crash.at - moment) <= _RATE_WINDOW_SECONDS for crash in crashes
+        )
+        known = _RATE_WINDOW_SECONDS + min(_RATE_WINDOW_SECONDS, now - moment)
         return near / (known * max(1, upstreams))
 
     return rate
 
 
-def _blame(fingerprint, own, rate):
-    # What crashes its upstreams does so as it begins; one that once ran for
-    # longer could have been met by chance for as long each time.
+def _attribution(fingerprint, own, rate):
+    # A request that causes crashes crashes each upstream soon after its start.
+    # One that ran for longer once may have been hit by chance during as long a
+    # time in each crash, so its longest run time counts for all of them.
     ran = max(crash.suspects[fingerprint].ran for crash in own)
     expected = ran * sum(rate(crash.at) for crash in own)
     suspect = own[-1].suspects[fingerprint]
-    return Blame(suspect, len(own), chance_of(len(own), expected))
+    return Attribution(suspect, len(own), poisson_tail(len(own), expected))
 
 
-def chance_of(count, expected):
-    """Return how likely so many events or more are (Poisson).
+def poisson_tail(count, expected):
+    """Return the Poisson probability of at least ``count`` events.
 
     Examples
     ========
 
-    >>> from pollenstile.quarantine import chance_of
-    >>> round(chance_of(1, 0.1), 4)
+    >>> from pollenstile.quarantine import poisson_tail
+    >>> round(poisson_tail(1, 0.1), 4)
     0.0952
-    >>> chance_of(3, 0.0)
+    >>> poisson_tail(3, 0.0)
     0.0
-    >>> chance_of(3, 30.0) > 0.99
+    >>> poisson_tail(3, 30.0) > 0.99
     True
     """
     if expected <= 0:
@@ -134,7 +142,8 @@
         term *= expected / (number + 1)
     if 2 * below < 1:
         return 1 - below
-    # Summed from above: one less a sum near one would lose all digits.
+    # The tail is summed directly: one minus a sum close to one would cancel all
+    # significant digits.
     above = 0.0
     number = count
     while term > above * 1e-12:
--- a/pollenstile/quarantine/events.py
+++ b/pollenstile/quarantine/events.py
@@ -1,4 +1,4 @@
-"""Log events of requests that crash upstreams."""
+"""Log events of the quarantine."""
 
 from pollenstile.ops.events import define
 
@@ -6,30 +6,32 @@
     1401,
     'request-quarantined',
     'A request has crashed upstreams; it is refused from now on.',
-    'Find what in it does; `pollenstile quarantine` lists and lifts.',
+    'Find the cause in the request; `pollenstile quarantine` lists quarantined'
+    ' requests and releases them.',
 )
 QUARANTINE_LIFTED = define(
     1402,
     'quarantine-lifted',
-    'A request is sent to upstreams again; the reason is in the line.',
+    'A request is released from quarantine; the line gives the reason.',
 )
 SUSPECT_CLEARED = define(
     1403,
     'suspect-cleared',
-    'A request that was under way where upstreams crashed ran to its end.',
+    'A request that was in flight at crashed upstreams ran to completion.',
 )
-CRASH_VOID = define(
+CRASH_VOIDED = define(
     1404,
     'crash-void',
-    'An upstream that was reported as crashed answers; the reports fall.',
+    'An upstream that was reported as crashed answers; the reports are void.',
 )
 QUARANTINE_UNWRITTEN = define(
     1405,
     'quarantine-unwritten',
-    'The store has not taken a verdict; the host tries again.',
+    'Writing a verdict to the store failed; the host retries.',
 )
-NEWS_UNTOLD = define(
+UPDATE_UNSENT = define(
     1406,
     'quarantine-untold',
-    'A peer did not take news of crashes; others tell it, or the store.',
+    'A peer did not accept a quarantine update; it gets the update from other'
+    ' hosts or from the store.',
 )
--- a/pollenstile/quarantine/messages.capnp
+++ b/pollenstile/quarantine/messages.capnp
@@ -1,5 +1,5 @@
 @0xa93e5c17d08b42f6;
-# What hosts tell each other of requests that crash upstreams; carried as bodies
+# Updates about requests that crash upstreams, exchanged between hosts as bodies
 # of asks and answers. Fingerprints are raw bytes.
 
 struct Suspect {
@@ -20,18 +20,18 @@
   team @1 :Text;
   service @2 :Text;
   crashes @3 :UInt16;
-  # Unix milliseconds; of two words the later one holds.
+  # Unix milliseconds of the decision; the later of two verdicts wins.
   changed @4 :UInt64;
   held @5 :Bool;
-  # For how much longer the word is kept.
+  # Remaining time for which the verdict is kept.
   leftMs @6 :UInt32;
 }
 
 struct News {
   reports @0 :List(Report);
-  # Incarnations that answer.
+  # Incarnations that answer requests.
   alive @1 :List(Text);
-  # Fingerprints of requests that ran to their end.
+  # Fingerprints of requests that ran to completion.
   cleared @2 :List(Data);
   verdicts @3 :List(Verdict);
 }
