--- a/features/builders/limits.py
+++ b/features/builders/limits.py
@@ -1,4 +1,4 @@
-"""Entry hosts with a small manifest over upstreams in virtual time."""
+"""Load tests of entry hosts with a small manifest, in virtual time."""
 
 import random
 
@@ -26,14 +26,14 @@
     calm_network,
 )
 
-WORK = 0.1
+WORK_SECONDS = 0.1
 SLOTS = 4
-_TICK = 0.01
-_DEADLINES = {'urgent': 1000, 'normal': 2000, 'batch': 10000}
+_TICK_SECONDS = 0.01
+_DEADLINES_MS = {'urgent': 1000, 'normal': 2000, 'batch': 10000}
 
 
 def small_manifest(upstreams=4, max_queue=2000):
-    """Return a manifest with one pool and a pipeline for each class."""
+    """Return a manifest with one pool and a pipeline per urgency class."""
     members = {}
     for number in range(upstreams):
         members[f'u{number}'] = Upstream(
@@ -45,12 +45,12 @@
     teams = {'large': Team(['a' * 64], 4.0)}
     for number in range(3):
         teams[f'small{number}'] = Team([f'{number}' * 64], 1.0)
-    for urgency, deadline in _DEADLINES.items():
+    for urgency, deadline in _DEADLINES_MS.items():
         stage = Stage(
             'call',
             'workers',
             hedge=True,
-            expect_ms=int(WORK * 1000),
+            expect_ms=int(WORK_SECONDS * 1000),
         )
         pipelines[urgency] = Pipeline(
             deadline,
@@ -69,21 +69,21 @@
 
 
 def unchanged(node):
-    """Leave a node as it is built."""
+    """Leave a node unchanged."""
 
 
-class Story:
-    """Hosts, upstreams and what callers got.
+class LoadTest:
+    """Hosts, upstreams and records of all requests.
 
     Parameters
     ==========
 
     hosts : int
-        Entry hosts, each with its own view.
+        Number of entry hosts, each with its own state.
     change : function
-        Takes each node after it is built; removes a guard where asked.
+        Called with each node after it is built, e.g. to remove a limit.
     max_queue : int
-        Requests that a host keeps waiting.
+        Maximum number of queued requests of a host.
     """
 
     def __init__(self, hosts=2, change=unchanged, max_queue=2000):
@@ -106,10 +106,10 @@
             node = self._node(f'h{number}', network)
             change(node)
             self.nodes.append(node)
-        self.told = []
+        self.records = []
 
     def _work(self):
-        return self.rng.uniform(0.8, 1.2) * WORK
+        return self.rng.uniform(0.8, 1.2) * WORK_SECONDS
 
     def _node(self, name, network):
         settings = settings_from(
@@ -125,7 +125,7 @@
         )
 
     def ask(self, team, urgency):
-        """Ask a random host; the result is kept in ``told``."""
+        """Send a request to a random host; add a record to ``records``."""
         node = self.rng.choice(self.nodes)
         now = self.clock.seconds()
         request = Request(
@@ -134,54 +134,57 @@
             self.snapshot,
             team,
             'report',
-            now + _DEADLINES[urgency] / 1000,
+            now + _DEADLINES_MS[urgency] / 1000,
         )
-        told = {'team': team, 'urgency': urgency, 'asked': now}
-        told['deadline'] = request.deadline
-        self.told.append(told)
+        record = {'team': team, 'urgency': urgency, 'asked': now}
+        record['deadline'] = request.deadline
+        self.records.append(record)
         running = Deferred.fromCoroutine(outcome_of(node.core, request))
-        running.addCallback(self._keep, told)
+        running.addCallback(self._record, record)
 
-    def _keep(self, outcome, told):
-        told['outcome'] = outcome
-        told['at'] = self.clock.seconds()
+    def _record(self, outcome, record):
+        record['outcome'] = outcome
+        record['at'] = self.clock.seconds()
 
     def load(self, seconds, rates):
-        """Ask at rates a second, by team and class, for some time."""
-        for _ in range(round(seconds / _TICK)):
+        """Send requests at rates per second, by team and class."""
+        for _ in range(round(seconds / _TICK_SECONDS)):
             for (team, urgency), rate in rates.items():
-                if self.rng.random() < rate * _TICK:
+                if self.rng.random() < rate * _TICK_SECONDS:
                     self.ask(team, urgency)
-            self.clock.advance(_TICK)
+            self.clock.advance(_TICK_SECONDS)
 
     def drain(self, seconds=12):
-        """Let all that is open come to its end."""
-        for _ in range(round(seconds / _TICK)):
-            self.clock.advance(_TICK)
+        """Let all open requests end."""
+        for _ in range(round(seconds / _TICK_SECONDS)):
+            self.clock.advance(_TICK_SECONDS)
 
-    def attained(self, since=0, **wanted):
-        """Return the share answered in time of those that match."""
+    def attainment(self, since=0, **wanted):
+        """Return the share of matching requests that was answered in time."""
         total = 0
         good = 0
-        for told in self.told:
-            if told['asked'] < since:
+        for record in self.records:
+            if record['asked'] < since:
                 continue
-            if any(told[key] != value for key, value in wanted.items()):
+            if any(record[key] != value for key, value in wanted.items()):
                 continue
             total += 1
-            answered = isinstance(told.get('outcome'), Answered)
-            good += answered and told['at'] <= told['deadline']
-        assert total, 'nobody asked'
+            answered = isinstance(record.get('outcome'), Answered)
+            good += answered and record['at'] <= record['deadline']
+        assert total, 'no request matches'
         return good / total
 
     def refusals(self):
-        """Return those that were refused as not run."""
+        """Return the records of requests that were refused as not run."""
         return [
-            told
-            for told in self.told
-            if isinstance(told.get('outcome'), Refused)
+            record
+            for record in self.records
+            if isinstance(record.get('outcome'), Refused)
         ]
 
     def calls(self):
-        """Return the calls that each upstream has started."""
-        return {name: len(one.runs) for name, one in self.upstreams.items()}
+        """Return the number of calls that each upstream has started."""
+        return {
+            name: len(upstream.runs)
+            for name, upstream in self.upstreams.items()
+        }
--- a/features/steps/quarantine_stage_steps.py
+++ b/features/steps/quarantine_stage_steps.py
@@ -39,7 +39,8 @@
 def given_queue(context, count):
     context.queue = Queue(*'dddd'[:count])
     for name in ('a', 'crashing', 'b'):
-        waiter = context.queue.owner.submit(_group_of(name))
+        request_group = _group_of(name)
+        waiter = context.queue.owner.submit(request_group)
         waiter.addCallback(context.queue.note, name)
     context.queue.clock.advance(0.01)
 
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the choice of an upstream."""
+"""Steps for the selection of an upstream."""
 
 import random
 from dataclasses import replace
@@ -6,20 +6,20 @@
 from behave import given, then, when
 from twisted.internet.task import Clock
 
-from features.builders.limits import SLOTS, Story, small_manifest
+from features.builders.limits import SLOTS, LoadTest, small_manifest
 from pollenstile.routing import Hints, Tracker, chosen
 from pollenstile.upstream import Load
 
 
 class _Pool:
-    """A pool, what is known of it, and choices from it."""
+    """A pool, the state of its upstreams, and choices from it."""
 
     def __init__(self, *domains):
         self.pool = small_manifest().pools['workers']
         upstreams = {}
-        for place, (name, one) in enumerate(self.pool.upstreams.items()):
-            domain = domains[place % len(domains)] if domains else 'here'
-            upstreams[name] = replace(one, domain=domain)
+        for index, (name, upstream) in enumerate(self.pool.upstreams.items()):
+            domain = domains[index % len(domains)] if domains else 'here'
+            upstreams[name] = replace(upstream, domain=domain)
         self.pool = replace(self.pool, upstreams=upstreams)
         self.tracker = Tracker(Clock())
         self.rng = random.Random(3)
@@ -34,7 +34,7 @@
         )
 
     def send(self, count, **hints):
-        """Choose and start so many calls; return them by worker."""
+        """Choose workers for some calls; return the call counts by worker."""
         sent = dict.fromkeys(self.pool.upstreams, 0)
         for _ in range(count):
             name = self.choose(**hints).name
@@ -44,51 +44,51 @@
 
 
 def _slow_call(*, hedged=True):
-    story = Story(1)
+    load_test = LoadTest(1)
     for _ in range(60):
-        story.ask('large', 'urgent')
-        story.drain(0.15)
+        load_test.ask('large', 'urgent')
+        load_test.drain(0.15)
     if not hedged:
-        story.nodes[0].core.retries.tokens = 0
-        story.nodes[0].core.retries.ratio = 0
-    story.ask('large', 'urgent')
-    for upstream in story.upstreams.values():
+        load_test.nodes[0].core.retries.tokens = 0
+        load_test.nodes[0].core.retries.ratio = 0
+    load_test.ask('large', 'urgent')
+    for upstream in load_test.upstreams.values():
         upstream.faults.slow = 50.0
-    story.clock.advance(0.01)
-    for upstream in story.upstreams.values():
+    load_test.clock.advance(0.01)
+    for upstream in load_test.upstreams.values():
         upstream.faults.slow = 1.0
-    story.drain(2)
-    return story
+    load_test.drain(2)
+    return load_test
 
 
-@given('a routing host whose worker turns slow under a call')
+@given('a routing host whose worker becomes slow during a call')
 def step_slow(context):
-    context.story = _slow_call()
+    context.load_test = _slow_call()
 
 
 @then('the routing request is answered by another worker in time')
 def step_answered(context):
-    told = context.story.told[-1]
-    assert told['outcome'].tag == 'answered', told
-    assert told['at'] <= told['deadline'], told
-    assert context.story.nodes[0].metrics.total('stage.hedged') >= 1
+    record = context.load_test.records[-1]
+    assert record['outcome'].tag == 'answered', record
+    assert record['at'] <= record['deadline'], record
+    assert context.load_test.nodes[0].metrics.total('stage.hedged') >= 1
 
 
-@then('the routing cost of what was in vain is counted')
+@then('the routing cost of wasted work is counted')
 def step_cost(context):
-    costs = context.story.nodes[0].core.costs
-    vain = costs.total(team='large') - costs.total(kind='useful')
-    assert vain > 0, costs.document()
+    costs = context.load_test.nodes[0].core.costs
+    wasted = costs.total(team='large') - costs.total(kind='useful')
+    assert wasted > 0, costs.document()
     assert 0 < costs.wasted_share() < 1 / 2, costs.wasted_share()
 
 
 @then('without routing hedges the request is late')
 def step_late(context):
-    told = _slow_call(hedged=False).told[-1]
-    assert told['outcome'].tag != 'answered', told
+    record = _slow_call(hedged=False).records[-1]
+    assert record['outcome'].tag != 'answered', record
 
 
-@given('a routing pool in which every worker has just failed often')
+@given('a routing pool in which every worker has just failed repeatedly')
 def step_failed(context):
     context.pool = _Pool()
     for name in context.pool.pool.upstreams:
@@ -106,12 +106,12 @@
 def step_no_panic(context):
     from pollenstile.routing import _choose
 
-    guard = _choose.is_panic
+    original = _choose.is_panic
     _choose.is_panic = lambda members, barred: False
     try:
         assert context.pool.choose() is None
     finally:
-        _choose.is_panic = guard
+        _choose.is_panic = original
 
 
 @given('the routing worker "{name}" leaves')
@@ -133,7 +133,7 @@
     return pool
 
 
-@given('routing load reports that call only "u0" idle')
+@given('routing load reports that show only "u0" idle')
 def step_stale(context):
     context.pool = _stale()
 
@@ -148,8 +148,8 @@
     assert max(context.sent.values()) <= most, context.sent
 
 
-@then('believing routing reports alone "u0" has all {count:d}')
-def step_believed(context, count):
+@then('by routing reports alone "u0" has all {count:d}')
+def step_reports_alone(context, count):
     pool = _stale()
     sent = 0
     for _ in range(count):
@@ -175,7 +175,7 @@
 
 @then(
     '{count:d} routing calls with one prefix leave no worker above '
-    '{most:g} calls a slot',
+    '{most:g} calls per slot',
 )
 def step_bound(context, count, most):
     pool = _Pool()
--- a/pollenstile/limits/__init__.py
+++ b/pollenstile/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Who may start now: feasibility, fair sharing, concurrency."""
+"""Admission control: deadlines, fair queueing and concurrency limits."""
 
 from pollenstile.limits._admission import Admission
 from pollenstile.limits._budget import RetryBudget
--- a/pollenstile/limits/_admission.py
+++ b/pollenstile/limits/_admission.py
@@ -1,4 +1,4 @@
-"""Whether and when a request may start."""
+"""Admission of requests: start, queue or refuse."""
 
 from functools import partial
 
@@ -15,38 +15,38 @@
 )
 from pollenstile.limits._estimates import expected_times, needed_time
 from pollenstile.limits._fairqueue import RANKS, FairQueue
-from pollenstile.limits._gate import Gate, stage_shares
+from pollenstile.limits._reservations import PoolReservations, stage_shares
 from pollenstile.ops.logs import silent_log
 from pollenstile.outcomes import Refused
 
 _TOO_BUSY = 503
-_LEAST_RETRY = 1.0
-_MOST_RETRY = 60.0
+_MIN_RETRY_SECONDS = 1.0
+_MAX_RETRY_SECONDS = 60.0
 
 
 class _Waiting:
-    """A request on its way through admission.
+    """A request during its admission.
 
     Parameters
     ==========
 
     request : Request
-        As accepted.
+        The accepted request.
     needed : float
-        Seconds that it needs once it has started.
-    entered : float
-        When it came, on the clock, in seconds.
+        Seconds that it needs after its start.
+    arrived_at : float
+        Clock time of its arrival, in seconds.
     cost : float
-        What it will cost, in the manifest's unit.
+        Its expected cost, in the unit of the manifest.
     work : dict
         Slot seconds by pool.
     shares : dict
-        What it takes of pools; see :func:`stage_shares`.
+        Capacity that it reserves; see :func:`stage_shares`.
     """
 
     __slots__ = (
+        'arrived_at',
         'cost',
-        'entered',
         'latest',
         'needed',
         'rank',
@@ -58,7 +58,7 @@
     )
 
     def __init__(self, request, times, needed, now):
-        self.entered = now
+        self.arrived_at = now
         manifest = request.snapshot.manifest
         stages = request.pipeline.stages
         self.request = request
@@ -68,40 +68,40 @@
         self.shares = stage_shares(stages, times)
         self.cost = 0.0
         self.work = {}
-        for stage, took in zip(stages, times, strict=True):
-            self.cost += took * manifest.pools[stage.pool].cost
-            self.work[stage.pool] = self.work.get(stage.pool, 0) + took
+        for stage, expected in zip(stages, times, strict=True):
+            self.cost += expected * manifest.pools[stage.pool].cost
+            self.work[stage.pool] = self.work.get(stage.pool, 0) + expected
         self.started = None
         self.timer = None
 
     @property
     def key(self):
-        """The flow that it waits in."""
+        """Key of the flow that it waits in."""
         return (self.request.team, self.request.name)
 
     @property
     def weight(self):
-        """Its team's weight, 1 for a team that is not declared."""
+        """Weight of its team; 1 for a team that is not declared."""
         team = self.request.snapshot.manifest.teams.get(self.request.team)
         return team.weight if team else 1.0
 
 
 class Admission:
-    """Requests that run or wait at one host, and what bounds them.
+    """Admission control of one host.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        For what is left of deadlines.
+        Times waits and deadlines.
     tracker : Tracker
         Measured times of stages.
     concurrency : Concurrency
-        Adaptive limits of upstreams.
-    most : int
-        Requests that may run side by side.
+        Adaptive concurrency limits of upstreams.
+    max_running : int
+        Maximum number of concurrently running requests.
     queue : FairQueue
-        Those that wait.
+        Waiting requests.
     log : function
         Writes events.
     count : function
@@ -112,13 +112,13 @@
         'clock',
         'count',
         'flow_rates',
-        'gate',
         'log',
-        'most',
+        'max_running',
         'queue',
+        'reservations',
+        'reserved',
         'running',
         'started_work',
-        'tickets',
         'tracker',
     )
 
@@ -127,7 +127,7 @@
         clock,
         tracker,
         concurrency,
-        most=2000,
+        max_running=2000,
         *,
         queue=None,
         log=silent_log,
@@ -135,26 +135,28 @@
     ):
         self.clock = clock
         self.tracker = tracker
-        self.most = most
+        self.max_running = max_running
         self.queue = FairQueue() if queue is None else queue
         self.log = log
         self.count = count
-        self.gate = Gate(clock, partial(_pool_total, concurrency, tracker))
+        self.reservations = PoolReservations(
+            clock, partial(_pool_total, concurrency, tracker)
+        )
         self.started_work = StartedWork(clock)
         self.flow_rates = FlowRates(clock)
         self.running = 0
-        self.tickets = {}
+        self.reserved = {}
 
     async def entered(self, request):
-        """Return None when a request may start, or a refusal.
+        """Return None once a request may start, or a refusal.
 
         Explanation
         ===========
 
         A request that can't meet its deadline behind the present queue is
-        refused at once, before anything of it is sent, so that *not run* is
-        true; it is never kept waiting to keep its caller quiet. Whoever gets
-        None calls :meth:`leave` once.
+        refused at once, before any call is sent for it, so that the refusal can
+        state that it has not run. Requests without a chance are never queued.
+        After None, the caller must call :meth:`leave` exactly once.
         """
         times = expected_times(request, self.tracker)
         needed = needed_time(request, self.tracker, times)
@@ -165,22 +167,22 @@
         wait = self._wait(waiting)
         if self.clock.seconds() + wait > waiting.latest:
             return self._refusal(waiting, wait, 'the deadline can not be met')
-        if not self._make_room(waiting):
+        if not self._has_queue_place(waiting):
             return self._refusal(waiting, wait, 'too many requests wait')
-        return await self._queued(waiting)
+        return await self._enqueue(waiting)
 
     def leave(self, request):
-        """Note that an admitted request has ended."""
+        """Release the capacity of an admitted request that has ended."""
         self.running -= 1
-        self.gate.give_back(self.tickets.pop(request.ident))
+        self.reservations.release(self.reserved.pop(request.ident))
         self._start_waiting()
 
     def stage_ended(self, request, stage):
-        """Note that an admitted request needs a stage's room no more."""
-        ticket = self.tickets.get(request.ident)
-        if ticket is None:
+        """Release the capacity of a stage that has ended."""
+        reservation = self.reserved.get(request.ident)
+        if reservation is None:
             return
-        self.gate.stage_ended(ticket, stage.name)
+        self.reservations.stage_ended(reservation, stage.name)
         self._start_waiting()
 
     def _can_start(self, waiting):
@@ -194,15 +196,15 @@
         return self.queue.next_key(self._is_blocked)
 
     def _is_blocked(self, waiting):
-        if self.running >= self.most:
+        if self.running >= self.max_running:
             return True
         pools = waiting.request.snapshot.manifest.pools
-        return not self.gate.has_room(waiting.shares, pools)
+        return not self.reservations.has_capacity(waiting.shares, pools)
 
     def _start(self, waiting):
         self.running += 1
-        ticket = self.gate.taken_by(waiting.shares)
-        self.tickets[waiting.request.ident] = ticket
+        reservation = self.reservations.reserve(waiting.shares)
+        self.reserved[waiting.request.ident] = reservation
         for pool, seconds in waiting.work.items():
             self.started_work.add(waiting.rank, pool, seconds)
 
@@ -212,13 +214,15 @@
         pools = waiting.request.snapshot.manifest.pools
         reserve = self.queue.reserves.get(waiting.rank, 0)
         for pool, own in waiting.work.items():
-            limit = self.gate.limit(pool, pools[pool])
+            limit = self.reservations.limit(pool, pools[pool])
             before = work_before(self.queue, waiting, pool)
-            if self.gate.taken.get(pool, 0) + 1 > limit:
-                # Until the first of the calls that run now has ended.
+            if self.reservations.reserved.get(pool, 0) + 1 > limit:
+                # A running call must end first.
                 before += own
-            urgent = self.started_work.rate(pool, waiting.rank)
-            longest = max(longest, wait_time(before, limit, urgent, reserve))
+            urgent_rate = self.started_work.rate(pool, waiting.rank)
+            longest = max(
+                longest, wait_time(before, limit, urgent_rate, reserve)
+            )
         return longest
 
     def _own_flow_wait(self, waiting):
@@ -228,36 +232,37 @@
         return flow_wait(
             len(flow.items),
             self.flow_rates.rate(waiting.key),
-            self.clock.seconds() - flow.items[0].entered,
+            self.clock.seconds() - flow.items[0].arrived_at,
         )
 
-    def _make_room(self, waiting):
-        """Return whether the queue takes one more; put one out for it.
+    def _has_queue_place(self, waiting):
+        """Return whether the queue has a free place, evicting if needed.
 
         Explanation
         ===========
 
-        One team that floods would fill the queue, and others would find it
-        full. So the newest of the longest flow, by weight, goes instead.
+        A flooding team would fill the queue for all others. So when the queue
+        is full, the newest request of the longest flow (by weight) is refused
+        instead, unless it is of the same team.
         """
         policy = waiting.request.snapshot.manifest.policy
         if self.queue.size < policy.max_queue:
             return True
-        longest = max(self.queue.flows.values(), key=_length)
+        longest = max(self.queue.flows.values(), key=_weighted_length)
         if longest.team == waiting.request.team:
             return False
-        put_out = longest.items[-1]
-        self._take_out(put_out)
+        evicted = longest.items[-1]
+        self._remove(evicted)
         refusal = self._refusal(
-            put_out,
-            self._wait(put_out),
+            evicted,
+            self._wait(evicted),
             'too many requests wait',
         )
-        put_out.started.callback(refusal)
+        evicted.started.callback(refusal)
         return True
 
-    def _queued(self, waiting):
-        waiting.started = Deferred(lambda _: self._take_out(waiting))
+    def _enqueue(self, waiting):
+        waiting.started = Deferred(lambda _: self._remove(waiting))
         self.queue.put(waiting.key, waiting.weight, waiting.rank, waiting)
         waiting.timer = self.clock.callLater(
             max(0, waiting.latest - self.clock.seconds()),
@@ -266,13 +271,13 @@
         )
         return waiting.started
 
-    def _take_out(self, waiting):
+    def _remove(self, waiting):
         if waiting.timer.active():
             waiting.timer.cancel()
-        self.queue.drop(waiting.key, waiting)
+        self.queue.remove(waiting.key, waiting)
 
     def _expire(self, waiting):
-        self.queue.drop(waiting.key, waiting)
+        self.queue.remove(waiting.key, waiting)
         self.log(
             events.EXPIRED,
             request=waiting.request.ident,
@@ -291,12 +296,12 @@
                 return
             waiting = self.queue.pop(key)
             waiting.timer.cancel()
-            self.flow_rates.add(key, waiting.entered)
+            self.flow_rates.add(key, waiting.arrived_at)
             self._start(waiting)
             waiting.started.callback(None)
 
     def _refusal(self, waiting, wait, reason):
-        retry_after = min(_MOST_RETRY, max(_LEAST_RETRY, wait))
+        retry_after = min(_MAX_RETRY_SECONDS, max(_MIN_RETRY_SECONDS, wait))
         self.count('admission.shed')
         self.log(
             events.SHED,
@@ -315,5 +320,5 @@
     return concurrency.total(pool, tracker.state)
 
 
-def _length(flow):
+def _weighted_length(flow):
     return len(flow.items) / flow.weight
--- a/pollenstile/limits/_backlog.py
+++ b/pollenstile/limits/_backlog.py
@@ -1,23 +1,26 @@
-"""How long a request would wait: work queued before it, and the drain."""
+"""Estimated queueing time of a request, from the work queued before it."""
 
 import math
 
-# Seconds over which the rate of started work is averaged.
-_WINDOW = 5.0
-_FLOW_WINDOW = 10.0
-# A flow that waits for less says nothing of its rate.
-_LEAST_AGE = 2.0
-_LEAST_SEEN = 0.05
+# Time constants in seconds of the decaying averages of started work and of the
+# starts of a flow.
+_WORK_WINDOW_SECONDS = 5.0
+_FLOW_WINDOW_SECONDS = 10.0
+# The start rate of a flow is used only when its first request has waited for at
+# least this time.
+_MIN_HEAD_AGE_SECONDS = 2.0
+# Minimum share of the averaging window over which a rate is computed.
+_MIN_OBSERVED_SHARE = 0.05
 
 
 class FlowRates:
-    """Starts a second of each flow, from the last seconds.
+    """Start rate of each flow, as a decaying average.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        For fading.
+        Times the decay.
     """
 
     __slots__ = ('clock', 'sums')
@@ -27,50 +30,57 @@
         self.sums = {}
 
     def add(self, key, since):
-        """Note a start.
+        """Record the start of a request.
 
         Parameters
         ==========
 
         since : float
-            From when on its flow has waited, in seconds.
+            Time from which on its flow has waited, in seconds.
         """
         now = self.clock.seconds()
-        total, first = self._faded(key, now)
-        if total < 1 / _FLOW_WINDOW:
-            first = since
-        self.sums[key] = (total + 1, now, first)
+        total, observed_since = self._decayed(key, now)
+        if total < 1 / _FLOW_WINDOW_SECONDS:
+            observed_since = since
+        self.sums[key] = (total + 1, now, observed_since)
 
     def rate(self, key):
-        """Return starts a second, over no more time than there has been."""
+        """Return starts per second, over the observed part of the window."""
         now = self.clock.seconds()
-        total, first = self._faded(key, now)
-        seen = 1 - math.exp(min(0, first - now) / _FLOW_WINDOW)
-        return total / (_FLOW_WINDOW * max(seen, _LEAST_SEEN))
+        total, observed_since = self._decayed(key, now)
+        observed_share = 1 - math.exp(
+            min(0, observed_since - now) / _FLOW_WINDOW_SECONDS
+        )
+        return total / (
+            _FLOW_WINDOW_SECONDS * max(observed_share, _MIN_OBSERVED_SHARE)
+        )
 
-    def _faded(self, key, now):
-        total, when, first = self.sums.get(key, (0.0, now, now))
-        return total * math.exp((when - now) / _FLOW_WINDOW), first
+    def _decayed(self, key, now):
+        total, when, observed_since = self.sums.get(key, (0.0, now, now))
+        return total * math.exp(
+            (when - now) / _FLOW_WINDOW_SECONDS
+        ), observed_since
 
 
 def flow_wait(waiting, rate, head_age):
-    """Return a wait from how a flow has really drained.
+    """Return the wait for a flow at its measured start rate.
 
     Explanation
     ===========
 
-    Shares and rates of other classes are estimates. A flow that has waited
-    for a while tells itself: as many as wait now, at the rate of its starts.
+    Shares and rates of other classes are estimates. For a flow that has waited
+    for some time, the measured rate of its own starts gives the time in which
+    its present requests start.
 
     Parameters
     ==========
 
     waiting : int
-        Requests of the flow that wait.
+        Number of waiting requests of the flow.
     rate : float
-        Starts of the flow, a second.
+        Starts of the flow per second.
     head_age : float
-        Seconds that its first has waited.
+        Seconds for which its first request has waited.
 
     Examples
     ========
@@ -79,21 +89,21 @@
     >>> flow_wait(10, 2.0, 5.0), flow_wait(10, 2.0, 0.1), flow_wait(9, 0, 5)
     (5.5, 0.0, 5)
     """
-    if head_age < _LEAST_AGE:
+    if head_age < _MIN_HEAD_AGE_SECONDS:
         return 0.0
-    if rate <= 1 / _FLOW_WINDOW:
+    if rate <= 1 / _FLOW_WINDOW_SECONDS:
         return head_age
     return (waiting + 1) / rate
 
 
 class StartedWork:
-    """Rate of started work by class and pool, in slot seconds a second.
+    """Rate of started work by class and pool, in slot seconds per second.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        For fading.
+        Times the decay.
 
     Examples
     ========
@@ -117,80 +127,83 @@
         self.sums = {}
 
     def add(self, rank, pool, seconds):
-        """Note work that starts."""
-        total = self._faded(rank, pool) + seconds
+        """Record started work."""
+        total = self._decayed(rank, pool) + seconds
         self.sums[rank, pool] = (total, self.clock.seconds())
 
     def rate(self, pool, below):
-        """Return the rate of all classes with a rank below one."""
+        """Return the summed rate of all classes with a lower rank."""
         total = 0.0
         for rank in range(below):
-            total += self._faded(rank, pool)
-        return total / _WINDOW
+            total += self._decayed(rank, pool)
+        return total / _WORK_WINDOW_SECONDS
 
-    def _faded(self, rank, pool):
+    def _decayed(self, rank, pool):
         total, when = self.sums.get((rank, pool), (0.0, 0.0))
         if not total:
             return 0.0
-        return total * math.exp((when - self.clock.seconds()) / _WINDOW)
+        return total * math.exp(
+            (when - self.clock.seconds()) / _WORK_WINDOW_SECONDS
+        )
 
 
 def work_before(queue, waiting, pool):
-    """Return queued work that goes before a new request, in slot seconds.
+    """Return the work queued before a new request, in slot seconds.
 
     Explanation
     ===========
 
-    More urgent classes go first whole. Another team of the same class is
-    served beside the own one by weight, so of its work only as much counts as
-    goes while the own team's is served. A team beyond its share waits for all.
+    All work of more urgent classes starts first. Another team of the same
+    class is served concurrently, by weight, so only that part of its work
+    counts which is served while the work of the request's team is. A team that
+    has exceeded its share waits for all others.
 
     Parameters
     ==========
 
     queue : FairQueue
-        With items that have ``work``, slot seconds by pool.
+        Its items have ``work``, slot seconds by pool.
     waiting : object
-        The new request, with what an item of the queue has.
+        The new request, with the attributes of a queued item.
     pool : str
-        The pool that the work is at.
+        The pool whose work is summed.
     """
-    ahead = queue.is_ahead(waiting.key[0], waiting.rank)
-    mine = waiting.work[pool]
-    before = -mine
+    exceeds_share = queue.is_ahead(waiting.key[0], waiting.rank)
+    own = waiting.work[pool]
+    before = -own
     for key, flow in queue.flows.items():
         if flow.team == waiting.key[0]:
-            mine += _own_before(key, flow, waiting) * flow.work.get(pool, 0)
-        elif ahead or flow.rank < waiting.rank:
+            own += _part_before(key, flow, waiting) * flow.work.get(pool, 0)
+        elif exceeds_share or flow.rank < waiting.rank:
             before += flow.work.get(pool, 0)
-    if not ahead:
-        before += _beside(queue, waiting, pool, mine)
-    return before + mine
+    if not exceeds_share:
+        before += _concurrent_work(queue, waiting, pool, own)
+    return before + own
 
 
-def _own_before(key, flow, waiting):
-    """Return the part of a flow of the same team that goes before."""
+def _part_before(key, flow, waiting):
+    """Return the share of a flow of the same team that starts before."""
     if key == waiting.key:
         return 1.0
     if flow.rank > waiting.rank:
         return 0.0
-    return _earlier(flow, waiting.latest)
+    return _share_before(flow, waiting.latest)
 
 
-def _beside(queue, waiting, pool, mine):
-    """Return work of other teams of the class that goes beside the own."""
+def _concurrent_work(queue, waiting, pool, own):
+    """Return the work of other teams of the class that starts meanwhile."""
     others = {}
     for flow in queue.flows.values():
         if flow.team == waiting.key[0] or flow.rank != waiting.rank:
             continue
-        share = mine * flow.weight / waiting.weight
+        share = own * flow.weight / waiting.weight
         queued, _ = others.get(flow.team, (0.0, share))
         others[flow.team] = (queued + flow.work.get(pool, 0), share)
     return sum(min(queued, share) for queued, share in others.values())
 
 
-def _earlier(flow, latest):
-    """Return about which part of a flow must start before a time."""
+def _share_before(flow, latest):
+    """Return the approximate share of a flow that must start before a time."""
     first = flow.items[0].latest
     last = flow.items[-1].latest
     if first >= latest:
@@ -201,19 +214,19 @@
 
 
 def wait_time(before, limit, urgent_rate, reserve):
-    """Return seconds until queued work is started.
+    """Return the seconds until queued work has started.
 
     Parameters
     ==========
 
     before : float
-        Slot seconds queued before.
+        Slot seconds queued before the request.
     limit : float
-        Slots that drain it.
+        Slots that serve the queue.
     urgent_rate : float
-        Slot seconds a second that more urgent classes take of them.
+        Slot seconds per second that more urgent classes use.
     reserve : float
-        Part of the slots that they leave in any case.
+        Share of the slots that is reserved from more urgent classes.
 
     Examples
     ========
--- a/pollenstile/limits/_budget.py
+++ b/pollenstile/limits/_budget.py
@@ -1,14 +1,14 @@
-"""Token bucket that keeps retries and hedges a fraction of all calls."""
+"""Token bucket that limits retries and hedges to a fraction of all calls."""
 
 
 class RetryBudget:
-    """Retries and hedges that may be sent now.
+    """Token bucket for retries and hedges.
 
     Explanation
     ===========
 
     Each first attempt earns a fraction of a token; each retry or hedge spends
-    one. When upstreams fail in numbers, retries can't multiply the load.
+    one. When many upstreams fail, retries can't multiply the load.
 
     Parameters
     ==========
@@ -16,7 +16,7 @@
     ratio : float
         Retries allowed for each first attempt.
     burst : float
-        Tokens kept at most, and at the start.
+        Maximum and initial number of tokens.
 
     Examples
     ========
@@ -39,11 +39,11 @@
         self.tokens = burst
 
     def earn(self):
-        """Note a first attempt."""
+        """Add the fraction of a token that a first attempt earns."""
         self.tokens = min(self.burst, self.tokens + self.ratio)
 
     def spent(self):
-        """Take a token; return whether there was one."""
+        """Spend a token; return whether there was one."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
--- a/pollenstile/limits/_concurrency.py
+++ b/pollenstile/limits/_concurrency.py
@@ -1,59 +1,62 @@
-"""How many calls this host keeps at each upstream."""
+"""Adaptive concurrency limits of this host for each upstream."""
 
 from pollenstile.limits import events
 from pollenstile.ops.logs import silent_log
 
-_MOST_RATIO = 20.0
+_MAX_RATIO = 20.0
 _SMOOTHING = 0.2
-# A call that took so many times the usual says more than chance does: one or
-# two of them, not ten, must be enough to spare the next requests.
-_SLOW = 4.0
-_ALARM = 0.5
-# Ratio of a call's time to the usual one, above which the upstream is full.
-_TOLERANCE = 1.4
-# Calls at an upstream, running and queued, above which it is full; in slots.
-_FULL = 1.0
-_CUT = 0.85
-_GROWTH = 0.05
-_START = 0.25
-_LEAST = 0.25
-# A limit grows only while calls use this share of it.
-_IN_USE = 0.6
-# Seconds in which half of what is known of an upstream's slowness fades.
-_FADING = 20.0
+# A call that takes more than this many times its expected time is unlikely to
+# be slow by chance. It gets the larger weight, so that one or two such calls,
+# not ten, are enough to keep the next requests away from the upstream.
+_SLOW_RATIO = 4.0
+_SLOW_SMOOTHING = 0.5
+# Ratio of a call's time to its expected time above which an upstream is full.
+_FULL_RATIO = 1.4
+# Running and queued calls per slot above which an upstream is full.
+_FULL_CALLS_PER_SLOT = 1.0
+_DECREASE_FACTOR = 0.85
+_INCREASE = 0.05
+# Initial limit as a share of the slots.
+_INITIAL_SHARE = 0.25
+_MIN_LIMIT = 0.25
+# A limit grows only while calls in flight use at least this share of it.
+_MIN_UTILIZATION = 0.6
+# Half-life in seconds of an upstream's measured slowness.
+_HALF_LIFE = 20.0
 
 
 class Limit:
-    """One upstream's limit and how slow it is.
+    """Concurrency limit and slowness of one upstream.
 
     Parameters
     ==========
 
     value : float
-        Calls of this host; below 1 it shares a pool's sum with others.
+        Concurrent calls of this host. A value below 1 still counts towards the
+        limit of the pool.
     """
 
-    __slots__ = ('cut_at', 'ratio', 'sampled', 'value')
+    __slots__ = ('ratio', 'reduced_at', 'sampled_at', 'value')
 
     def __init__(self, value):
         self.value = value
         self.ratio = 1.0
-        self.sampled = 0.0
-        self.cut_at = 0.0
+        self.sampled_at = 0.0
+        self.reduced_at = 0.0
 
 
 def pressure(ratio, load, slots):
-    """Return how full an upstream is; above 1 it is too full.
+    """Return the load of an upstream relative to its limit; full above 1.
 
     Parameters
     ==========
 
     ratio : float
-        Time of calls over their usual time.
+        Time of calls relative to their expected time.
     load : Load or None
-        What it reports, all hosts' calls together.
+        Its load report, which covers the calls of all hosts.
     slots : int
-        As declared.
+        Declared number of slots.
 
     Examples
     ========
@@ -65,14 +68,17 @@
     >>> pressure(0.7, Load(8, 8), 8) > 1
     True
     """
-    found = ratio / _TOLERANCE
+    ratio_pressure = ratio / _FULL_RATIO
     if load is None:
-        return found
-    return max(found, (load.running + load.queued) / (_FULL * slots))
+        return ratio_pressure
+    return max(
+        ratio_pressure,
+        (load.running + load.queued) / (_FULL_CALLS_PER_SLOT * slots),
+    )
 
 
-def aimd(value, found, in_flight, slots):
-    """Return a limit after a sample: additive growth, multiplicative cut.
+def aimd(value, load_pressure, in_flight, slots):
+    """Return a limit after a sample, by additive increase and cuts by a factor.
 
     Examples
     ========
@@ -81,15 +87,15 @@
     >>> aimd(2.0, 1.5, 2, 8), aimd(2.0, 0.5, 2, 8), aimd(2.0, 0.5, 0, 8)
     (1.7, 2.05, 2.0)
     """
-    if found > 1:
-        return max(_LEAST, value * _CUT)
-    if in_flight < _IN_USE * value:
+    if load_pressure > 1:
+        return max(_MIN_LIMIT, value * _DECREASE_FACTOR)
+    if in_flight < _MIN_UTILIZATION * value:
         return value
-    return min(slots, value + _GROWTH)
+    return min(slots, value + _INCREASE)
 
 
-def gradient(value, found, in_flight, slots):
-    """Return a limit after a sample: in proportion to the room found.
+def gradient(value, load_pressure, in_flight, slots):
+    """Return a limit after a sample, adjusted in proportion to free capacity.
 
     Examples
     ========
@@ -98,11 +104,11 @@
     >>> gradient(2.0, 2.0, 2, 8) < 2 < gradient(2.0, 0.5, 2, 8)
     True
     """
-    if found <= 1 and in_flight < _IN_USE * value:
+    if load_pressure <= 1 and in_flight < _MIN_UTILIZATION * value:
         return value
-    wanted = value * min(1.5, max(0.5, 1 / max(found, 0.1)))
-    moved = value + _SMOOTHING * (wanted - value)
-    return min(slots, max(_LEAST, moved))
+    target = value * min(1.5, max(0.5, 1 / max(load_pressure, 0.1)))
+    moved = value + _SMOOTHING * (target - value)
+    return min(slots, max(_MIN_LIMIT, moved))
 
 
 class Concurrency:
@@ -111,16 +117,17 @@
     Explanation
     ===========
 
-    Each host decides alone. What the others do shows in an upstream's load
-    report and in the time of calls, and both are older than one would like:
-    limits move by steps, and are cut at most once in a call's usual time, so
-    that one burst of old news does not cut them to nothing.
+    Each host adjusts its limits independently. The calls of other hosts show
+    only in an upstream's load report and in the time of calls, and both arrive
+    with a delay. So limits change in steps, and are reduced at most once per
+    expected call time, so that a burst of outdated samples does not reduce
+    them to the minimum.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        For fading and for the pace of cuts.
+        Times the decay of slowness and the interval between reductions.
     rule : function
         :func:`aimd` or :func:`gradient`.
     log : function
@@ -136,27 +143,27 @@
         self.limits = {}
 
     def limit(self, name, slots):
-        """Return an upstream's :class:`Limit`, a new one at first."""
-        found = self.limits.get(name)
-        if found is None:
-            found = Limit(max(1.0, slots * _START))
-            self.limits[name] = found
-        return found
+        """Return an upstream's :class:`Limit`; create it if needed."""
+        limit = self.limits.get(name)
+        if limit is None:
+            limit = Limit(max(1.0, slots * _INITIAL_SHARE))
+            self.limits[name] = limit
+        return limit
 
     def slowness(self, name):
-        """Return how many times slower than usual an upstream is, from 1."""
-        found = self.limits.get(name)
-        if found is None:
+        """Return how many times slower than expected an upstream is, from 1."""
+        limit = self.limits.get(name)
+        if limit is None:
             return 1.0
-        age = self.clock.seconds() - found.sampled
-        return 1 + max(0.0, found.ratio - 1) * 0.5 ** (age / _FADING)
+        age = self.clock.seconds() - limit.sampled_at
+        return 1 + max(0.0, limit.ratio - 1) * 0.5 ** (age / _HALF_LIFE)
 
     def is_over(self, name, slots, in_flight):
-        """Return whether one more call would pass an upstream's limit."""
+        """Return whether one more call would exceed an upstream's limit."""
         return in_flight + 1 > max(1.0, self.limit(name, slots).value)
 
-    def sample(self, name, slots, in_flight, took, usual, load=None):
-        """Take in one call's time.
+    def sample(self, name, slots, in_flight, took, expected, load=None):
+        """Adjust an upstream's limit by the time of one call.
 
         Parameters
         ==========
@@ -164,44 +171,44 @@
         name : str
             The upstream.
         slots : int
-            As declared.
+            Declared number of slots.
         in_flight : int
-            Own calls there, this one included.
-        took, usual : float
-            The call's time and its usual time, in seconds.
+            Calls of this host there, including this one.
+        took, expected : float
+            The call's time and its expected time, in seconds.
         load : Load or None
-            The report that came with the answer.
+            The load report in the answer.
         """
         now = self.clock.seconds()
-        found = self.limit(name, slots)
-        ratio = min(_MOST_RATIO, took / max(usual, 0.001))
-        weight = _ALARM if ratio > _SLOW else _SMOOTHING
-        found.ratio += weight * (ratio - found.ratio)
-        found.sampled = now
-        full = pressure(found.ratio, load, slots)
-        if full > 1 and now - found.cut_at < usual:
+        limit = self.limit(name, slots)
+        ratio = min(_MAX_RATIO, took / max(expected, 0.001))
+        weight = _SLOW_SMOOTHING if ratio > _SLOW_RATIO else _SMOOTHING
+        limit.ratio += weight * (ratio - limit.ratio)
+        limit.sampled_at = now
+        current_pressure = pressure(limit.ratio, load, slots)
+        if current_pressure > 1 and now - limit.reduced_at < expected:
             return
-        found.value = self.rule(found.value, full, in_flight, slots)
-        if full > 1:
-            found.cut_at = now
+        limit.value = self.rule(limit.value, current_pressure, in_flight, slots)
+        if current_pressure > 1:
+            limit.reduced_at = now
             self.log(
                 events.LIMIT_CUT,
                 level='debug',
                 peer=name,
-                limit=round(found.value, 2),
-                pressure=round(full, 2),
+                limit=round(limit.value, 2),
+                pressure=round(current_pressure, 2),
             )
 
     def total(self, pool, states):
-        """Return calls of this host that a pool takes, at least 1.
+        """Return the sum of a pool's limits on this host, at least 1.
 
         Parameters
         ==========
 
         pool : Pool
-            As declared.
+            The declared pool.
         states : function
-            Returns an upstream's state by name.
+            Returns the state of an upstream by name.
         """
         now = self.clock.seconds()
         total = 0.0
--- a/pollenstile/limits/_cost.py
+++ b/pollenstile/limits/_cost.py
@@ -1,27 +1,27 @@
-"""What work costs, by stage and team, and how much of it was for nothing."""
+"""Cost accounting by stage and team, with the share of wasted work."""
 
 USEFUL = 'useful'
-# An attempt whose answer did not come, or came broken.
+# An attempt without an answer, or with an incomplete one.
 FAILED = 'failed'
-# An attempt that another one overtook, or whose caller is gone.
+# An attempt that lost to another one, or whose caller disconnected.
 CANCELLED = 'cancelled'
-# Finished stages of a request that has no answer in the end.
+# A completed stage of a request that ends without an answer.
 ABANDONED = 'abandoned'
 _MILLI = 1000
 
 
 def silent_count(name, number=1):
-    """Count nothing."""
+    """Ignore a count; the default of metrics callbacks."""
 
 
 class CostAccount:
-    """Cost in the manifest's unit since the start.
+    """Costs since the start of the process, in the unit of the manifest.
 
     Parameters
     ==========
 
     count : function
-        Takes a metric's name and a number; thousandths of the unit.
+        Takes a metric's name and a number, in thousandths of the unit.
 
     Examples
     ========
@@ -41,19 +41,19 @@
         self.count = count
 
     def add(self, stage, team, kind, cost):
-        """Note what a stage's attempt has cost a team."""
+        """Add the cost of a stage attempt to a team's account."""
         key = (stage, team, kind)
         self.amounts[key] = self.amounts.get(key, 0.0) + cost
         self.count(f'cost.stage.{stage}.{kind}', round(cost * _MILLI))
         self.count(f'cost.team.{team}.{kind}', round(cost * _MILLI))
 
     def abandon(self, stage, team, cost):
-        """Note that a finished stage was for nothing."""
+        """Move the cost of a completed stage from useful to abandoned."""
         self.add(stage, team, USEFUL, -cost)
         self.add(stage, team, ABANDONED, cost)
 
     def total(self, *, stage=None, team=None, kind=None):
-        """Return the cost of all that matches what is given."""
+        """Return the total cost that matches all given criteria."""
         wanted = (stage, team, kind)
         total = 0.0
         for key, cost in self.amounts.items():
@@ -62,14 +62,14 @@
         return total
 
     def wasted_share(self):
-        """Return the part of all cost that no answer came from."""
+        """Return the share of the total cost that was not useful."""
         total = self.total()
         if total <= 0:
             return 0.0
         return 1 - self.total(kind=USEFUL) / total
 
     def document(self):
-        """Return the costs by stage and team, of JSON's types."""
+        """Return the costs by stage and team as JSON types."""
         rows = []
         for key, cost in sorted(self.amounts.items()):
             stage, team, kind = key
--- a/pollenstile/limits/_estimates.py
+++ b/pollenstile/limits/_estimates.py
@@ -1,18 +1,18 @@
-"""Usual times of stages and requests, from measured quantiles."""
+"""Expected times of stages and requests, from measured quantiles."""
 
 _MS = 1000
-_USUAL = 50
-_LATE = 60
+_EXPECTED_PERCENT = 50
+_LATE_PERCENT = 60
 
 
 def expected_time(pipeline, stage, tracker):
-    """Return the usual time of a stage, in seconds."""
+    """Return the expected time of a stage, in seconds."""
     declared = stage.expect_ms / _MS
-    return tracker.quantile((pipeline, stage.name), _USUAL, declared)
+    return tracker.quantile((pipeline, stage.name), _EXPECTED_PERCENT, declared)
 
 
 def expected_times(request, tracker):
-    """Return the usual time of each stage of a request, in seconds."""
+    """Return the expected time of each stage of a request, in seconds."""
     times = []
     for stage in request.pipeline.stages:
         times.append(expected_time(request.name, stage, tracker))
@@ -20,16 +20,21 @@
 
 
 def needed_time(request, tracker, times):
-    """Return seconds that a request needs with room for one late stage.
+    """Return the seconds that a request needs, with a margin for a late stage.
 
     Explanation
     ===========
 
-    Stages are rarely late together: the usual times, and the largest margin
-    of one stage between its usual and its late time.
+    Several stages of a request are rarely late together. The result is the
+    sum of the expected times and the largest margin of a single stage between
+    its expected and its late time.
     """
     margin = 0.0
-    for stage, usual in zip(request.pipeline.stages, times, strict=True):
-        late = tracker.quantile((request.name, stage.name), _LATE, usual)
-        margin = max(margin, late - usual)
+    for stage, expected in zip(request.pipeline.stages, times, strict=True):
+        late = tracker.quantile(
+            (request.name, stage.name),
+            _LATE_PERCENT,
+            expected,
+        )
+        margin = max(margin, late - expected)
     return sum(times) + margin
--- a/pollenstile/limits/_fairqueue.py
+++ b/pollenstile/limits/_fairqueue.py
@@ -1,43 +1,44 @@
-"""A queue that shares capacity between teams by cost.
+"""Fair queue that shares capacity between teams by cost.
 
 Explanation
 ===========
 
 Start-time fair queueing over teams (Goyal, Vin and Cheng, 1996), with the
-virtual time of generalised processor sharing: it advances by the cost that is
-started over the weights of teams that wait. Classes of urgency go first, but
-only within a team's fair share: cost that a team starts in one class counts in
-its accounts of that class and of all less urgent ones, and a team whose
-account runs ahead of the virtual time waits behind everybody else. So marking
-everything urgent gains a flooding team nothing. A part of what is started is
-reserved to the less urgent classes.
+virtual time of generalised processor sharing: it advances by the started cost
+divided by the total weight of the waiting teams. More urgent classes are served
+first, but only within a team's fair share: cost that a team starts in one class
+is added to its tags of that class and of all less urgent ones, and a team whose
+tag is too far ahead of the virtual time waits behind all others. So a flooding
+team gains nothing by marking all its requests urgent. A share of the started
+cost is reserved for the less urgent classes.
 """
 
 from collections import deque
 
 RANKS = {'urgent': 0, 'normal': 1, 'batch': 2}
-_EXCESS = 3
-# Cost that a team may run ahead of its share, in average requests of a team
-# of weight 1.
-_LEAD = 6.0
+# Rank of teams that have exceeded their share, behind all classes.
+_EXCESS_RANK = 3
+# Cost by which a team may exceed its share, in average requests of a team of
+# weight 1.
+_MAX_LEAD = 6.0
 _SMOOTHING = 0.05
-# Parts of all started cost kept for classes that wait behind others.
+# Share of all started cost that is reserved for each rank.
 RESERVES = {0: 0.0, 1: 0.05, 2: 0.1}
-_MOST_CREDIT = 2.0
+_MAX_CREDIT = 2.0
 
 
 class Flow:
-    """Waiting requests of one team to one pipeline.
+    """Queued requests of one team to one pipeline.
 
     Parameters
     ==========
 
     team : str
-        The caller.
+        The calling team.
     weight : float
         The team's share.
     rank : int
-        Of the pipeline's urgency; 0 goes first.
+        Rank of the pipeline's urgency; 0 is served first.
     """
 
     __slots__ = ('items', 'rank', 'team', 'weight', 'work')
@@ -47,7 +48,7 @@
         self.weight = weight
         self.rank = rank
         self.items = deque()
-        # Slot seconds that wait, by pool.
+        # Queued slot seconds by pool.
         self.work = {}
 
     def add(self, item):
@@ -56,57 +57,57 @@
         for pool, seconds in item.work.items():
             self.work[pool] = self.work.get(pool, 0) + seconds
 
-    def forget(self, item):
-        """Take an item's work off; the item is out already."""
+    def subtract_work(self, item):
+        """Subtract the work of an item that was removed."""
         for pool, seconds in item.work.items():
             self.work[pool] -= seconds
 
 
 class FairQueue:
-    """Waiting requests, and which goes next.
+    """Queued requests and the order in which they start.
 
     Parameters
     ==========
 
     reserves : dict
-        Part of all started cost that a rank gets while it waits.
-    lead : float
-        How far a team may run ahead; infinite for strict classes.
+        Share of all started cost that a rank gets while it waits.
+    max_lead : float
+        How far a team may exceed its share; infinite for strict priorities.
     """
 
     __slots__ = (
-        'average',
+        'average_cost',
         'credits',
         'flows',
-        'lead',
+        'max_lead',
         'reserves',
         'size',
         'tags',
-        'virtual',
+        'virtual_time',
     )
 
-    def __init__(self, reserves=None, lead=_LEAD):
+    def __init__(self, reserves=None, max_lead=_MAX_LEAD):
         self.reserves = RESERVES if reserves is None else reserves
-        self.lead = lead
+        self.max_lead = max_lead
         self.flows = {}
         self.size = 0
         self.tags = {}
-        self.virtual = 0.0
-        self.average = 0.0
+        self.virtual_time = 0.0
+        self.average_cost = 0.0
         self.credits = {}
 
     def put(self, key, weight, rank, item):
-        """Append an item, to a flow; it has ``cost``, ``work`` and ``latest``.
+        """Append an item with ``cost``, ``work`` and ``latest`` to its flow.
 
         Parameters
         ==========
 
         key : tuple
-            The team's name and the pipeline's.
+            Names of the team and of the pipeline.
         weight : float
             The team's weight.
         rank : int
-            Of the class.
+            Rank of the urgency class.
         """
         flow = self.flows.get(key)
         if flow is None:
@@ -116,30 +117,30 @@
         flow.add(item)
         self.size += 1
 
-    def drop(self, key, item):
-        """Take an item out."""
+    def remove(self, key, item):
+        """Remove an item."""
         flow = self.flows[key]
         flow.items.remove(item)
-        flow.forget(item)
-        self._shrink(key)
+        flow.subtract_work(item)
+        self._drop_empty(key)
 
     def tag(self, team, rank):
-        """Return a team's account in a class, in cost over weight."""
-        return max(self.virtual, self.tags.get((team, rank), 0.0))
+        """Return a team's start tag in a class, in cost over weight."""
+        return max(self.virtual_time, self.tags.get((team, rank), 0.0))
 
     def is_ahead(self, team, rank):
-        """Return whether a team has had more than its share."""
-        lead = self.tag(team, rank) - self.virtual
-        return lead > self.lead * self.average
+        """Return whether a team has exceeded its share."""
+        lead = self.tag(team, rank) - self.virtual_time
+        return lead > self.max_lead * self.average_cost
 
     def next_key(self, is_blocked):
-        """Return the key of the flow whose first item goes next, or None.
+        """Return the key of the flow whose first item starts next, or None.
 
         Parameters
         ==========
 
         is_blocked : function
-            ``is_blocked(item)`` tells whether there is no room for it.
+            ``is_blocked(item)`` returns whether capacity for it is missing.
         """
         best = None
         best_order = None
@@ -154,24 +155,24 @@
         return best
 
     def pop(self, key):
-        """Start the first item of a flow; return it."""
+        """Remove the first item of a flow, charge its cost and return it."""
         flow = self.flows[key]
         item = flow.items.popleft()
-        flow.forget(item)
-        self.average += _SMOOTHING * (item.cost - self.average)
+        flow.subtract_work(item)
+        self.average_cost += _SMOOTHING * (item.cost - self.average_cost)
         self._charge(flow, item.cost)
-        self._shrink(key)
+        self._drop_empty(key)
         return item
 
     def _order(self, flow):
-        # Between pipelines of one team, what must start first goes first.
+        # Between pipelines of one team, the earliest latest start goes first.
         head = flow.items[0]
-        place = (self.tag(flow.team, flow.rank), head.latest)
+        tie_break = (self.tag(flow.team, flow.rank), head.latest)
         if self.is_ahead(flow.team, flow.rank):
-            return (_EXCESS, *place)
+            return (_EXCESS_RANK, *tie_break)
         if self.credits.get(flow.rank, 0) >= head.cost:
-            return (-1, *place)
-        return (flow.rank, *place)
+            return (-1, *tie_break)
+        return (flow.rank, *tie_break)
 
     def _charge(self, flow, cost):
         waiting = {flow.team: flow.weight}
@@ -185,27 +186,28 @@
                 continue
             tag = self.tag(flow.team, rank)
             self.tags[flow.team, rank] = tag + cost / flow.weight
-        self.virtual += cost / sum(waiting.values())
+        self.virtual_time += cost / sum(waiting.values())
         self._credit(heads, flow.rank, cost)
 
     def _credit(self, heads, started, cost):
-        for rank, part in self.reserves.items():
+        for rank, share in self.reserves.items():
             if rank not in heads:
                 self.credits.pop(rank, None)
                 continue
-            credit = self.credits.get(rank, 0) + part * cost
+            credit = self.credits.get(rank, 0) + share * cost
             if rank == started:
                 credit -= cost
-            most = _MOST_CREDIT * heads[rank]
-            self.credits[rank] = max(-most, min(credit, most))
+            limit = _MAX_CREDIT * heads[rank]
+            self.credits[rank] = max(-limit, min(credit, limit))
 
-    def _shrink(self, key):
+    def _drop_empty(self, key):
         self.size -= 1
         if not self.flows[key].items:
             self.flows.pop(key)
         if self.size:
             return
-        # Nobody waits: what a team had while capacity was idle is no debt.
+        # The queue is empty: capacity that teams used while it was idle does
+        # not count against them.
         self.tags.clear()
         self.credits.clear()
-        self.virtual = 0.0
+        self.virtual_time = 0.0
--- a/pollenstile/quarantine/_quarantine.py
+++ b/pollenstile/quarantine/_quarantine.py
@@ -17,9 +17,10 @@
 _MS = 1000
 # Refusal reason of quarantined requests, for callers and between hosts.
 HELD_REASON = 'crashes upstreams'
-# Upstreams that may crash while running a request before a host leaves it to
-# the caller to retry. A request that is not the cause rarely meets two crashes.
-_MAX_CRASHES_BEFORE_RETRY = 2
+# A host retries a request by itself only while fewer upstreams than this have
+# crashed under it; then retries are up to the caller. A request that does not
+# cause crashes rarely meets two.
+_MAX_CRASHES_TO_RETRY = 2
 
 
 def unix_ms():
@@ -101,8 +102,7 @@
 
     def may_repeat(self, fingerprint):
         """Return whether a host may retry a request without its caller."""
-        crashes = self.evidence.crash_count(fingerprint)
-        return crashes < _MAX_CRASHES_BEFORE_RETRY
+        return self.evidence.crash_count(fingerprint) < _MAX_CRASHES_TO_RETRY
 
     def note_crash(self, incarnation, service, suspects):
         """Report a crashed process and the requests in flight there."""
