--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -367,7 +367,7 @@
 
 @then('it has not deleted the entry')
 def then_not_deleted(context):
-    assert 'f1' in context.record.standing
+    assert 'f1' in context.record.stored
 
 
 @given("a host's quarantine")
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -107,7 +107,7 @@
     from pollenstile.routing import _choose
 
     original = _choose.is_panic
-    _choose.is_panic = lambda members, barred: False
+    _choose.is_panic = lambda members, ejected: False
     try:
         assert context.pool.choose() is None
     finally:
--- a/pollenstile/estimates/__init__.py
+++ b/pollenstile/estimates/__init__.py
@@ -1,4 +1,4 @@
-"""Figures that a host learns from what it sees."""
+"""Online estimates from measurements of a host."""
 
 from pollenstile.estimates._fetching import Fetching
 from pollenstile.estimates._firsttoken import FirstTokens
--- a/pollenstile/estimates/_fetching.py
+++ b/pollenstile/estimates/_fetching.py
@@ -1,28 +1,30 @@
-"""How long model engines take to fetch the stage results they need."""
+"""Estimated time until model engines have fetched their stage results."""
 
-# Seconds of a call that carries no results: a handshake, the request's own
-# trip, and the engine's calls to the makers, across failure domains.
-_LEAST_SECONDS = 0.05
-# Times the bare transfer for which results are kept: links carry the results
-# of several requests at once.
+# Seconds without the transfer itself: a handshake, the trip of the request, and
+# the engine's calls to the upstreams that hold the results, across failure
+# domains.
+_BASE_SECONDS = 0.05
+# Multiple of the pure transfer time, because links carry the results of several
+# requests at once.
 _LINK_FACTOR = 4.0
-# Doublings of the time after results that were gone, and how much of one an
-# answer without such takes back.
-_MOST_DOUBLINGS = 6
-_TAKEN_BACK = 0.02
+# Maximum number of doublings after failed fetches, and the fraction of a
+# doubling that each successful fetch removes.
+_MAX_DOUBLINGS = 6
+_DOUBLING_DECAY = 0.02
 
 
 class Fetching:
-    """When an engine that was sent a request has fetched its results.
+    """Time after which an engine has fetched the results of a request.
 
     Explanation
     ===========
 
-    Results keep their room until the engine has them. Until its first token
-    they were kept for 0.25 s and more after that, half as long again as the
-    call that made them; released when the fetch is surely over, the room
-    serves more requests. An engine that comes too late says so and has run
-    nothing; the time is then doubled at once and shortened slowly.
+    Results occupy result memory until they are released. When they were kept
+    until the engine's first token, they stayed 0.25 s and more after the fetch,
+    half as long again as the call that made them. Releasing them as soon as
+    the fetch must be over frees the memory for more requests. An engine that
+    fetches too late reports it and has run nothing; the estimate is then
+    doubled at once and reduced slowly by successful fetches.
 
     Examples
     ========
@@ -42,25 +44,25 @@
         self.doublings = {}
 
     def seconds(self, service, size, link):
-        """Return seconds after the send at which results may be released.
+        """Return the seconds after the send when results may be released.
 
         Parameters
         ==========
 
         size : int
-            Bytes of all results.
+            Total bytes of the results.
         link : float
-            Bytes a second of one maker's link.
+            Bytes per second of the link of one upstream that holds results.
         """
-        least = _LEAST_SECONDS + _LINK_FACTOR * size / link
-        return least * 2 ** self.doublings.get(service, 0.0)
+        base = _BASE_SECONDS + _LINK_FACTOR * size / link
+        return base * 2 ** self.doublings.get(service, 0.0)
 
     def note_gone(self, service):
-        """Note that an engine came for results that were released."""
+        """Record that an engine tried to fetch results after their release."""
         doublings = self.doublings.get(service, 0.0)
-        self.doublings[service] = min(_MOST_DOUBLINGS, doublings + 1)
+        self.doublings[service] = min(_MAX_DOUBLINGS, doublings + 1)
 
     def note_read(self, service):
-        """Note that an engine has read its results."""
+        """Record that an engine has fetched its results."""
         doublings = self.doublings.get(service, 0.0)
-        self.doublings[service] = max(0.0, doublings - _TAKEN_BACK)
+        self.doublings[service] = max(0.0, doublings - _DOUBLING_DECAY)
--- a/pollenstile/estimates/_firsttoken.py
+++ b/pollenstile/estimates/_firsttoken.py
@@ -1,28 +1,27 @@
-"""How long model engines take to their first token."""
+"""Estimated time of model engines to the first token."""
 
 from pollenstile.estimates._linear import LinearFit
 
-# Tokens of two prompts, seconds to their first token on a middling engine, and
-# weight in samples: what a host believes before it has seen an answer. The
-# longer one is read at 55,000 tokens a second beside other requests, which
-# double the time.
-_PRIOR = ((0, 0.1, 2.0), (6600, 0.34, 2.0))
-# Seconds a token, at least: no engine reads a million tokens a second, and a
-# line that is flat by chance would make all engines equal.
-_LEAST_TOKEN_SECONDS = 1e-6
+# Prior estimate before the first answer: prompt tokens, seconds to the first
+# token on an average engine, and weight in samples. The longer prompt is read
+# at 55,000 tokens per second; concurrent requests double the time.
+_PRIOR_POINTS = ((0, 0.1, 2.0), (6600, 0.34, 2.0))
+# Minimum seconds per token. No engine reads a million tokens per second, and a
+# slope of zero by chance would make all engines equal.
+_MIN_TOKEN_SECONDS = 1e-6
 
 
 class FirstTokens:
-    """Seconds to the first token by service, over the prompt's own tokens.
+    """Seconds to the first token by service and prompt length.
 
     Explanation
     ===========
 
-    Requests with stage work are begun so that the engine still meets the aim,
-    and engines are compared by the tokens that they have to read. With the
-    figures of one engine, requests of another that reads 1.3 times as fast
-    are taken for late: three heavy days had a mean worth of 0.635 by the prior
-    alone, of 0.643 by what was learned.
+    Requests with stage work are scheduled so that the engine still meets the
+    target latency, and engines are compared by the tokens that they have to
+    read. The estimates of one engine type make requests of another type that
+    reads 1.3 times as fast look late: three heavy days had a mean worth of
+    0.635 with the prior alone and of 0.643 with learned estimates.
 
     Examples
     ========
@@ -44,20 +43,20 @@
         self.fits = {}
 
     def seconds(self, service, tokens):
-        """Return seconds from the send to the first token."""
+        """Return the expected seconds from the send to the first token."""
         return self._fit(service).at(tokens)
 
     def token_seconds(self, service):
-        """Return seconds by which one more token to read delays an answer."""
-        return max(_LEAST_TOKEN_SECONDS, self._fit(service).slope)
+        """Return the seconds that each further prompt token adds."""
+        return max(_MIN_TOKEN_SECONDS, self._fit(service).slope)
 
     def learn(self, service, tokens, seconds):
-        """Note that a first token came after some seconds."""
+        """Add a measured time to the first token."""
         self._fit(service).learn(tokens, seconds)
 
     def _fit(self, service):
         fit = self.fits.get(service)
         if fit is None:
-            fit = LinearFit(_PRIOR)
+            fit = LinearFit(_PRIOR_POINTS)
             self.fits[service] = fit
         return fit
--- a/pollenstile/estimates/_linear.py
+++ b/pollenstile/estimates/_linear.py
@@ -1,30 +1,30 @@
-"""A straight line through the latest samples."""
+"""Linear regression with exponential forgetting and prior points."""
 
-# Share of its weight that a sample keeps when another one comes: the latest 50
-# or so count. A host of a calm day sees three model answers a second, so the
-# line follows a changed load within some 15 s.
-_KEPT = 0.98
-# A sample of over this many times what the line says counts as that many: one
-# frozen host or dying engine, 2 s for a usual 0.2 s, moves the line by 6% and
-# not by 26% (after 50 usual ones).
-_MOST_RATIO = 3.0
+# Factor by which each new sample reduces the weight of older ones, so that
+# about the latest 50 count. On a calm day a host gets three model answers per
+# second, so the line follows a changed load within some 15 s.
+_FORGETTING_FACTOR = 0.98
+# A sample is capped at this multiple of the predicted value. One frozen host or
+# dying engine, with 2 s instead of 0.2 s, then moves the line by 6% instead of
+# 26% (after 50 usual samples).
+_MAX_RATIO = 3.0
 
 
 class LinearFit:
-    """Least squares with forgetting, from points that are always believed.
+    """Least squares with exponential forgetting and fixed prior points.
 
     Explanation
     ===========
 
-    The prior points keep their weight for good, so the line is defined before
-    the first sample and when all samples have the same abscissa.
+    The prior points keep their weight, so the line is defined before the first
+    sample and when all samples have the same abscissa.
 
     Parameters
     ==========
 
     prior : tuple of tuple
-        Abscissa, ordinate and weight (in samples) of each point; two at least,
-        with different abscissas.
+        Abscissa, ordinate and weight (in samples) of each point; at least two
+        points with different abscissas.
 
     Examples
     ========
@@ -48,34 +48,34 @@
         self._solve()
 
     def at(self, abscissa):
-        """Return the line's ordinate."""
+        """Return the predicted ordinate."""
         return self.intercept + self.slope * abscissa
 
     def learn(self, abscissa, ordinate):
-        """Take a sample; one that is far off counts as less far."""
-        ordinate = min(ordinate, _MOST_RATIO * self.at(abscissa))
+        """Add a sample; cap it at :data:`_MAX_RATIO` times the prediction."""
+        ordinate = min(ordinate, _MAX_RATIO * self.at(abscissa))
         terms = _terms(abscissa, ordinate, 1.0)
         self.sums = [
-            kept * _KEPT + term
-            for kept, term in zip(self.sums, terms, strict=True)
+            previous * _FORGETTING_FACTOR + term
+            for previous, term in zip(self.sums, terms, strict=True)
         ]
         self._solve()
 
     def _solve(self):
-        weight, across, up, squares, products = self._believed()
-        spread = weight * squares - across * across
-        # A falling line, or one that begins below zero, is chance.
-        self.slope = max(0.0, (weight * products - across * up) / spread)
-        self.intercept = max(0.0, (up - self.slope * across) / weight)
-
-    def _believed(self):
-        """Return the sums over the samples and the prior points."""
+        weight, sum_x, sum_y, sum_xx, sum_xy = self._total_sums()
+        spread = weight * sum_xx - sum_x * sum_x
+        # A negative slope or intercept is measurement noise.
+        self.slope = max(0.0, (weight * sum_xy - sum_x * sum_y) / spread)
+        self.intercept = max(0.0, (sum_y - self.slope * sum_x) / weight)
+
+    def _total_sums(self):
+        """Return the sums over samples and prior points."""
         parts = [self.sums, *(_terms(*point) for point in self.prior)]
         return [sum(column) for column in zip(*parts, strict=True)]
 
 
 def _terms(abscissa, ordinate, weight):
-    """Return what a point adds to the sums of least squares."""
-    across = weight * abscissa
-    up = weight * ordinate
-    return weight, across, up, across * abscissa, across * ordinate
+    """Return the terms of a point in the sums of least squares."""
+    x_term = weight * abscissa
+    y_term = weight * ordinate
+    return weight, x_term, y_term, x_term * abscissa, x_term * ordinate
--- a/pollenstile/quarantine/_record.py
+++ b/pollenstile/quarantine/_record.py
@@ -45,27 +45,27 @@
     Attributes
     ==========
 
-    standing : set of str
+    stored : set of str
         Fingerprints with an entry in the store.
     """
 
-    __slots__ = ('hosts', 'log', 'quarantine', 'standing', 'store')
+    __slots__ = ('hosts', 'log', 'quarantine', 'stored', 'store')
 
     def __init__(self, store, quarantine, hosts, log=silent_log):
         self.store = store
         self.quarantine = quarantine
         self.hosts = hosts
         self.log = log
-        self.standing = set()
+        self.stored = set()
         quarantine.on_verdict = self.write
 
     def take(self, change):
         """Apply a change of an entry."""
         if change.value is None:
-            self.standing.discard(change.name)
+            self.stored.discard(change.name)
             self.quarantine.release(change.name, 'its entry was deleted')
             return
-        self.standing.add(change.name)
+        self.stored.add(change.name)
         verdict = self._verdict(change)
         if verdict is None:
             return
@@ -105,7 +105,7 @@
         clock = self.quarantine.clock
         await paused(clock, rank * _TURN_SECONDS)
         name = verdict.fingerprint
-        while self.quarantine.is_held(name) and name not in self.standing:
+        while self.quarantine.is_held(name) and name not in self.stored:
             entry = {
                 'team': verdict.team,
                 'service': verdict.service,
@@ -127,8 +127,8 @@
         """Delete an entry if this host ranks first for it."""
         hosts = {self.quarantine.host, *self.hosts}
         is_first = _rank(name, self.quarantine.host, hosts) == 0
-        if name in self.standing and is_first:
-            self.standing.discard(name)
+        if name in self.stored and is_first:
+            self.stored.discard(name)
             Deferred.fromCoroutine(self.store.delete(QUARANTINED, name))
 
     def _verdict(self, change):
--- a/pollenstile/routes/__init__.py
+++ b/pollenstile/routes/__init__.py
@@ -1,10 +1,10 @@
-"""Routes of callers' requests, as one version of the configuration has them.
+"""Route table of one version of the configuration.
 
 Explanation
 ===========
 
-Plain values without I/O. An adapter decodes them from whatever an operator
-writes; the rest of the system reads them.
+Plain values without I/O. An adapter decodes them from the documents that
+operators write; the rest of the system reads them.
 """
 
 from pollenstile.routes._document import routes_by_host, table_of
--- a/pollenstile/routes/_document.py
+++ b/pollenstile/routes/_document.py
@@ -1,4 +1,4 @@
-"""Route tables and upstreams as documents of the project's own form."""
+"""Decoding of route tables from documents in the native format."""
 
 import msgspec
 
@@ -20,9 +20,9 @@
     ==========
 
     version : int
-        Rises with each change.
+        Increases with each change.
     teams : list of TeamDocument or None
-        None where no keys are asked for.
+        None when callers need no keys.
     """
 
     version: int
@@ -33,13 +33,13 @@
 
 
 def table_of(value):
-    """Return the route table of a document.
+    """Return the route table that a document describes.
 
     Raises
     ======
 
     ValueError
-        When it is none; the text says where.
+        When the document is invalid; the message says where.
 
     Examples
     ========
@@ -54,7 +54,7 @@
     return RouteTable(
         version=document.version,
         by_host=routes_by_host(document.routes),
-        services={one.name: one for one in document.services},
+        services={service.name: service for service in document.services},
         keys=_keys(document.teams),
         limits=document.limits,
     )
--- a/pollenstile/routes/_matching.py
+++ b/pollenstile/routes/_matching.py
@@ -1,4 +1,4 @@
-"""Which route, team and service a request has."""
+"""Matching of requests to routes, teams and services."""
 
 _BEARER = 'bearer '
 
@@ -26,7 +26,7 @@
 
 
 def team_of(table, authorization):
-    """Return the team whose key a header holds, or None."""
+    """Return the team of the key in an authorization header, or None."""
     scheme = authorization[: len(_BEARER)].lower()
     if scheme != _BEARER or not table.keys:
         return None
@@ -34,14 +34,14 @@
 
 
 def urgency_of(route, team):
-    """Return how urgent a request is; 0 comes first."""
+    """Return the urgency of a request; 0 is the most urgent."""
     if team is None or team.urgency is None:
         return route.urgency
     return team.urgency
 
 
 def picked_service(route, point):
-    """Return the target that a point from 0 to 1 falls on.
+    """Return the service of the weighted target at a point from 0 to 1.
 
     Examples
     ========
@@ -52,10 +52,10 @@
     >>> [picked_service(route, point) for point in (0.1, 0.95)]
     ['a', 'b']
     """
-    whole = sum(target.weight for target in route.targets)
-    left = point * whole
+    total = sum(target.weight for target in route.targets)
+    remaining = point * total
     for target in route.targets:
-        left -= target.weight
-        if left < 0:
+        remaining -= target.weight
+        if remaining < 0:
             return target.service
     return route.targets[-1].service
--- a/pollenstile/routes/_model.py
+++ b/pollenstile/routes/_model.py
@@ -1,11 +1,11 @@
-"""The route table and its parts."""
+"""Data model of the route table."""
 
 import enum
 from dataclasses import dataclass, field
 
 
 class Kind(enum.Enum):
-    """What may be repeated."""
+    """Whether requests may be retried, and whether the answer is a stream."""
 
     IDEMPOTENT = 'idempotent'
     ONCE = 'once'
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    """A service that a route may use, and its share of the requests."""
+    """A service that serves a route, and its share of the requests."""
 
     service: str
     weight: float = 1.0
@@ -22,17 +22,17 @@
 
 @dataclass(slots=True, frozen=True)
 class StageStep:
-    """Work that must be done before a request can run.
+    """Stage work that must complete before a request can run.
 
     Parameters
     ==========
 
     service : str
-        Whose upstreams make the pieces.
+        Service whose upstreams process the pieces.
     after : tuple of int
-        Numbers of the steps whose results are the input.
+        Indexes of the steps whose results are the input.
     result_bytes : int
-        About the size of one piece's result.
+        Approximate size of the result of one piece.
     """
 
     service: str
@@ -42,23 +42,23 @@
 
 @dataclass(slots=True, frozen=True)
 class StageLimits:
-    """What one upstream of a stage service takes.
+    """Capacity of one upstream of a stage service.
 
     Parameters
     ==========
 
     slots : int
-        Calls that it works on at a time.
+        Maximum number of concurrent calls.
     batch : int
-        Pieces a call may hold.
+        Maximum number of pieces per call.
     call_seconds, piece_seconds : float
-        About what a call and each of its pieces take.
+        Approximate time per call and per piece of a call.
     room_bytes : int
-        Memory for results that were not released.
+        Result memory, in bytes.
     hold_seconds : float
-        A result that nobody releases is dropped after this time.
+        Time after which a result that was not released is dropped.
     link_rate : float
-        Bytes a second of its link.
+        Bytes per second of its link.
     """
 
     slots: int = 1
@@ -72,16 +72,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """Upstreams that do the same work.
+    """A group of interchangeable upstreams.
 
     Parameters
     ==========
 
     stage : StageLimits or None
-        For services that make pieces of stages.
+        Set for services that process pieces of stages.
     cold_rate : float
-        Requests a second that an upstream bears from all hosts together while
-        it is cold; 0 where that has no bound.
+        Requests per second that a cold upstream can handle from all hosts
+        together; 0 for no bound.
     """
 
     name: str
@@ -99,25 +99,25 @@
     name, host, prefix : str
         The prefix begins and ends with a slash.
     kind : Kind
-        What may be repeated.
+        Whether requests may be retried.
     timeout, aim : float
-        Seconds: the longest a caller is kept waiting, and the time within
-        which an answer is worth most.
+        Maximum time of a request, and the target latency within which an answer
+        is worth most, in seconds.
     urgency : int
         0 is the most urgent.
     targets : tuple of Target
         Services and their shares.
     attempts : int
-        Upstreams that one request may be sent to.
+        Maximum number of upstreams that one request is sent to.
     steps : tuple of StageStep
-        Done in the order of their ``after``.
+        Stage work, ordered by their ``after``.
     public : bool
-        Whether no key is asked for.
+        Whether callers need no key.
     resumable : bool
-        Whether a stream may go on at another upstream.
+        Whether a stream may be resumed at another upstream.
     pause : float
-        Seconds between two events of a stream for which it is still in time;
-        0 where there is no such bound.
+        Maximum seconds between two events of a stream that is in time; 0 for no
+        bound.
     """
 
     name: str
@@ -144,7 +144,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Team:
-    """Callers that share keys; its urgency goes before a route's."""
+    """Callers that share keys; its urgency overrides that of a route."""
 
     name: str
     urgency: int | None = None
@@ -152,7 +152,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What a caller may send, in bytes and seconds."""
+    """Limits on requests of callers, in bytes and seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -168,13 +168,13 @@
     ==========
 
     version : int
-        Rises with each change.
+        Increases with each change.
     by_host : dict
-        Routes by host name, those with the longest prefix first.
+        Routes by host name, longest prefixes first.
     services : dict
-        By name.
+        Services by name.
     keys : dict
-        Teams by key; None when no keys are asked for at all.
+        Teams by key; None when callers need no keys.
     """
 
     version: int
--- a/pollenstile/routing/__init__.py
+++ b/pollenstile/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Which upstream takes a call: load, affinity, ejection."""
+"""Selection of upstreams by load, prefix affinity and outlier ejection."""
 
 from pollenstile.routing._affinity import affinity, cache_key
 from pollenstile.routing._choose import (
@@ -9,5 +9,5 @@
     chosen,
 )
 from pollenstile.routing._decayed import DecayedQuantiles
-from pollenstile.routing._ejection import bar_time, is_panic
+from pollenstile.routing._ejection import ejection_time, is_panic
 from pollenstile.routing._tracker import Tracker, UpstreamState
--- a/pollenstile/routing/_affinity.py
+++ b/pollenstile/routing/_affinity.py
@@ -1,4 +1,4 @@
-"""Which upstream is likely to have a prompt's prefix cached."""
+"""Cache affinity: maps prompt prefixes to preferred upstreams."""
 
 import msgspec
 import xxhash
@@ -7,7 +7,7 @@
 
 
 def cache_key(team, model, content):
-    """Return what calls with the same prompt prefix have in common.
+    """Return a key that calls with the same prompt prefix share.
 
     Parameters
     ==========
@@ -15,7 +15,7 @@
     team, model : str
         Prefixes are shared within a team and a model.
     content : object
-        The request's input, of JSON's types.
+        Input of the request, as JSON types.
 
     Examples
     ========
@@ -33,12 +33,12 @@
 
 
 def affinity(key, name):
-    """Return an upstream's rank for a key; the highest is preferred.
+    """Return an upstream's score for a key; the highest is preferred.
 
     Explanation
     ===========
 
-    Rendezvous hashing: every host finds the same order without talking, and
-    an upstream that goes moves only the keys that it had.
+    Rendezvous hashing gives all hosts the same order without coordination, and
+    the removal of an upstream moves only the keys that it had.
     """
     return xxhash.xxh3_64_intdigest(name.encode(), seed=key)
--- a/pollenstile/routing/_choose.py
+++ b/pollenstile/routing/_choose.py
@@ -1,25 +1,26 @@
-"""The choice of an upstream for one call."""
+"""Selection of an upstream for one call."""
 
 from dataclasses import dataclass
 
 from pollenstile.routing._affinity import affinity
 from pollenstile.routing._ejection import is_panic
 
-# A call to another domain costs a round trip between domains; the choice
-# crosses over when the own domain is this much busier, in calls per slot.
-_CROSSING = 0.25
-# Busier than this, in calls per slot, the preferred upstream of a prefix is
-# not waited for: a queue costs more than reading the prompt again.
-_AFFINITY_BOUND = 0.9
-# A cached prefix is worth as much as this, in calls per slot.
-_AFFINITY_WORTH = 0.25
-# A report is believed half as much after so many seconds.
-_REPORT_FADING = 2.0
+# A call to another domain costs a round trip between domains. The penalty is in
+# calls per slot: another domain is chosen when its upstream is less busy than
+# those of the host's own domain by more than this.
+_CROSS_DOMAIN_PENALTY = 0.25
+# Calls per slot above which the upstream that has a prefix cached is not
+# preferred: waiting in its queue costs more than reading the prompt again.
+_MAX_AFFINITY_LOAD = 0.9
+# Bonus for a cached prefix, in calls per slot.
+_AFFINITY_BONUS = 0.25
+# Half-life in seconds of the weight of a load report.
+_REPORT_HALF_LIFE = 2.0
 
 
 @dataclass(slots=True, frozen=True)
 class Choice:
-    """An upstream and why it was taken.
+    """A selected upstream and the reasons for the choice.
 
     Parameters
     ==========
@@ -27,13 +28,13 @@
     name : str
         The upstream.
     upstream : Upstream
-        As declared.
+        The declared upstream.
     busyness : float
         Estimated calls per slot.
     candidates : int
-        How many could have been taken.
+        Number of eligible upstreams.
     preferred : bool
-        Whether it is the one that a prompt's prefix belongs to.
+        Whether it is the preferred upstream of the prompt's prefix.
     """
 
     name: str
@@ -44,40 +45,41 @@
 
 
 def busyness(upstream, state, now=0.0):
-    """Return estimated calls per slot of an upstream.
+    """Return the estimated calls per slot of an upstream.
 
     Explanation
     ===========
 
-    A load report is old when it arrives. Own calls sent since then are added
-    to it, own calls that ended are taken off, and own calls in flight are
-    the least there can be. An old report says little of other hosts' calls:
-    believed for good, it would keep an upstream idle that once was busy.
+    A load report is outdated when it arrives. So this host's share of the
+    report is replaced by its present calls in flight, which are also the lower
+    bound of the result. The rest, calls of other hosts, decays with the age of
+    the report: an old report would otherwise keep an upstream idle that was
+    busy once.
     """
     if state.load is None:
         return state.in_flight / upstream.slots
     reported = state.load.running + state.load.queued
     others = max(0, reported - state.own_at_report)
     age = max(0, now - state.reported)
-    faded = others * 0.5 ** (age / _REPORT_FADING)
-    return (faded + state.in_flight) / upstream.slots
+    decayed = others * 0.5 ** (age / _REPORT_HALF_LIFE)
+    return (decayed + state.in_flight) / upstream.slots
 
 
 @dataclass(slots=True, frozen=True)
 class Hints:
-    """What one call and this host's limits say of upstreams.
+    """Criteria of one call for the selection of an upstream.
 
     Parameters
     ==========
 
     slowness : function or None
-        Returns how many times slower than usual an upstream is.
+        Returns how many times slower than expected an upstream is.
     is_over : function or None
-        Returns whether one more call would pass an upstream's own limit.
+        Returns whether one more call would exceed an upstream's limit.
     key : int
-        Of the prompt's prefix; 0 when there is none.
+        Affinity key of the prompt's prefix; 0 when there is none.
     holds : function or None
-        Returns whether an upstream takes work for the call's model.
+        Returns whether an upstream serves the call's model.
     """
 
     slowness: object = None
@@ -90,34 +92,34 @@
 
 
 def candidates_of(pool, tracker, excluded=(), holds=None):
-    """Return upstreams that may take a call, with their states.
+    """Return the upstreams that are eligible for a call, with their states.
 
     Explanation
     ===========
 
-    Leaving upstreams never may. Those kept out after failures may when too
-    many are out at once; see :func:`is_panic`.
+    Leaving upstreams are never eligible. Ejected ones are when too many are
+    ejected at once; see :func:`is_panic`.
     """
     now = tracker.clock.seconds()
     members = []
-    barred = set()
+    ejected = set()
     for name, upstream in pool.upstreams.items():
         state = tracker.state(name)
         if state.leaving:
             continue
         members.append((name, upstream, state))
         if state.barred_until > now:
-            barred.add(name)
-    out = set(excluded)
-    if not is_panic(len(members), len(barred)):
-        out |= barred
+            ejected.add(name)
+    ineligible = set(excluded)
+    if not is_panic(len(members), len(ejected)):
+        ineligible |= ejected
     if holds is not None:
-        out.update(name for name, _, _ in members if not holds(name))
-    return [member for member in members if member[0] not in out]
+        ineligible.update(name for name, _, _ in members if not holds(name))
+    return [member for member in members if member[0] not in ineligible]
 
 
 def chosen(pool, tracker, domain, rng, excluded=(), hints=_NO_HINTS):
-    """Return the upstream that a call should go to.
+    """Return the upstream that a call should be sent to.
 
     Parameters
     ==========
@@ -125,56 +127,58 @@
     pool : Pool
         The declared pool.
     tracker : Tracker
-        What is known of its upstreams.
+        State of its upstreams.
     domain : str
-        The host's own failure domain.
+        Failure domain of this host.
     rng : random.Random
         Breaks ties.
     excluded : collection of str
-        Upstreams that this request has tried already.
+        Upstreams that this request was sent to before.
     hints : Hints
-        What is known besides.
+        Further criteria.
 
     Returns
     =======
 
     Choice or None
-        None when no upstream may take the call.
+        None when no upstream is eligible.
     """
     now = tracker.clock.seconds()
-    found = candidates_of(pool, tracker, excluded, hints.holds)
-    preferred = _preferred(found, domain, hints.key)
+    candidates = candidates_of(pool, tracker, excluded, hints.holds)
+    preferred = _preferred(candidates, domain, hints.key)
     best = None
     best_order = None
-    for candidate in found:
+    for candidate in candidates:
         busy = busyness(candidate[1], candidate[2], now)
         score = _score(busy, candidate, domain, hints)
-        if candidate[0] == preferred and busy < _AFFINITY_BOUND:
-            score -= _AFFINITY_WORTH
+        if candidate[0] == preferred and busy < _MAX_AFFINITY_LOAD:
+            score -= _AFFINITY_BONUS
         order = (score, rng.random())
         if best_order is None or order < best_order:
             best = (candidate[0], candidate[1], busy)
             best_order = order
     if best is None:
         return None
-    return Choice(*best, len(found), best[0] == preferred)
+    return Choice(*best, len(candidates), best[0] == preferred)
 
 
 def _score(busy, candidate, domain, hints):
-    """Return the estimated time of a call, in usual times."""
+    """Return the estimated time of a call, in expected call times."""
     name, upstream, state = candidate
     score = busy
     if upstream.domain != domain:
-        score += _CROSSING
+        score += _CROSS_DOMAIN_PENALTY
     if hints.is_over is not None:
         score += hints.is_over(name, upstream.slots, state.in_flight)
     slow = hints.slowness(name) if hints.slowness is not None else 1.0
     return score + slow * max(1.0, busy + 1 / upstream.slots)
 
 
-def _preferred(found, domain, key):
+def _preferred(candidates, domain, key):
     if not key:
         return ''
-    own = [name for name, upstream, _ in found if upstream.domain == domain]
-    names = own or [name for name, _, _ in found]
+    own = [
+        name for name, upstream, _ in candidates if upstream.domain == domain
+    ]
+    names = own or [name for name, _, _ in candidates]
     return max(names, key=lambda name: affinity(key, name), default='')
--- a/pollenstile/routing/_decayed.py
+++ b/pollenstile/routing/_decayed.py
@@ -1,26 +1,27 @@
-"""Quantiles of measured times in which old measurements fade."""
+"""Quantiles of measured times with exponential decay."""
 
 import math
 
-_LOWEST = 0.0005
-_STEP = 1.08
-_LOG_STEP = math.log(_STEP)
+# Lowest boundary of the buckets in seconds, and the ratio between two of them.
+_MIN_SECONDS = 0.0005
+_BUCKET_RATIO = 1.08
+_LOG_BUCKET_RATIO = math.log(_BUCKET_RATIO)
 _BUCKETS = 210
-_LARGEST_WEIGHT = 1e9
+_MAX_WEIGHT = 1e9
 
 
 class DecayedQuantiles:
-    """A histogram of geometric buckets with forward decay.
+    """Histogram with geometric buckets and forward decay.
 
     Explanation
     ===========
 
-    A new measurement weighs twice as much as one a half-life older, so that a
-    stage that has become slow or fast again is soon known to be so. Weights
-    grow with time in place of old ones being scaled down (Cormode et al.,
-    *Forward decay*, 2009). Quantiles are exact to 4%. HdrHistogram, which
-    keeps its counts for good, is not used: its windows would have to be
-    rotated, and each read of it walks thousands of counts.
+    A new measurement has twice the weight of one that is a half-life older, so
+    quantiles soon follow a change of the times. Weights of new measurements
+    grow with time instead of old ones being scaled down (Cormode et al.,
+    *Forward decay*, 2009). Quantiles are exact to 4%. HdrHistogram is not used
+    because its counts do not decay: it would need rotating windows, and each
+    read iterates over thousands of counts.
 
     Parameters
     ==========
@@ -41,7 +42,14 @@
     2
     """
 
-    __slots__ = ('count', 'half_life', 'kept', 'start', 'total', 'weights')
+    __slots__ = (
+        'cached_quantiles',
+        'count',
+        'half_life',
+        'start',
+        'total',
+        'weights',
+    )
 
     def __init__(self, half_life=60.0):
         self.half_life = half_life
@@ -49,47 +57,47 @@
         self.weights = [0.0 for _ in range(_BUCKETS)]
         self.total = 0.0
         self.count = 0
-        self.kept = {}
+        self.cached_quantiles = {}
 
     def add(self, now, seconds):
-        """Note a measurement.
+        """Add a measurement.
 
         Parameters
         ==========
 
         now : float
-            On a clock that does not go back, in seconds.
+            Time on a monotonic clock, in seconds.
         seconds : float
             The measured time.
         """
         weight = 2 ** min(1000, (now - self.start) / self.half_life)
-        if weight > _LARGEST_WEIGHT:
+        if weight > _MAX_WEIGHT:
             self._rescale(now, weight)
             weight = 1.0
         self.weights[_bucket(seconds)] += weight
         self.total += weight
         self.count += 1
-        self.kept.clear()
+        self.cached_quantiles.clear()
 
     def quantile(self, percent):
         """Return a quantile in seconds."""
-        found = self.kept.get(percent)
+        found = self.cached_quantiles.get(percent)
         if found is None:
             found = self._quantile(percent)
-            self.kept[percent] = found
+            self.cached_quantiles[percent] = found
         return found
 
     def _quantile(self, percent):
-        left = self.total * percent / 100
+        remaining = self.total * percent / 100
         highest = 0
-        for place, weight in enumerate(self.weights):
+        for index, weight in enumerate(self.weights):
             if not weight:
                 continue
-            highest = place
-            left -= weight
-            if left <= 0:
+            highest = index
+            remaining -= weight
+            if remaining <= 0:
                 break
-        return _LOWEST * _STEP ** (highest + 0.5)
+        return _MIN_SECONDS * _BUCKET_RATIO ** (highest + 0.5)
 
     def _rescale(self, now, factor):
         self.weights = [weight / factor for weight in self.weights]
@@ -98,7 +106,7 @@
 
 
 def _bucket(seconds):
-    if seconds <= _LOWEST:
+    if seconds <= _MIN_SECONDS:
         return 0
-    place = int(math.log(seconds / _LOWEST) / _LOG_STEP)
-    return min(_BUCKETS - 1, place)
+    index = int(math.log(seconds / _MIN_SECONDS) / _LOG_BUCKET_RATIO)
+    return min(_BUCKETS - 1, index)
--- a/pollenstile/routing/_ejection.py
+++ b/pollenstile/routing/_ejection.py
@@ -1,46 +1,48 @@
-"""When an upstream is kept out for a while, and when none may be."""
+"""Temporary ejection of failing upstreams, and the panic threshold."""
 
-_FIRST_BAR = 0.1
-_LONGEST_BAR = 5.0
-_IN_A_ROW = 2
-# With more than this part of a pool kept out, failures say more of the path
-# or of this host than of upstreams.
-_PANIC = 0.5
+_BASE_SECONDS = 0.1
+_MAX_SECONDS = 5.0
+# Consecutive failures after which an upstream is ejected.
+_MIN_FAILURES = 2
+# When more than this share of a pool is ejected, the cause is more likely the
+# network path or this host than the upstreams.
+_PANIC_SHARE = 0.5
 
 
-def bar_time(failures):
-    """Return how long an upstream gets no calls after failures in a row.
+def ejection_time(failures):
+    """Return the seconds of an ejection after consecutive failures.
 
     Examples
     ========
 
-    >>> from pollenstile.routing._ejection import bar_time
-    >>> bar_time(1), bar_time(2), bar_time(20)
+    >>> from pollenstile.routing._ejection import ejection_time
+    >>> ejection_time(1), ejection_time(2), ejection_time(20)
     (0.0, 0.4, 5.0)
     """
-    if failures < _IN_A_ROW:
+    if failures < _MIN_FAILURES:
         return 0.0
-    return min(_LONGEST_BAR, _FIRST_BAR * 2 ** min(failures, 10))
+    return min(_MAX_SECONDS, _BASE_SECONDS * 2 ** min(failures, 10))
 
 
-def is_panic(members, barred):
-    """Return whether too many are kept out to believe it.
+def is_panic(members, ejected):
+    """Return whether so many upstreams are ejected that ejection is ignored.
 
     Explanation
     ===========
 
-    A lost path, a burst of timeouts under overload or a wrong deadline makes
-    every upstream fail at once. It shows as *no upstream* for every request,
-    long after the cause is gone. So once more than half of a pool are out,
-    all that do not leave are taken again, and the pool can't be emptied.
+    A lost network path, a burst of timeouts under overload or a wrong deadline
+    makes every upstream fail at once. If all were ejected, every request would
+    fail with *no upstream* long after the cause has ended. So once more than
+    half of a pool is ejected, all upstreams that are not leaving are eligible
+    again, and ejection can't empty the pool.
 
     Parameters
     ==========
 
     members : int
-        Upstreams of the pool that do not leave.
-    barred : int
-        Those of them that are kept out.
+        Upstreams of the pool that are not leaving.
+    ejected : int
+        Those of them that are ejected.
 
     Examples
     ========
@@ -49,4 +51,4 @@
     >>> is_panic(4, 2), is_panic(4, 3), is_panic(1, 1)
     (False, True, True)
     """
-    return barred > _PANIC * members
+    return ejected > _PANIC_SHARE * members
--- a/pollenstile/routing/_tracker.py
+++ b/pollenstile/routing/_tracker.py
@@ -1,33 +1,32 @@
-"""What one entry host knows of each upstream."""
+"""State of each upstream, as one entry host observes it."""
 
 from pollenstile.routing._decayed import DecayedQuantiles
-from pollenstile.routing._ejection import bar_time
+from pollenstile.routing._ejection import ejection_time
 
-_ENOUGH = 20
+# Measurements from which on quantiles are used.
+_MIN_MEASUREMENTS = 20
 
 
 class UpstreamState:
-    """Own counts and last reports of one upstream.
+    """Call counts and last load report of one upstream.
 
     Parameters
     ==========
 
     in_flight : int
-        Own calls that have not ended.
+        Calls of this host that have not ended.
     load : Load or None
         Its last load report.
     reported : float
-        When that came, in seconds.
+        Clock time at which the report arrived, in seconds.
     own_at_report : int
-        Own calls in flight when it was made, as far as known.
+        Calls of this host in flight when the report arrived.
     failures : int
-        Failures in a row.
+        Consecutive failures.
     barred_until : float
-        No call is sent before, in seconds.
-    models : collection of str or None
-        Models that it holds; None for all of its pool's.
+        Clock time at which its ejection ends, in seconds.
     leaving : bool
-        Whether it gets no new work.
+        Whether it must get no new calls.
     """
 
     __slots__ = (
@@ -57,14 +56,14 @@
     ==========
 
     clock : IReactorTime
-        For the age of reports.
+        Timestamps load reports and measurements.
 
     Attributes
     ==========
 
     observer : function or None
-        Takes a name and its load report; returns whether the upstream is
-        leaving, which it knows by incarnation.
+        Called with the name of an upstream and its load report; returns whether
+        the upstream is leaving, which it tracks by incarnation.
     """
 
     __slots__ = ('clock', 'observer', 'states', 'times')
@@ -76,7 +75,7 @@
         self.times = {}
 
     def state(self, name):
-        """Return the state of an upstream, a new one at first."""
+        """Return the state of an upstream; create it if needed."""
         state = self.states.get(name)
         if state is None:
             state = UpstreamState()
@@ -84,16 +83,16 @@
         return state
 
     def started(self, name):
-        """Note that a call was sent."""
+        """Record that a call was sent."""
         self.state(name).in_flight += 1
 
     def ended(self, name, load=None, *, failed=False):
-        """Note that a call ended, with the load report that came along."""
+        """Record that a call ended, and its load report if it has one."""
         state = self.state(name)
         state.in_flight -= 1
         if failed:
             state.failures += 1
-            state.barred_until = self.clock.seconds() + bar_time(
+            state.barred_until = self.clock.seconds() + ejection_time(
                 state.failures,
             )
             return
@@ -103,7 +102,7 @@
             self.reported(name, load)
 
     def reported(self, name, load):
-        """Note a load report."""
+        """Record a load report."""
         state = self.state(name)
         state.load = load
         state.reported = self.clock.seconds()
@@ -114,16 +113,16 @@
         state.leaving = state.leaving or load.leaving
 
     def measured(self, stage_key, seconds):
-        """Note how long a stage took, in seconds."""
+        """Record the duration of a stage, in seconds."""
         times = self.times.get(stage_key)
         if times is None:
             times = DecayedQuantiles()
             self.times[stage_key] = times
         times.add(self.clock.seconds(), seconds)
 
-    def quantile(self, stage_key, percent, otherwise):
-        """Return a measured quantile in seconds, or a given value at first."""
+    def quantile(self, stage_key, percent, default):
+        """Return a quantile in seconds, or a default for few measurements."""
         times = self.times.get(stage_key)
-        if times is None or times.count < _ENOUGH:
-            return otherwise
+        if times is None or times.count < _MIN_MEASUREMENTS:
+            return default
         return times.quantile(percent)
