--- a/pollenstile/limits/_concurrency.py
+++ b/pollenstile/limits/_concurrency.py
@@ -78,7 +78,7 @@
 
 
 def aimd(value, load_pressure, in_flight, slots):
-    """Return a limit after a sample, by additive increase and cuts by a factor.
+    """Apply additive increase, multiplicative decrease to a limit.
 
     Examples
     ========
@@ -95,7 +95,7 @@
 
 
 def gradient(value, load_pressure, in_flight, slots):
-    """Return a limit after a sample, adjusted in proportion to free capacity.
+    """Adjust a limit in proportion to the free capacity of an upstream.
 
     Examples
     ========
--- a/pollenstile/quarantine/_quarantine.py
+++ b/pollenstile/quarantine/_quarantine.py
@@ -142,8 +142,8 @@
 
     def apply(self, update):
         """Apply an update; return the part of it that is new here."""
-        added = [self.evidence.add(report) for report in update.reports]
-        reports = tuple(report for report in added if report is not None)
+        added = [self.evidence.add(reported) for reported in update.reports]
+        reports = tuple(part for part in added if part is not None)
         fresh = QuarantineUpdate(
             reports,
             tuple(name for name in update.alive if self._retract(name)),
--- a/pollenstile/quarantine/_verdicts.py
+++ b/pollenstile/quarantine/_verdicts.py
@@ -57,9 +57,9 @@
         """Drop expired verdicts; return them."""
         now = self.clock.seconds()
         expired = [
-            verdict
-            for verdict in self.by_fingerprint.values()
-            if verdict.expires_at <= now
+            candidate
+            for candidate in self.by_fingerprint.values()
+            if candidate.expires_at <= now
         ]
         for verdict in expired:
             self.by_fingerprint.pop(verdict.fingerprint)
