--- a/features/steps/deciding_steps.py
+++ b/features/steps/deciding_steps.py
@@ -210,7 +210,7 @@
 def given_gone(context, times):
     context.fetching = Fetching()
     for _ in range(times):
-        context.fetching.note_gone(SERVICE)
+        context.fetching.note_failed_fetch(SERVICE)
 
 
 def _kept(context, size):
@@ -225,7 +225,7 @@
 @then('after {count:d} answers they are kept for {least:g} to {most:g} seconds')
 def then_kept_later(context, count, least, most):
     for _ in range(count):
-        context.fetching.note_read(SERVICE)
+        context.fetching.note_fetched(SERVICE)
     then_kept(context, 1, least, most)
 
 
--- a/features/steps/limits_steps.py
+++ b/features/steps/limits_steps.py
@@ -14,10 +14,10 @@
 class _OpenAdmission:
     """Admission without limits: every request starts at once."""
 
-    async def entered(self, request):
+    async def admit(self, request):
         """Return None."""
 
-    def leave(self, request):
+    def request_ended(self, request):
         """Do nothing."""
 
     def stage_ended(self, request, stage):
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -13,12 +13,12 @@
 from pollenstile.platform import Change
 from pollenstile.quarantine import (
     HELD_REASON,
-    QUARANTINED,
+    QUARANTINE_KIND,
     Quarantine,
     QuarantineUpdate,
-    Record,
     Report,
     Suspect,
+    VerdictRecorder,
     unix_ms,
 )
 from pollenstile.standin.objectapi import MemoryStore
@@ -54,7 +54,7 @@
 def _entries(context):
     listed = []
     store = _fleet(context).store
-    work = Deferred.fromCoroutine(store.listed(QUARANTINED))
+    work = Deferred.fromCoroutine(store.listed(QUARANTINE_KIND))
     work.addCallback(listed.append)
     context.world.pass_by(0.1)
     return listed[0].objects
@@ -178,7 +178,7 @@
 def when_deleted(context):
     store = _fleet(context).store
     Deferred.fromCoroutine(
-        store.delete(QUARANTINED, _held_fingerprint(context))
+        store.delete(QUARANTINE_KIND, _held_fingerprint(context))
     )
 
 
@@ -210,7 +210,7 @@
 @when('one host sees it run to completion')
 def when_completed(context):
     host = _fleet(context).running()[-1]
-    host.core.quarantine.note_whole(_held_fingerprint(context))
+    host.core.quarantine.note_completed(_held_fingerprint(context))
 
 
 @when('a host wrongly reports 3 upstreams as crashed while running a request')
@@ -346,7 +346,7 @@
     context.store = MemoryStore(clock)
     context.quarantine = Quarantine(clock, 'h', lambda service: 9)
     context.quarantine.now_ms = lambda: 2000
-    context.record = Record(context.store, context.quarantine, {})
+    context.record = VerdictRecorder(context.store, context.quarantine, {})
     apply_verdicts(
         context.quarantine, verdict('f1', changed=1000, is_held=False)
     )
@@ -355,9 +355,9 @@
 @when('the store reports a newer entry for the same request')
 def when_newer(context):
     entry = {'team': 'team', 'service': 's', 'crashes': 3, 'since_ms': 1500}
-    put = context.store.put(QUARANTINED, 'f1', entry)
+    put = context.store.put(QUARANTINE_KIND, 'f1', entry)
     Deferred.fromCoroutine(put)
-    context.record.take(Change(QUARANTINED, 'f1', 1, entry, 1))
+    context.record.take(Change(QUARANTINE_KIND, 'f1', 1, entry, 1))
 
 
 @then('the host keeps it from upstreams')
--- a/pollenstile/estimates/_fetching.py
+++ b/pollenstile/estimates/_fetching.py
@@ -33,7 +33,7 @@
     >>> fetching = Fetching()
     >>> round(fetching.seconds('model', 9_000_000, 1.25e9), 3)
     0.079
-    >>> fetching.note_gone('model')
+    >>> fetching.note_failed_fetch('model')
     >>> round(fetching.seconds('model', 9_000_000, 1.25e9), 3)
     0.158
     """
@@ -57,12 +57,12 @@
         base = _BASE_SECONDS + _LINK_FACTOR * size / link
         return base * 2 ** self.doublings.get(service, 0.0)
 
-    def note_gone(self, service):
+    def note_failed_fetch(self, service):
         """Record that an engine tried to fetch results after their release."""
         doublings = self.doublings.get(service, 0.0)
         self.doublings[service] = min(_MAX_DOUBLINGS, doublings + 1)
 
-    def note_read(self, service):
+    def note_fetched(self, service):
         """Record that an engine has fetched its results."""
         doublings = self.doublings.get(service, 0.0)
         self.doublings[service] = max(0.0, doublings - _DOUBLING_DECAY)
--- a/pollenstile/forward/_admission.py
+++ b/pollenstile/forward/_admission.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from pollenstile.forward._types import Refusal
-from pollenstile.routes import Route, Team, picked_service, route_of, team_of
+from pollenstile.routes import Route, Team, pick_service, route_of, team_of
 
 # Where refusals of this module arise.
 _STEP = 'entry'
@@ -82,7 +82,7 @@
     exchange.team = outcome.team.name if outcome.team else ''
     targets = {target.service for target in outcome.route.targets}
     if exchange.service not in targets:
-        exchange.service = picked_service(outcome.route, core.rng.random())
+        exchange.service = pick_service(outcome.route, core.rng.random())
         core.budget.note_first(exchange.service)
     return None
 
--- a/pollenstile/forward/_assembly.py
+++ b/pollenstile/forward/_assembly.py
@@ -19,10 +19,10 @@
 from pollenstile.ops.settings import shown
 from pollenstile.peer import LEAST_VERSION, VERSION, Hello, Hub, tcp_connect
 from pollenstile.quarantine import (
-    QUARANTINED,
+    QUARANTINE_KIND,
     Quarantine,
-    Record,
-    Sharing,
+    VerdictRecorder,
+    VerdictSharing,
 )
 from pollenstile.relay import (
     ASK,
@@ -59,8 +59,8 @@
     stages: object
     relay: object
     drained: DrainedDomains
-    sharing: Sharing
-    record: Record
+    sharing: VerdictSharing
+    record: VerdictRecorder
 
 
 @dataclass(slots=True)
@@ -154,8 +154,8 @@
         core.stages,
         _built_relay(settings, store, suspend_clock, core, hub),
         DrainedDomains(registry, reactor, log),
-        Sharing(hub, quarantine, members.hosts, log),
-        Record(store, quarantine, members.hosts, log),
+        VerdictSharing(hub, quarantine, members.hosts, log),
+        VerdictRecorder(store, quarantine, members.hosts, log),
     )
 
 
@@ -210,9 +210,9 @@
         store,
         clock,
         follower,
-        (UPSTREAMS, HOSTS, DRAINED, QUARANTINED),
+        (UPSTREAMS, HOSTS, DRAINED, QUARANTINE_KIND),
         early=HOSTS,
-        late=(DRAINED, QUARANTINED),
+        late=(DRAINED, QUARANTINE_KIND),
     )
 
     def covered():
--- a/pollenstile/forward/_attempt.py
+++ b/pollenstile/forward/_attempt.py
@@ -357,12 +357,12 @@
             tokens = own_tokens(exchange.prompt)
             self.core.first_tokens.learn(exchange.service, tokens, took)
         if exchange.handles:
-            self.core.fetching.note_read(exchange.service)
+            self.core.fetching.note_fetched(exchange.service)
 
     def _learn(self, outcome):
         now = self.core.clock.seconds()
         if outcome is GONE:
-            self.core.fetching.note_gone(self.exchange.service)
+            self.core.fetching.note_failed_fetch(self.exchange.service)
             return
         if isinstance(outcome, NotRun):
             learn_unreached(self.view, now)
--- a/pollenstile/forward/_crashes.py
+++ b/pollenstile/forward/_crashes.py
@@ -178,7 +178,7 @@
             address=upstream.address,
             born=upstream.born,
             requests=[one.fingerprint for one in known],
-            ran_ms=[int(one.ran * _MS) for one in known],
+            ran_ms=[int(one.run_seconds * _MS) for one in known],
         )
         self.on_crash(upstream.name, upstream.service, known)
 
--- a/pollenstile/forward/_parse.py
+++ b/pollenstile/forward/_parse.py
@@ -3,7 +3,7 @@
 from pollenstile.forward._admission import admitted
 from pollenstile.forward._types import Asked, Exchange, Refusal
 from pollenstile.ops.numbers import whole_number
-from pollenstile.routes import Kind, picked_service, urgency_of
+from pollenstile.routes import Kind, pick_service, urgency_of
 
 _MS = 1000
 # Where refusals of this module arise.
@@ -95,7 +95,7 @@
         stage_key=_text(answer, names.stage_key),
         prompt=prompt,
         last_event=_last_event(answer, names, route),
-        service=picked_service(route, core.rng.random()),
+        service=pick_service(route, core.rng.random()),
         proof_ms=core.configuration.age_ms(),
         fingerprint=_fingerprint(core, answer, asked, team),
     )
--- a/pollenstile/forward/_suspicion.py
+++ b/pollenstile/forward/_suspicion.py
@@ -37,7 +37,7 @@
     quarantine = core.quarantine
     content = exchange.fingerprint
     if isinstance(outcome, (Delivered, Failing)):
-        quarantine.note_whole(content)
+        quarantine.note_completed(content)
         return succeed(None)
     if not isinstance(outcome, Lost) or not outcome.broken:
         return succeed(None)
--- a/pollenstile/limits/_admission.py
+++ b/pollenstile/limits/_admission.py
@@ -147,7 +147,7 @@
         self.running = 0
         self.reserved = {}
 
-    async def entered(self, request):
+    async def admit(self, request):
         """Return None once a request may start, or a refusal.
 
         Explanation
@@ -156,7 +156,7 @@
         A request that can't meet its deadline behind the present queue is
         refused at once, before any call is sent for it, so that the refusal can
         state that it has not run. Requests without a chance are never queued.
-        After None, the caller must call :meth:`leave` exactly once.
+        After None, the caller must call :meth:`request_ended` exactly once.
         """
         times = expected_times(request, self.tracker)
         needed = needed_time(request, self.tracker, times)
@@ -171,7 +171,7 @@
             return self._refusal(waiting, wait, 'too many requests wait')
         return await self._enqueue(waiting)
 
-    def leave(self, request):
+    def request_ended(self, request):
         """Release the capacity of an admitted request that has ended."""
         self.running -= 1
         self.reservations.release(self.reserved.pop(request.ident))
--- a/pollenstile/quarantine/_codec.py
+++ b/pollenstile/quarantine/_codec.py
@@ -47,7 +47,7 @@
             {
                 'fingerprint': bytes.fromhex(suspect.fingerprint),
                 'team': suspect.team,
-                'ranMs': max(0, int(suspect.ran * _MS)),
+                'ranMs': max(0, int(suspect.run_seconds * _MS)),
             }
             for suspect in report.suspects
         ],
--- a/pollenstile/quarantine/_quarantine.py
+++ b/pollenstile/quarantine/_quarantine.py
@@ -114,7 +114,7 @@
         report = Report(incarnation, service, self.host, fresh)
         self._announce(self.apply(QuarantineUpdate(reports=(report,))))
 
-    def note_whole(self, fingerprint):
+    def note_completed(self, fingerprint):
         """Record that a request ran to completion on some upstream."""
         if not fingerprint:
             return
--- a/pollenstile/quarantine/_record.py
+++ b/pollenstile/quarantine/_record.py
@@ -11,7 +11,7 @@
 
 # Kind of the store's entries: one for each quarantined request, named by its
 # fingerprint.
-QUARANTINED = 'pollenstile-quarantine'
+QUARANTINE_KIND = 'pollenstile-quarantine'
 # Seconds that a host waits for each host ranked before it to write a verdict.
 _TURN_SECONDS = 1.0
 # Seconds between attempts to write while the store does not answer.
@@ -19,7 +19,7 @@
 _MS = 1000
 
 
-class Record:
+class VerdictRecorder:
     """Writes verdicts to the store, and applies changes of its entries.
 
     Explanation
@@ -113,7 +113,7 @@
                 'since_ms': verdict.changed,
                 'host': self.quarantine.host,
             }
-            outcome = await self.store.put(QUARANTINED, name, entry, 0)
+            outcome = await self.store.put(QUARANTINE_KIND, name, entry, 0)
             if isinstance(outcome, (Written, Conflict)):
                 return
             self.log(
@@ -129,7 +129,7 @@
         is_first = _rank(name, self.quarantine.host, hosts) == 0
         if name in self.stored and is_first:
             self.stored.discard(name)
-            Deferred.fromCoroutine(self.store.delete(QUARANTINED, name))
+            Deferred.fromCoroutine(self.store.delete(QUARANTINE_KIND, name))
 
     def _verdict(self, change):
         """Return the verdict of an entry, or None if it is malformed."""
--- a/pollenstile/quarantine/_sharing.py
+++ b/pollenstile/quarantine/_sharing.py
@@ -26,7 +26,7 @@
 _COMPARE_PERIOD_SECONDS = 1.0
 
 
-class Sharing:
+class VerdictSharing:
     """Forwards updates to neighbours, and compares verdicts with peers.
 
     Explanation
--- a/pollenstile/quarantine/_types.py
+++ b/pollenstile/quarantine/_types.py
@@ -14,13 +14,13 @@
         Fingerprint of the request.
     team : str
         The calling team; empty on public routes.
-    ran : float
+    run_seconds : float
         Upper bound of the time for which it had run there.
     """
 
     fingerprint: str
     team: str = ''
-    ran: float = 0.0
+    run_seconds: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
--- a/pollenstile/quarantine/_verdict.py
+++ b/pollenstile/quarantine/_verdict.py
@@ -113,8 +113,8 @@
     # A request that causes crashes crashes each upstream soon after its start.
     # One that ran for longer once may have been hit by chance during as long a
     # time in each crash, so its longest run time counts for all of them.
-    ran = max(crash.suspects[fingerprint].ran for crash in own)
-    expected = ran * sum(rate(crash.at) for crash in own)
+    run_seconds = max(crash.suspects[fingerprint].run_seconds for crash in own)
+    expected = run_seconds * sum(rate(crash.at) for crash in own)
     suspect = own[-1].suspects[fingerprint]
     return Attribution(suspect, len(own), poisson_tail(len(own), expected))
 
--- a/pollenstile/routes/_matching.py
+++ b/pollenstile/routes/_matching.py
@@ -40,7 +40,7 @@
     return team.urgency
 
 
-def picked_service(route, point):
+def pick_service(route, point):
     """Return the service of the weighted target at a point from 0 to 1.
 
     Examples
@@ -49,7 +49,7 @@
     >>> from pollenstile.routes import Kind, Route, Target
     >>> both = (Target('a', 90), Target('b', 10))
     >>> route = Route('r', 'h', '/', Kind.ONCE, 1, 1, targets=both)
-    >>> [picked_service(route, point) for point in (0.1, 0.95)]
+    >>> [pick_service(route, point) for point in (0.1, 0.95)]
     ['a', 'b']
     """
     total = sum(target.weight for target in route.targets)
--- a/pollenstile/routing/_choose.py
+++ b/pollenstile/routing/_choose.py
@@ -108,7 +108,7 @@
         if state.leaving:
             continue
         members.append((name, upstream, state))
-        if state.barred_until > now:
+        if state.ejected_until > now:
             ejected.add(name)
     ineligible = set(excluded)
     if not is_panic(len(members), len(ejected)):
@@ -118,7 +118,7 @@
     return [member for member in members if member[0] not in ineligible]
 
 
-def chosen(pool, tracker, domain, rng, excluded=(), hints=_NO_HINTS):
+def choose_upstream(pool, tracker, domain, rng, excluded=(), hints=_NO_HINTS):
     """Return the upstream that a call should be sent to.
 
     Parameters
--- a/pollenstile/routing/_tracker.py
+++ b/pollenstile/routing/_tracker.py
@@ -23,14 +23,14 @@
         Calls of this host in flight when the report arrived.
     failures : int
         Consecutive failures.
-    barred_until : float
+    ejected_until : float
         Clock time at which its ejection ends, in seconds.
     leaving : bool
         Whether it must get no new calls.
     """
 
     __slots__ = (
-        'barred_until',
+        'ejected_until',
         'failures',
         'in_flight',
         'leaving',
@@ -45,7 +45,7 @@
         self.reported = 0.0
         self.own_at_report = 0
         self.failures = 0
-        self.barred_until = 0.0
+        self.ejected_until = 0.0
         self.leaving = False
 
 
@@ -92,12 +92,12 @@
         state.in_flight -= 1
         if failed:
             state.failures += 1
-            state.barred_until = self.clock.seconds() + ejection_time(
+            state.ejected_until = self.clock.seconds() + ejection_time(
                 state.failures,
             )
             return
         state.failures = 0
-        state.barred_until = 0.0
+        state.ejected_until = 0.0
         if load is not None:
             self.reported(name, load)
 
