--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -13,7 +13,7 @@
       | repeated |
       | once     |
 
-  Scenario: Two crashing requests among harmless ones
+  Scenario: Two such requests beside sound ones
     Requests that run beside them fail repeatedly without being the cause.
     Given 9 hosts and 9 upstreams in 4 failure domains, for resumed requests
     And harmless requests arrive 8 times a second, each 4 times whatever the result
@@ -21,7 +21,7 @@
     Then each of them has crashed at most 6 upstreams
     And no harmless request was refused for crashing upstreams
 
-  Scenario Outline: Crashes without a common cause quarantine no request: seed <seed>
+  Scenario Outline: Upstreams that crash without a cause blame nobody: seed <seed>
     One of nine crashes each second, so long streams are cut by chance.
     Given 9 hosts and 9 upstreams in 4 failure domains, for resumed requests
     And harmless requests arrive 8 times a second, each 4 times whatever the result
@@ -40,7 +40,7 @@
     When 4 upstreams crash at the same time, after 3 seconds
     Then no harmless request was refused for crashing upstreams
 
-  Scenario Outline: All hosts apply the verdict in time: <fault>, <hosts> hosts
+  Scenario Outline: All hosts know in time: <fault>, <hosts> hosts
     A host without the verdict keeps sending the request to upstreams.
     Given <hosts> hosts and 12 upstreams in <domains> failure domains, for resumed requests
     And the fault "<fault>"
@@ -54,14 +54,14 @@
       | 30    | 3       | store away   |
       | 30    | 3       | readers ended |
 
-  Scenario: A partitioned failure domain gets the verdict once it reconnects
+  Scenario: A failure domain that was cut off knows once it is back
     Given 9 hosts and 9 upstreams in 4 failure domains, for resumed requests
     And one failure domain is partitioned from the others
     When a crashing request arrives every 0.3 seconds for 3 seconds, at the other hosts
     And the partition heals
     Then each running host keeps it from upstreams within 3 seconds
 
-  Scenario: Hosts that all restart still know the quarantined requests
+  Scenario: Hosts that all start again know what was in quarantine
     All processes are killed, so no peer is left to send the verdicts.
     Given 9 hosts and 9 upstreams in 4 failure domains, for resumed requests
     When a crashing request arrives every 0.3 seconds for 3 seconds, at all hosts in turn
@@ -136,7 +136,7 @@
     Then it remembers at most 256 crashes, of 128 suspects each
     And it remembers at most 1024 verdicts of 5000
 
-  Scenario: Pieces that crash a stage upstream are told apart from those in the same call
+  Scenario: Pieces that crash a stage upstream are told from those beside them
     Retried in one call, all pieces would crash the next upstream together.
     Given a queue over 4 workers with pieces of "a", "crashing" and "b" in one call
     When each worker crashes that has a piece of "crashing"
