--- a/features/steps/quarantine_stage_steps.py
+++ b/features/steps/quarantine_stage_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from features.builders.forward import Story
+from features.builders.forward import ForwardScenario
 from features.builders.quarantine import apply_verdicts, verdict
 from features.builders.stagework import SERVICE, Queue, group, pieces_of
 from features.builders.stagework import workers as workers_of
@@ -96,10 +96,10 @@
 
 @given('a stage call with pieces of "{one}" and "{other}"')
 def given_call(context, one, other):
-    context.story = Story('once')
+    context.story = ForwardScenario('once')
     core = context.story.core
     calls = StageCalls(core.clock, context.story, PlainCodec(), HeaderNames())
-    calls.look_at_crashes(core.crashes, core.quarantine)
+    calls.attach_crash_detector(core.crashes, core.quarantine)
     worker = workers_of('d')[0]
     upstream = Upstream(worker.ident, SERVICE, worker.address, 'd')
     core.registry.take(worker.ident, upstream)
@@ -110,7 +110,7 @@
 
 @when('its upstream crashes')
 def when_upstream_crashes(context):
-    context.story.reaches = Reach.REFUSED
+    context.story.probe_result = Reach.REFUSED
     lost = Lost('ConnectionLost', 'w0', broken=True)
     context.story.calls[-1].head.callback(lost)
 
--- a/pollenstile/forward/_assembly.py
+++ b/pollenstile/forward/_assembly.py
@@ -4,14 +4,14 @@
 from dataclasses import dataclass
 from functools import partial
 
-from pollenstile.forward._budget import RepeatBudget
+from pollenstile.forward._budget import SharedRetryBudget
 from pollenstile.forward._client import HttpClient
 from pollenstile.forward._cold import ColdShares
 from pollenstile.forward._configuration import Configuration
 from pollenstile.forward._core import ForwardCore
 from pollenstile.forward._drained import DRAINED, DrainedDomains
 from pollenstile.forward._members import HOSTS, Members, PeerHost
-from pollenstile.forward._owners import Owners
+from pollenstile.forward._owners import StageOwners
 from pollenstile.forward._registry import UPSTREAMS, Registry
 from pollenstile.forward._settings import word_seconds
 from pollenstile.forward._stagecalls import StageCalls
@@ -115,7 +115,7 @@
     calls = StageCalls(reactor, client, adapter.codec, adapter.names, log)
     calls.on_misdirected = registry.drop
     budget = _built_budget(reactor, settings)
-    owners = Owners(
+    owners = StageOwners(
         reactor,
         registry,
         configuration,
@@ -138,7 +138,7 @@
         cold=ColdShares(settings.host, settings.domain),
         quarantine=quarantine,
     )
-    calls.look_at_crashes(core.crashes, quarantine)
+    calls.attach_crash_detector(core.crashes, quarantine)
     members = Members(
         store,
         reactor,
@@ -174,7 +174,7 @@
 
 
 def _built_budget(reactor, settings):
-    return RepeatBudget(
+    return SharedRetryBudget(
         reactor,
         settings.repeat_ratio,
         settings.repeat_slack,
--- a/pollenstile/forward/_client.py
+++ b/pollenstile/forward/_client.py
@@ -113,7 +113,7 @@
         if reason.check(PotentialDataLoss):
             whole = self.call.protocol.closed_cleanly
         self.call.close()
-        self.on_end(BodyEnd.WHOLE if whole else BodyEnd.BROKEN)
+        self.on_end(BodyEnd.COMPLETE if whole else BodyEnd.BROKEN)
 
 
 class Call:
--- a/pollenstile/forward/_crashes.py
+++ b/pollenstile/forward/_crashes.py
@@ -191,7 +191,7 @@
 
     def _is_busy(self, upstream):
         view = self.registry.views.get(upstream.ident)
-        if view is not None and view.flying > 0:
+        if view is not None and view.in_flight > 0:
             return True
         return any(is_busy(upstream) for is_busy in self.busy_checks)
 
--- a/pollenstile/forward/_suspicion.py
+++ b/pollenstile/forward/_suspicion.py
@@ -10,7 +10,7 @@
 _BAD_GATEWAY = 502
 
 
-def held_refusal(core, exchange):
+def quarantine_refusal(core, exchange):
     """Return why a request that crashes upstreams is not sent, or None.
 
     Explanation
