--- a/pollenstile/forward/_admission.py
+++ b/pollenstile/forward/_admission.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from pollenstile.forward._types import Refusal
-from pollenstile.routes import Route, Team, picked_service, route_of, team_of
+from pollenstile.routes import Route, Team, pick_service, route_of, team_of
 
 # The step that refusals of this module name.
 _STEP = 'entry'
@@ -86,7 +86,7 @@
     exchange.team = outcome.team.name if outcome.team else ''
     targets = {target.service for target in outcome.route.targets}
     if exchange.service not in targets:
-        exchange.service = picked_service(outcome.route, core.rng.random())
+        exchange.service = pick_service(outcome.route, core.rng.random())
         core.budget.note_request(exchange.service)
     return None
 
--- a/pollenstile/forward/_attempt.py
+++ b/pollenstile/forward/_attempt.py
@@ -380,12 +380,12 @@
                 exchange.service, tokens, first_seconds
             )
         if exchange.handles:
-            self.core.fetching.note_read(exchange.service)
+            self.core.fetching.note_fetched(exchange.service)
 
     def _learn(self, outcome):
         now = self.core.clock.seconds()
         if outcome is RESULTS_GONE:
-            self.core.fetching.note_gone(self.exchange.service)
+            self.core.fetching.note_failed_fetch(self.exchange.service)
             return
         if isinstance(outcome, NotRun):
             learn_unavailable(self.view, now)
--- a/pollenstile/forward/_crash_evidence.py
+++ b/pollenstile/forward/_crash_evidence.py
@@ -37,7 +37,7 @@
     quarantine = core.quarantine
     fingerprint = exchange.fingerprint
     if isinstance(outcome, (Delivered, UpstreamFailure)):
-        quarantine.note_whole(fingerprint)
+        quarantine.note_completed(fingerprint)
         return succeed(None)
     if not isinstance(outcome, Lost) or not outcome.broken:
         return succeed(None)
--- a/pollenstile/forward/_crashes.py
+++ b/pollenstile/forward/_crashes.py
@@ -182,7 +182,7 @@
             address=upstream.address,
             born=upstream.born,
             requests=[suspect.fingerprint for suspect in identified],
-            ran_ms=[int(suspect.ran * _MS) for suspect in identified],
+            ran_ms=[int(suspect.run_seconds * _MS) for suspect in identified],
         )
         self.on_crash(upstream.name, upstream.service, identified)
 
