--- a/pollenstile/forward/__init__.py
+++ b/pollenstile/forward/__init__.py
@@ -1,4 +1,4 @@
-"""Opaque HTTP exchanges, forwarded to upstreams untouched."""
+"""Forwards HTTP exchanges to upstreams without changing their content."""
 
 from pollenstile.forward._budget import RepeatBudget
 from pollenstile.forward._choose import (
--- a/pollenstile/forward/_assembly.py
+++ b/pollenstile/forward/_assembly.py
@@ -1,4 +1,4 @@
-"""Putting an entry host that forwards together; nothing listens yet."""
+"""Builds the parts of a forwarding entry host without starting them."""
 
 import time
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 from pollenstile.forward._members import HOSTS, Members, PeerHost
 from pollenstile.forward._owners import Owners
 from pollenstile.forward._registry import UPSTREAMS, Registry
-from pollenstile.forward._settings import word_seconds
+from pollenstile.forward._settings import update_seconds
 from pollenstile.forward._stagecalls import StageCalls
 from pollenstile.ops.logs import silent_log
 from pollenstile.ops.settings import shown
@@ -34,23 +34,24 @@
 from pollenstile.stagework import StageClient, StageService
 
 _MS = 1000
-# Hosts that share the repeats of a stage service: its owner, and the one that
-# owned it before. Divided among all hosts, an owner had 4 in 10 s, and 20 to
-# 30 requests of a day with faults were refused for want of one.
+# Hosts that share the retry budget of a stage service: its current owner and
+# its previous owner. When the budget was divided among all hosts, an owner had
+# 4 retries in 10 s, and 20 to 30 requests in a day with faults were refused
+# because no retry was available.
 _STAGE_SHARERS = 2
-# Links to owners of stages: one that is frozen or cut off is noticed in about
-# a second, half of what a request may take.
-_LINK_TICK = 0.2
-_LINK_BEAT = 0.35
-_LINK_SILENCE = 1.2
-# Seconds for which a host that has just started leaves it at the proof that it
-# has, as it may soon have a reader to follow.
-_JOIN_PROOF = 1.2
+# Link timing, in seconds. A frozen or disconnected stage owner is detected in
+# about a second, half of the time that a request may take.
+_LINK_TICK_SECONDS = 0.2
+_LINK_BEAT_SECONDS = 0.35
+_LINK_SILENCE_SECONDS = 1.2
+# A host that has just started relies on its last verification for this long
+# instead of reading the store, as it may soon have a reader to follow.
+_JOIN_VERIFIED_SECONDS = 1.2
 
 
 @dataclass(slots=True)
 class Parts:
-    """The parts of a host that its daemon starts and stops."""
+    """Parts of a host that its daemon starts and stops."""
 
     core: object
     hub: object
@@ -65,7 +66,7 @@
 
 @dataclass(slots=True)
 class Relay:
-    """The parts by which hosts of a domain share one reader of the store."""
+    """Parts with which the hosts of a domain share one reader of the store."""
 
     source: Source
     follower: Follower
@@ -73,7 +74,7 @@
     store: RelayStore
 
 
-def built_parts(
+def build_parts(
     reactor,
     settings,
     store,
@@ -82,7 +83,7 @@
     suspend_clock,
     log=silent_log,
 ):
-    """Return a host's parts.
+    """Build and connect the parts of a host.
 
     Parameters
     ==========
@@ -90,13 +91,18 @@
     reactor : IReactorTCP and IReactorTime
         Makes connections and timers.
     settings : HostSettings
-        Names and bounds.
+        Names and time bounds.
     store : Store
-        Configuration, registry and the hosts' own entries.
+        Holds the configuration, the registry and the entries of hosts.
     adapter : object
-        With ``names``, ``codec`` and ``decode_table(value)``.
+        Provides ``names``, ``codec`` and ``decode_table(value)``.
     suspend_clock : function
-        Returns seconds, suspended time included.
+        Returns seconds, including time spent suspended.
+
+    Returns
+    =======
+
+    Parts
     """
     registry = Registry(reactor, log)
     configuration = Configuration(
@@ -109,12 +115,12 @@
         log,
     )
     configuration.apply_seconds = settings.apply_seconds
-    hub = _built_hub(reactor, rng, settings, log)
+    hub = _build_hub(reactor, rng, settings, log)
     client = HttpClient(reactor)
     quarantine = Quarantine(reactor, settings.host, registry.count, log)
     calls = StageCalls(reactor, client, adapter.codec, adapter.names, log)
     calls.on_misdirected = registry.drop
-    budget = _built_budget(reactor, settings)
+    budget = _build_budget(reactor, settings)
     owners = Owners(
         reactor,
         registry,
@@ -132,7 +138,7 @@
         registry,
         configuration,
         budget,
-        _built_stages(reactor, settings, hub, owners, log),
+        _build_stages(reactor, settings, hub, owners, log),
         adapter.names,
         log,
         cold=ColdShares(settings.host, settings.domain),
@@ -152,7 +158,7 @@
         members,
         owners,
         core.stages,
-        _built_relay(settings, store, suspend_clock, core, hub),
+        _build_relay(settings, store, suspend_clock, core, hub),
         DrainedDomains(registry, reactor, log),
         Sharing(hub, quarantine, members.hosts, log),
         Record(store, quarantine, members.hosts, log),
@@ -160,11 +166,12 @@
 
 
 def link_peers(parts):
-    """Keep links to owners of stages, and to readers of the store."""
+    """Request links to stage owners and to readers of the store."""
     ownership = parts.stages.ownership
     wanted = ownership.wanted_links(parts.stages.limits)
-    # Linked to the first readers only, a domain whose readers have no store
-    # would read it host by host.
+    # Readers that were skipped are left out. With links to the first readers
+    # only, a domain whose first readers can't reach the store would have each
+    # host read the store itself.
     is_skipped = parts.relay.follower.skipped.is_skipped
     readers = [
         host for host in parts.relay.readers.order if not is_skipped(host)
@@ -173,7 +180,7 @@
     parts.hub.dialer.wanted = wanted
 
 
-def _built_budget(reactor, settings):
+def _build_budget(reactor, settings):
     return RepeatBudget(
         reactor,
         settings.repeat_ratio,
@@ -182,14 +189,14 @@
     )
 
 
-def _built_stages(reactor, settings, hub, owners, log):
+def _build_stages(reactor, settings, hub, owners, log):
     stages = StageClient(settings.host, hub, reactor, owners.owner, log)
     stages.ownership.capacity = settings.capacity
     StageService(stages)
     return stages
 
 
-def _built_relay(settings, store, suspend_clock, core, hub):
+def _build_relay(settings, store, suspend_clock, core, hub):
     clock = core.clock
     configuration = core.configuration
     ident = f'{settings.host}/{hub.hello.boot}'
@@ -205,7 +212,7 @@
         core.log,
     )
     follower.place = readers.place
-    follower.word_seconds = word_seconds(settings)
+    follower.word_seconds = update_seconds(settings)
     relayed = RelayStore(
         store,
         clock,
@@ -217,9 +224,9 @@
 
     def covered():
         age = configuration.age()
-        joining = relayed.is_joining() and age < _JOIN_PROOF
-        # A reader's word may hold and still prove nothing here: its revision
-        # can be an older one, or one that this host could not use.
+        joining = relayed.is_joining() and age < _JOIN_VERIFIED_SECONDS
+        # A valid update of the reader does not always verify the table here:
+        # its revision may be older, or one that this host could not decode.
         followed = follower.is_following() and age < follower.word_seconds
         return followed or joining
 
@@ -236,7 +243,7 @@
     return Relay(source, follower, readers, relayed)
 
 
-def _built_hub(reactor, rng, settings, log):
+def _build_hub(reactor, rng, settings, log):
     hello = Hello(
         version=VERSION,
         least=LEAST_VERSION,
@@ -246,7 +253,7 @@
         boot=int(time.time() * _MS),
     )
     hub = Hub(reactor, rng, hello, (), tcp_connect(reactor), log)
-    hub.tick = _LINK_TICK
-    hub.beat_period = _LINK_BEAT
-    hub.silence_limit = _LINK_SILENCE
+    hub.tick = _LINK_TICK_SECONDS
+    hub.beat_period = _LINK_BEAT_SECONDS
+    hub.silence_limit = _LINK_SILENCE_SECONDS
     return hub
--- a/pollenstile/forward/_client.py
+++ b/pollenstile/forward/_client.py
@@ -1,15 +1,16 @@
-"""Sending one request to an upstream, on a connection of its own.
+"""HTTP client that sends each request to an upstream on a new connection.
 
 Explanation
 ===========
 
-A kept connection can have gone silent, can be closed by the upstream as the
-request goes out, or can bring a late second answer of an earlier request. Each
-leaves a request that may have run without an answer that is surely its own.
-A new connection costs one round trip and has none of these faults.
+A reused connection may have become unresponsive, may be closed by the upstream
+while the request is sent, or may deliver a late second response to an earlier
+request. In each case the request may have run, but no response can be assigned
+to it with certainty. A new connection costs one round trip and avoids these
+faults.
 
-The library's ``Agent`` rebuilds targets (an empty query is lost), so requests
-are handed to its protocol directly.
+Twisted's ``Agent`` rebuilds request targets and drops an empty query, so
+requests are passed to its protocol directly.
 """
 
 import enum
@@ -26,26 +27,26 @@
 from pollenstile.forward._types import BodyEnd, Lost, NotRun
 from pollenstile.ops.body import BytesProducer
 
-# Seconds for a handshake, of which a sound one takes under 10 ms. An upstream
-# that is cut off never answers, and a lost packet is sent again only after a
-# second; nothing was sent by then, so another upstream is tried.
+# Timeout of the TCP handshake, which normally takes under 10 ms. An unreachable
+# upstream never answers, and TCP retransmits a lost packet only after a second.
+# No request has been sent by then, so another upstream can be tried.
 CONNECT_SECONDS = 0.35
 
 
 class Reach(enum.Enum):
-    """What comes of opening a connection."""
+    """Outcome of opening a probe connection."""
 
     ACCEPTED = 'accepted'
-    # Nobody listens there.
+    # No process listens on the port.
     REFUSED = 'refused'
     UNKNOWN = 'unknown'
 
 
 class _Connection(HTTP11ClientProtocol):
-    """Remembers how the connection ended: by a close or by a reset."""
+    """Records whether the connection ended with a close or a reset."""
 
     def connectionLost(self, reason):
-        """End; called by twisted."""
+        """Record how the connection ended; called by Twisted."""
         self.closed_cleanly = reason.check(ConnectionDone) is not None
         super().connectionLost(reason)
 
@@ -57,41 +58,41 @@
         self.call = call
 
     def buildProtocol(self, address):
-        """Return the connection; called by twisted."""
+        """Return the protocol of the connection; called by Twisted."""
         protocol = _Connection()
         protocol.closed_cleanly = False
-        self.call.connecting(protocol)
+        self.call.attach(protocol)
         return protocol
 
     def clientConnectionFailed(self, connector, reason):
-        """Note that nothing answers; called by twisted."""
-        self.call.unreached(reason.type.__name__)
+        """Report that no connection was made; called by Twisted."""
+        self.call.fail_connection(reason.type.__name__)
 
 
-class _Greeting(Protocol):
-    """Closes a connection as soon as it is made."""
+class _ProbeProtocol(Protocol):
+    """Closes a probe connection as soon as it is established."""
 
     def connectionMade(self):
-        """Note that somebody listens; called by twisted."""
+        """Report that the port accepts connections; called by Twisted."""
         self.factory.done.callback(Reach.ACCEPTED)
         self.transport.abortConnection()
 
 
-class _Greeter(ClientFactory):
-    protocol = _Greeting
+class _ProbeFactory(ClientFactory):
+    protocol = _ProbeProtocol
     noisy = False
 
     def __init__(self):
         self.done = Deferred()
 
     def clientConnectionFailed(self, connector, reason):
-        """Note why there is no connection; called by twisted."""
+        """Report why no connection was made; called by Twisted."""
         refused = reason.check(ConnectionRefusedError) is not None
         self.done.callback(Reach.REFUSED if refused else Reach.UNKNOWN)
 
 
 class _Body(Protocol):
-    """Hands a body's bytes on, and how it ended."""
+    """Passes on the bytes of a response body and how the body ended."""
 
     def __init__(self, call, on_data, on_end):
         self.call = call
@@ -99,31 +100,32 @@
         self.on_end = on_end
 
     def dataReceived(self, data):
-        """Take bytes; called by twisted."""
+        """Pass on received bytes; called by Twisted."""
         if not self.call.cancelled:
             self.on_data(data)
 
     def connectionLost(self, reason):
-        """End; called by twisted."""
+        """Report the end of the body; called by Twisted."""
         if self.call.cancelled:
             return
-        whole = reason.check(ResponseDone) is not None
-        # A body without a length ends with its connection. Reset in the
-        # middle, it looks the same to the parser.
+        is_complete = reason.check(ResponseDone) is not None
+        # A body without a length ends with its connection. The parser can't
+        # distinguish a complete body from one cut off by a reset.
         if reason.check(PotentialDataLoss):
-            whole = self.call.protocol.closed_cleanly
+            is_complete = self.call.protocol.closed_cleanly
         self.call.close()
-        self.on_end(BodyEnd.WHOLE if whole else BodyEnd.BROKEN)
+        self.on_end(BodyEnd.WHOLE if is_complete else BodyEnd.BROKEN)
 
 
 class Call:
-    """One request under way.
+    """One request in flight.
 
     Attributes
     ==========
 
     head : Deferred
-        Of the library's response, :class:`NotRun` or :class:`Lost`.
+        Fires with Twisted's response once the headers are received, or with
+        :class:`NotRun` or :class:`Lost`.
     """
 
     __slots__ = (
@@ -145,8 +147,8 @@
         self.cancelled = False
         self.sent = False
 
-    def connecting(self, protocol):
-        """Send once the handshake is done."""
+    def attach(self, protocol):
+        """Send the request once the protocol is connected."""
         self.protocol = protocol
         made = protocol.connectionMade
 
@@ -158,46 +160,48 @@
                 return
             self.sent = True
             response = protocol.request(self.request)
-            response.addCallbacks(self._headed, self._failed)
+            response.addCallbacks(self._on_response, self._on_failure)
 
         protocol.connectionMade = connected
 
-    def unreached(self, reason):
-        """Note that no connection was made: nothing was sent."""
+    def fail_connection(self, reason):
+        """Report that no connection was made and nothing was sent."""
         if not self.head.called and not self.cancelled:
             self.head.callback(NotRun(reason, self.address, arrived=False))
 
     def deliver(self, response, on_data, on_end):
-        """Hand the body over; return its producer.
+        """Deliver the response body; return its producer.
 
         Parameters
         ==========
 
-        on_data, on_end : function
-            Take bytes; take a :class:`BodyEnd`, last.
+        on_data : function
+            Called with each received part of the body.
+        on_end : function
+            Called last, with a :class:`BodyEnd`.
         """
         body = _Body(self, on_data, on_end)
         response.deliverBody(body)
         return body.transport
 
     def cancel(self):
-        """Close the connection at once; nothing more is handed over."""
+        """Close the connection at once and deliver nothing more."""
         self.cancelled = True
         self.close()
 
     def close(self):
-        """Close the connection; it is never used again."""
+        """Close the connection, which is never reused."""
         transport = self.protocol.transport if self.protocol else None
         if transport is not None:
             transport.abortConnection()
         elif self.connector.state == 'connecting':
             self.connector.stopConnecting()
 
-    def _headed(self, response):
+    def _on_response(self, response):
         if not self.cancelled and not self.head.called:
             self.head.callback(response)
 
-    def _failed(self, failure):
+    def _on_failure(self, failure):
         self.close()
         if self.cancelled or self.head.called:
             return
@@ -220,7 +224,7 @@
     ==========
 
     reactor : IReactorTCP
-        Makes connections.
+        Opens connections.
     """
 
     __slots__ = ('reactor',)
@@ -230,15 +234,15 @@
 
     def reach(self, address):
         """Open a connection and close it; return a Deferred of ``Reach``."""
-        greeter = _Greeter()
+        factory = _ProbeFactory()
         host, _, port = address.rpartition(':')
         self.reactor.connectTCP(
-            host, int(port), greeter, timeout=CONNECT_SECONDS
+            host, int(port), factory, timeout=CONNECT_SECONDS
         )
-        return greeter.done
+        return factory.done
 
     def send(self, address, method, target, headers, body):
-        """Send a request once; return its :class:`Call`.
+        """Send a request without retries; return its :class:`Call`.
 
         Parameters
         ==========
@@ -246,11 +250,11 @@
         address : str
             ``IP:PORT``.
         method, target : bytes
-            Untouched.
+            Sent unchanged.
         headers : list of tuple
-            Names and values, the host name among them.
+            Names and values, including the ``Host`` header.
         body : bytes
-            Empty for none.
+            Empty for a request without a body.
         """
         lines = Headers()
         for name, content in headers:
--- a/pollenstile/forward/_configloop.py
+++ b/pollenstile/forward/_configloop.py
@@ -1,91 +1,98 @@
-"""The reads of the configuration, one after the other, also through outages."""
+"""Periodic reads of the configuration, which continue through outages."""
 
 from twisted.internet.defer import Deferred
 
 from pollenstile.forward import events
-from pollenstile.forward._configreads import newer_config, whole_config
+from pollenstile.forward._configreads import (
+    read_config_changes,
+    read_full_config,
+)
 from pollenstile.ops.logs import silent_log
 from pollenstile.platform import Compacted, Unavailable, branched, paused
 
-# Seconds between reads. A change has to be in force within 2 s of its write;
-# this leaves one failed read and the answer's way.
-_READ_PERIOD = 1.2
-# The same while other hosts rely on this one's reads: their word is taken for
-# 1.2 s after a read was sent, a slow store's answer and the jitter included.
-_FOLLOWED_PERIOD = 0.8
-# Seconds for which the store may hold a read while nothing is new: it need not,
-# an answer without changes is a proof at any moment.
-_LEAST_HOLD = 0.001
-# The same for a large configuration, whose reads follow one another. A change
-# is answered at once, so a storm of them comes one by one: 25 versions of
-# 350 kB in 1.5 s would be answered with nine megabytes at a time.
-_LARGE_HOLD = 0.9
-_FOLLOWED_HOLD = 0.4
-# Characters of its text from which a configuration is large.
-_LARGE_TEXT = 64_000
-# Seconds between a change and the read of the whole that looks whether it was
-# the last one. A watch would answer a storm of changes with every version.
-_SETTLE = 0.25
-# Seconds without news of the store after which the whole is read: what a watch
-# over such a gap brings has no bound.
-_LONG_GAP = 3.0
-# Seconds after which a read of the whole that is not answered gets another one
-# beside it: 350 kB take 0.6 s of a link of 5 Mbit/s.
-_WHOLE_SECONDS = 1.2
-# Seconds between looks whether a host that follows another one has to read.
-_COVERED_PAUSE = 0.1
-# Seconds beyond its hold within which a store that is sound answers a read; a
-# slow one takes 0.24 s.
-_HEARD_SECONDS = 0.2
-# Seconds beyond its hold after which a read that is not answered gets another
-# one beside it, and how many may be under way: a slow store answers within
-# 0.3 s, one that is silent is not given more than one call in half a second.
-_RETRY_PERIOD = 0.5
-_MOST_READS = 3
+# Time between reads. A change must be in force within 2 s of its write; this
+# period leaves time for one failed read and for the transfer of the answer.
+_READ_PERIOD_SECONDS = 1.2
+# The period while other hosts follow this one. An update is accepted for 1.2 s
+# after the read was sent, including the latency of a slow store and the jitter.
+_FOLLOWED_PERIOD_SECONDS = 0.8
+# Time for which the store may hold a read while nothing has changed. It need
+# not hold the read, as an answer without changes is a verification at any time.
+_MIN_HOLD_SECONDS = 0.001
+# The hold for a large configuration, whose reads follow one another without a
+# pause. The store answers each change at once, so rapid changes arrive one by
+# one. Otherwise 25 versions of 350 kB in 1.5 s would arrive in one answer of
+# nine megabytes.
+_LARGE_HOLD_SECONDS = 0.9
+_FOLLOWED_HOLD_SECONDS = 0.4
+# Length of the encoded text above which a configuration counts as large.
+_LARGE_TEXT_CHARACTERS = 64_000
+# Time between a change and the full read that checks whether it was the last
+# change. A watch would return every version of a series of rapid changes.
+_SETTLE_SECONDS = 0.25
+# Time without an answer of the store after which a full read is sent, as the
+# size of a watch's answer over such a gap is unbounded.
+_LONG_GAP_SECONDS = 3.0
+# Time after which an unanswered full read gets a concurrent second one. The
+# transfer of 350 kB takes 0.6 s on a 5 Mbit/s link.
+_FULL_READ_SECONDS = 1.2
+# Time between checks whether a host that follows a reader must read itself.
+_COVERED_CHECK_SECONDS = 0.1
+# Time beyond the hold within which a healthy store answers a read. A slow
+# store takes 0.24 s.
+_ANSWER_SECONDS = 0.2
+# Time beyond the hold after which an unanswered read gets a concurrent second
+# one, and the limit of concurrent reads. A slow store answers within 0.3 s; an
+# unresponsive store gets at most one call in half a second.
+_RETRY_PERIOD_SECONDS = 0.5
+_MAX_READS_IN_FLIGHT = 3
 
 
 class ConfigurationLoop:
-    """Reads the configuration over and over.
+    """Reads the configuration periodically.
 
     Parameters
     ==========
 
     store : Store
-        Linearizable reads.
+        Provides linearizable reads.
     clock : IReactorTime
-        Paces them.
+        Schedules the reads.
     random : random.Random
         Source of the jitter.
     configuration : Configuration
-        Takes what they show.
+        Receives the results of the reads.
 
     Attributes
     ==========
 
     failures : int
-        Reads in a row without an answer.
+        Consecutive reads without an answer.
     away_at : float
-        On the suspend clock: when a read has shown last that the store is out
-        of reach, as it failed or had no answer where a sound store gives one.
+        Time on the suspend clock at which the store was last found to be
+        unreachable: a read failed, or had no answer within the time in which
+        a healthy store answers.
     silent : bool
-        Whether a read had no answer in its time, and none came since.
-    under_way, whole_under_way : int
-        Reads that are not answered yet, and those of the whole among them.
-    whole_at, whole_took : float
-        When the whole was asked for last, and seconds until it was there.
+        Whether a read had no answer in time, and no answer arrived since.
+    reads_in_flight, full_reads_in_flight : int
+        Reads that are not answered yet, and the full reads among them.
+    full_read_at : float
+        Time on the suspend clock at which the latest full read was sent.
+    full_read_seconds : float
+        Duration of the latest full read.
     read_at : float
-        On the suspend clock: when the latest read that was answered here was
-        sent; another host's proof does not count.
-    idle : Deferred or None
-        Fires when it is time to look whether a read is needed.
+        Time on the suspend clock at which the latest answered read of this
+        host was sent; verifications received from other hosts do not count.
+    next_check : Deferred or None
+        Fires when it is time to check whether a read is needed.
     covered : function
-        Returns whether another host's word makes reads needless.
+        Returns whether the updates of a reader make own reads unnecessary.
     is_answering : function
-        Returns whether an answer of the store is coming in now.
+        Returns whether an answer of the store is being received.
     followed : function
-        Returns whether other hosts rely on this one's reads.
+        Returns whether other hosts rely on the reads of this one.
     on_read : function or None
-        Called with whether a read was answered.
+        Called after each read with whether it was answered.
     """
 
     __slots__ = (
@@ -95,7 +102,7 @@
         'covered',
         'failures',
         'followed',
-        'idle',
+        'next_check',
         'is_answering',
         'log',
         'on_read',
@@ -104,10 +111,10 @@
         'running',
         'silent',
         'store',
-        'under_way',
-        'whole_at',
-        'whole_took',
-        'whole_under_way',
+        'reads_in_flight',
+        'full_read_at',
+        'full_read_seconds',
+        'full_reads_in_flight',
     )
 
     def __init__(self, store, clock, random, configuration, log=silent_log):
@@ -120,14 +127,14 @@
         self.followed = _never
         self.is_answering = _never
         self.on_read = None
-        self.idle = None
+        self.next_check = None
         self.failures = 0
         self.silent = False
         self.away_at = -1000.0
-        self.under_way = 0
-        self.whole_under_way = 0
-        self.whole_at = -1000.0
-        self.whole_took = 0.0
+        self.reads_in_flight = 0
+        self.full_reads_in_flight = 0
+        self.full_read_at = -1000.0
+        self.full_read_seconds = 0.0
         self.read_at = -1000.0
         self.running = True
 
@@ -137,151 +144,164 @@
         Explanation
         ===========
 
-        A read that is on its way as the store falls silent is given up late.
-        Others are sent meanwhile, so that the store's return is noticed by
-        the first that it answers.
+        A read in flight when the store becomes unresponsive times out late.
+        Other reads are sent meanwhile, and the first answered one detects that
+        the store is available again.
         """
         while self.running:
             if self.covered():
-                await self._idle()
+                await self._next_check()
                 continue
             began = self.clock.seconds()
             hold = self._hold()
             if self._may_read():
-                await self._answered(hold)
+                await self._read_or_timeout(hold)
             spent = self.clock.seconds() - began
             pause = self.random.uniform(0.75, 1) * self._period() - spent
             await paused(self.clock, max(0, pause))
 
     def wake(self):
-        """Look at once whether a read is needed."""
-        if self.idle is not None and not self.idle.called:
-            self.idle.callback(None)
-
-    def _idle(self):
-        """Return a Deferred of the next look while reads are needless."""
-        self.idle = Deferred()
-        return self.idle.addTimeout(
-            _COVERED_PAUSE, self.clock, onTimeoutCancel=_nothing
+        """Check at once whether a read is needed."""
+        if self.next_check is not None and not self.next_check.called:
+            self.next_check.callback(None)
+
+    def _next_check(self):
+        """Return a Deferred that fires when a read may be needed again."""
+        self.next_check = Deferred()
+        return self.next_check.addTimeout(
+            _COVERED_CHECK_SECONDS, self.clock, onTimeoutCancel=_ignore_timeout
         )
 
     def is_failing(self):
         """Return whether the store has not answered the latest read."""
         return self.failures > 0
 
-    def _answered(self, hold):
-        """Return a Deferred of a read's end, or of the time for another."""
+    def _read_or_timeout(self, hold):
+        """Return a Deferred that fires when a read ends or times out."""
         reading = branched(Deferred.fromCoroutine(self._read(hold)))
-        limit = hold + _RETRY_PERIOD
+        limit = hold + _RETRY_PERIOD_SECONDS
         return reading.addTimeout(
-            limit, self.clock, onTimeoutCancel=self._unanswered
+            limit, self.clock, onTimeoutCancel=self._record_silence
         )
 
-    def _unanswered(self, *_):
-        """Note a read that is not answered in its time."""
+    def _record_silence(self, *_):
+        """Record that a read was not answered in time."""
         if self.silent:
             return
         self.silent = True
         self.log(
             events.STORE_SILENT,
             level='warning',
-            reads=self.under_way,
+            reads=self.reads_in_flight,
             age_ms=self.configuration.age_ms(),
         )
 
     def _hold(self):
         if not self._is_large():
-            return _LEAST_HOLD
-        return _FOLLOWED_HOLD if self.followed() else _LARGE_HOLD
+            return _MIN_HOLD_SECONDS
+        return (
+            _FOLLOWED_HOLD_SECONDS if self.followed() else _LARGE_HOLD_SECONDS
+        )
 
     def _is_large(self):
-        return len(self.configuration.text) > _LARGE_TEXT
+        return len(self.configuration.text) > _LARGE_TEXT_CHARACTERS
 
     def _period(self):
-        """Return seconds from one read's start to the next one's."""
-        if self.failures or self.under_way:
-            return _RETRY_PERIOD
+        """Return the seconds between the starts of consecutive reads."""
+        if self.failures or self.reads_in_flight:
+            return _RETRY_PERIOD_SECONDS
         if self._is_large() or self.configuration.in_storm:
-            return _SETTLE
-        return _FOLLOWED_PERIOD if self.followed() else _READ_PERIOD
+            return _SETTLE_SECONDS
+        return (
+            _FOLLOWED_PERIOD_SECONDS
+            if self.followed()
+            else _READ_PERIOD_SECONDS
+        )
 
     def _may_read(self):
-        """Return whether a further read may be sent now.
+        """Return whether another read may be sent now.
 
         Explanation
         ===========
 
-        The whole is fetched once at a time: on a slow link a second one would
-        only delay the first. One that a silent connection swallowed must not
-        keep a change from this host, so that ends after a while.
+        Only one full read is sent at a time, as on a slow link a second one
+        would only delay the first. This restriction ends after a timeout, so
+        that a full read lost on an unresponsive connection does not keep
+        changes from this host.
         """
-        if self.under_way >= _MOST_READS:
+        if self.reads_in_flight >= _MAX_READS_IN_FLIGHT:
             return False
-        if self.under_way and self.is_answering():
-            # Not silent: a large answer is coming in over a full link, and a
-            # second one beside it would double what the link has to carry.
+        if self.reads_in_flight and self.is_answering():
+            # A large answer is being received over a saturated link. A second
+            # one would double the traffic on this link.
             return False
-        waits = (
-            self.configuration.suspend_clock() - self.whole_at < _WHOLE_SECONDS
+        is_recent = (
+            self.configuration.suspend_clock() - self.full_read_at
+            < _FULL_READ_SECONDS
         )
-        return not (waits and self.whole_under_way)
+        return not (is_recent and self.full_reads_in_flight)
 
-    def _needs_whole(self):
+    def _needs_full_read(self):
         configuration = self.configuration
-        if configuration.seen is None or configuration.in_storm:
+        if configuration.known_revision is None or configuration.in_storm:
             return True
-        # On a link that takes seconds for the whole, what it brought is as old.
-        gap = configuration.suspend_clock() - configuration.seen_at
-        return gap - self.whole_took > _LONG_GAP
+        # On a link where a full read takes seconds, its result is as old as
+        # that when it arrives.
+        gap = configuration.suspend_clock() - configuration.known_at
+        return gap - self.full_read_seconds > _LONG_GAP_SECONDS
 
     async def _read(self, hold):
         configuration = self.configuration
         began = configuration.suspend_clock()
-        whole = self._needs_whole()
-        self.under_way += 1
-        self.whole_under_way += whole
-        if whole:
-            self.whole_at = began
-        late = self.clock.callLater(hold + _HEARD_SECONDS, self._look_late)
-        if whole:
-            outcome = await whole_config(self.store)
+        is_full = self._needs_full_read()
+        self.reads_in_flight += 1
+        self.full_reads_in_flight += is_full
+        if is_full:
+            self.full_read_at = began
+        overdue_check = self.clock.callLater(
+            hold + _ANSWER_SECONDS, self._check_overdue
+        )
+        if is_full:
+            outcome = await read_full_config(self.store)
         else:
-            outcome = await newer_config(self.store, configuration.seen, hold)
-        if late.active():
-            late.cancel()
-        self.under_way -= 1
-        self.whole_under_way -= whole
-        if whole:
-            self.whole_took = configuration.suspend_clock() - began
+            outcome = await read_config_changes(
+                self.store, configuration.known_revision, hold
+            )
+        if overdue_check.active():
+            overdue_check.cancel()
+        self.reads_in_flight -= 1
+        self.full_reads_in_flight -= is_full
+        if is_full:
+            self.full_read_seconds = configuration.suspend_clock() - began
         answered = not isinstance(outcome, Unavailable)
         if answered:
             self.read_at = max(self.read_at, began)
         if isinstance(outcome, Compacted):
-            configuration.seen = None
+            configuration.known_revision = None
         elif answered:
-            configuration.take_news(outcome, began, whole=whole)
-        self._note(outcome, answered=answered)
+            configuration.apply_read(outcome, began, is_full=is_full)
+        self._record_outcome(outcome, answered=answered)
 
-    def _look_late(self):
-        # An answer that came while the process stood still is taken before the
-        # next call.
-        self.clock.callLater(0, self._note_late)
+    def _check_overdue(self):
+        # An answer that arrived while the process was stalled is handled before
+        # the next scheduled call.
+        self.clock.callLater(0, self._record_overdue)
 
-    def _note_late(self):
-        if self.under_way and not self.is_answering():
-            self._note_away()
+    def _record_overdue(self):
+        if self.reads_in_flight and not self.is_answering():
+            self._record_unreachable()
 
-    def _note_away(self):
+    def _record_unreachable(self):
         self.away_at = self.configuration.suspend_clock()
 
-    def _note(self, outcome, *, answered):
+    def _record_outcome(self, outcome, *, answered):
         if answered and self.failures:
             self.log(events.STORE_REGAINED, failures=self.failures)
         if answered:
             self.failures = 0
             self.silent = False
         else:
-            self._note_away()
+            self._record_unreachable()
             self.failures += 1
             if self.failures == 1:
                 self.log(
@@ -298,5 +318,5 @@
     return False
 
 
-def _nothing(*_):
-    """Stand for a pause that has ended."""
+def _ignore_timeout(*_):
+    """Replace the timeout of a pause by a normal result."""
--- a/pollenstile/forward/_configreads.py
+++ b/pollenstile/forward/_configreads.py
@@ -1,4 +1,4 @@
-"""Reads of the stored configuration: whole, or only what is newer."""
+"""Full and incremental reads of the stored configuration."""
 
 from dataclasses import dataclass
 
@@ -9,19 +9,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ConfigNews:
-    """What a read has shown.
+class ConfigRead:
+    """Result of a read of the configuration.
 
     Parameters
     ==========
 
     revision : int
-        The store's, up to which the configuration is known now.
+        Revision of the store up to which the configuration is now known.
     changed : bool
-        Whether the configuration was written since the revision before, or is
-        read whole.
+        Whether the configuration was written since the previous revision, or
+        this is a full read.
     found : Found or None
-        The newest one; None when it is unchanged, or deleted.
+        The newest configuration; None when it is unchanged or deleted.
     """
 
     revision: int
@@ -29,52 +29,52 @@
     found: Found | None = None
 
 
-async def whole_config(store):
-    """Return :class:`ConfigNews` with the whole configuration, or why not.
+async def read_full_config(store):
+    """Read the full configuration.
 
     Explanation
     ===========
 
-    A list tells the object and the store's revision in one answer, so that
-    the next read can ask for what is newer and misses nothing.
+    A list returns the object and the revision of the store in one answer, so
+    that the next read can ask for newer changes without missing any.
 
     Returns
     =======
 
-    ConfigNews or Unavailable
+    ConfigRead or Unavailable
     """
     listing = await store.listed(KIND, NAME)
     if isinstance(listing, Unavailable):
         return listing
-    for one in listing.objects:
-        if one.name == NAME:
-            return ConfigNews(listing.revision, changed=True, found=one)
-    return ConfigNews(listing.revision, changed=True)
+    for found in listing.objects:
+        if found.name == NAME:
+            return ConfigRead(listing.revision, changed=True, found=found)
+    return ConfigRead(listing.revision, changed=True)
 
 
-async def newer_config(store, since, hold):
-    """Return :class:`ConfigNews` of what was written after a revision.
+async def read_config_changes(store, since, hold):
+    """Read the changes of the configuration after a revision.
 
     Explanation
     ===========
 
-    An answer without changes proves that the configuration is the newest, in
-    a hundred bytes. Proved by a read of the whole, one of 1,720 routes took
-    0.28 s of a link of 10 Mbit/s each second, and the hosts behind such links
-    served nobody any more.
+    An answer without changes verifies in a hundred bytes that the known
+    configuration is the newest. With full reads, a configuration of 1,720
+    routes occupied a 10 Mbit/s link for 0.28 s in each second, and hosts behind
+    such links could not serve requests any more.
 
     Parameters
     ==========
 
     since : int
-        The store's revision.
+        Revision of the store.
     hold : float
         Seconds for which the store may wait for a change.
 
     Returns
     =======
 
-    ConfigNews, Compacted or Unavailable
+    ConfigRead, Compacted or Unavailable
     """
     outcome = await store.watched(KIND, since, NAME, hold)
     if isinstance(outcome, (Compacted, Unavailable)):
@@ -86,22 +86,21 @@
         if change.name == NAME:
             newest = change
     if newest is None:
-        return ConfigNews(outcome.revision, changed=False)
+        return ConfigRead(outcome.revision, changed=False)
     found = None
     if newest.value is not None:
         found = Found(KIND, NAME, newest.version, newest.value)
-    return ConfigNews(outcome.revision, changed=True, found=found)
+    return ConfigRead(outcome.revision, changed=True, found=found)
 
 
 def _is_stale(outcome, since):
-    """Return whether an answer is older than what was asked about.
+    """Return whether an answer is older than the requested revision.
 
     Explanation
     ===========
 
-    It comes from something that lags behind the store, and says nothing of
-    now: taken for an answer without changes, it would prove a key that is
-    gone.
+    A stale answer comes from a replica or cache that lags behind the store. If
+    it counted as an answer without changes, it would verify a revoked key.
     """
     old = any(change.revision <= since for change in outcome.events)
     return old or outcome.revision < since
--- a/pollenstile/forward/_configuration.py
+++ b/pollenstile/forward/_configuration.py
@@ -1,4 +1,4 @@
-"""The route table in force, and the proof that it was the newest."""
+"""Route table in force, and when it was last verified to be the newest."""
 
 import msgspec
 
@@ -6,71 +6,73 @@
 from pollenstile.forward._configloop import ConfigurationLoop
 from pollenstile.ops.logs import silent_log
 
-# Part of the revocation bound after which a proof is too old: the rest is
-# for the time between a request's sending and its being read here.
+# Share of the revocation bound for which a verification is valid. The rest
+# allows for the time between the sending of a request and its handling here.
 _PROOF_SHARE = 0.9
-# Part of the bound after which callers should go elsewhere: two reads have
-# failed, and the balancer takes two seconds to notice.
+# Share of the bound after which callers should be sent to other hosts. By then
+# two reads have failed, and the load balancer takes two seconds to react.
 _FRESH_SHARE = 0.45
-# Seconds within which a change is in force where nothing else is said.
+# Default time within which a change must be in force.
 _APPLY_SECONDS = 2.0
 _MS = 1000
 
 
 class Configuration:
-    """The configuration as it was read last; it never goes back.
+    """The latest configuration; never replaced by an older version.
 
     Explanation
     ===========
 
-    A key that was taken away must stop working within a bound on every host,
-    also on one that is cut off. So a keyed request is taken only while this
-    host can prove that its table was the newest a moment ago: by an answered
-    linearizable read, dated from before it was sent: of the whole, or of what
-    is newer than a revision. A watch that is not answered proves nothing.
+    A revoked key must stop working within a bound on every host, including
+    hosts that are partitioned from the store. Requests with a key are therefore
+    accepted only while the table was verified recently to be the newest. An
+    answered linearizable read verifies the table as of the moment before the
+    read was sent; it may be a full read or a read of the changes after a
+    revision. An unanswered watch verifies nothing.
 
     Parameters
     ==========
 
     store : Store
-        Linearizable reads.
+        Provides linearizable reads.
     clock : IReactorTime
-        Paces the reads.
+        Schedules the reads.
     suspend_clock : function
-        Returns seconds, suspended time included; a host that was suspended
-        must not take an old proof for a fresh one.
+        Returns seconds, including time spent suspended, so that a host that
+        was suspended does not treat an old verification as recent.
     decode : function
-        From a stored value to a route table; raises ValueError.
+        Decodes a stored value to a route table; raises ValueError.
     revoke_seconds : float
-        Within this time a key that was taken away stops working.
+        Time within which a revoked key must stop working.
 
     Attributes
     ==========
 
     apply_seconds : float
-        Within this time a change is in force.
+        Time within which a change must be in force.
     table : RouteTable or None
-        In force.
+        Table in force.
     proven_at : float
-        On the suspend clock.
+        Time on the suspend clock at which the table was last known to be the
+        newest.
     listeners : list of function
         Called with each new table.
     loop : ConfigurationLoop
         Reads the store.
     in_storm : bool
-        Whether changes come faster than reads.
+        Whether changes arrive faster than reads.
     found : Found or None
-        What the table was decoded from.
+        Stored object from which the table was decoded.
     text : str
-        Of what the table was decoded from; patches are made of it.
-    newest : int
-        Revision of the newest configuration that was heard of, also of one
-        that can't be used.
-    seen : int or None
-        The store's revision up to which the configuration is known, by reads
-        or by another host's word.
-    seen_at : float
-        On the suspend clock: when that was known.
+        Encoded value of this object, from which patches are computed.
+    newest_revision : int
+        Revision of the newest known configuration, including one that can't be
+        decoded.
+    known_revision : int or None
+        Revision of the store up to which the configuration is known, from
+        reads or from updates of another host.
+    known_at : float
+        Time on the suspend clock as of which ``known_revision`` holds.
     """
 
     __slots__ = (
@@ -81,12 +83,12 @@
         'listeners',
         'log',
         'loop',
-        'newest',
+        'newest_revision',
         'proven_at',
         'revision',
         'revoke_seconds',
-        'seen',
-        'seen_at',
+        'known_revision',
+        'known_at',
         'suspend_clock',
         'table',
         'text',
@@ -109,11 +111,11 @@
         self.log = log
         self.table = None
         self.revision = 0
-        self.newest = 0
+        self.newest_revision = 0
         self.found = None
         self.text = ''
-        self.seen = None
-        self.seen_at = -1000.0
+        self.known_revision = None
+        self.known_at = -1000.0
         self.in_storm = False
         self.proven_at = -1000.0
         self.listeners = []
@@ -124,67 +126,70 @@
         return self.age() < _PROOF_SHARE * self.revoke_seconds
 
     def is_fresh(self):
-        """Return whether keys will be trusted for the next seconds, too.
+        """Return whether keys may also be trusted for the next seconds.
 
         Explanation
         ===========
 
-        A host that is cut off from the store will have to refuse all requests
-        with a key; callers who are sent elsewhere before that lose nothing.
+        A host that is disconnected from the store must eventually refuse all
+        requests with a key. Callers that are sent to other hosts before that
+        are not affected.
         """
         return self.age() < _FRESH_SHARE * self.revoke_seconds
 
     def is_current(self):
-        """Return whether requests may be taken by the table in force.
+        """Return whether requests may be decided by the table in force.
 
         Explanation
         ===========
 
-        A host that has lost the store goes on by what it knows, and one that
-        has it would have heard of a change in time. Between them is a host that
-        was kept from asking: by its own load, or by whom it relied on. That the
-        store was lost before the proof says nothing of now.
+        While the store is unreachable, the host keeps using the known table.
+        While the store is reachable, the host would have read a change in time.
+        The remaining case is a host that did not read the store, because of
+        its own load or of the reader that it followed; its table may be
+        outdated. A failure of the store before the last verification does not
+        count.
         """
         is_away = self.loop.away_at > self.proven_at
         return is_away or self.age() < self.apply_seconds
 
     def age(self):
-        """Return the seconds since the proof was true."""
+        """Return the seconds since the table was last known to be newest."""
         return self.suspend_clock() - self.proven_at
 
     def age_ms(self):
-        """Return the age in whole milliseconds, as log lines have it."""
+        """Return the age in full milliseconds, as written to log lines."""
         return int(self.age() * _MS)
 
-    def take_news(self, news, began, *, whole):
-        """Take what a read of the store has shown.
+    def apply_read(self, read, began, *, is_full):
+        """Apply the result of a read of the store.
 
         Parameters
         ==========
 
-        news : ConfigNews
-            Newer than what is known, or that there is nothing newer.
+        read : ConfigRead
+            A newer configuration, or the result that there is none.
         began : float
-            On the suspend clock, before the read was sent.
-        whole : bool
-            Whether the whole was read.
+            Time on the suspend clock before the read was sent.
+        is_full : bool
+            Whether this was a full read.
         """
-        before = self.newest
-        self.seen = max(news.revision, self.seen or 0)
-        self.seen_at = max(began, self.seen_at)
-        if news.found is not None:
-            self.take(news.found, began)
-        elif news.changed:
-            # Deleted: what is in force here is not the newest any more.
-            self.newest = max(self.newest, news.revision)
-        elif self.newest == self.revision:
+        previous_revision = self.newest_revision
+        self.known_revision = max(read.revision, self.known_revision or 0)
+        self.known_at = max(began, self.known_at)
+        if read.found is not None:
+            self.take(read.found, began)
+        elif read.changed:
+            # Deleted: the table in force here is not the newest any more.
+            self.newest_revision = max(self.newest_revision, read.revision)
+        elif self.newest_revision == self.revision:
             self.proven_at = max(self.proven_at, began)
-        moved = self.newest > before
-        # A whole that brought nothing new ends a storm of changes.
-        self.in_storm = moved and (self.in_storm or not whole)
+        is_newer = self.newest_revision > previous_revision
+        # A full read without a newer version ends a series of rapid changes.
+        self.in_storm = is_newer and (self.in_storm or not is_full)
 
     def take(self, found, began):
-        """Take one read.
+        """Apply a stored configuration, unless a newer one is known.
 
         Parameters
         ==========
@@ -192,63 +197,68 @@
         found : Found
             The stored configuration.
         began : float
-            On the suspend clock, before the read was sent.
+            Time on the suspend clock before the read was sent.
         """
-        if found.version < self.newest:
+        if found.version < self.newest_revision:
             return
-        self.newest = found.version
+        self.newest_revision = found.version
         if found.version > self.revision or self.table is None:
-            if not self._replaced(found):
+            if not self._replace_table(found):
                 return
             self.revision = found.version
         self.proven_at = max(self.proven_at, began)
 
-    def told(self, word, began):
-        """Take another host's word; return whether it makes reads needless.
+    def told(self, update, began):
+        """Apply an update from a reader; return whether reads can be skipped.
 
         Explanation
         ===========
 
-        It proves the table in force here only when that has the revision of
-        which the word speaks.
+        The update verifies the table in force here only when both have the
+        same revision.
 
         Parameters
         ==========
 
-        word : Word
-            With the configuration, if that is newer than the one here.
+        update : Word
+            Contains the configuration if it is newer than the one here.
         began : float
-            On the suspend clock, before the other host was asked.
+            Time on the suspend clock before the reader was asked.
         """
-        proven_at = began - word.aged
-        if word.config is not None:
-            self.take(word.config, proven_at)
-        if word.config_revision < self.revision:
-            # A reader that lags says nothing of what this host has read.
+        proven_at = began - update.aged
+        if update.config is not None:
+            self.take(update.config, proven_at)
+        if update.config_revision < self.revision:
+            # A reader that lags behind can't verify what this host has read.
             return self.is_fresh()
-        if word.config_revision > self.revision:
+        if update.config_revision > self.revision:
             return False
         self.proven_at = max(self.proven_at, proven_at)
-        if word.seen:
-            # If the reader is lost, this host asks for what is newer than
-            # this; the whole, asked for by all followers at once, would fill
-            # the links that are slow already.
-            self.seen = max(word.seen, self.seen or 0)
-            self.seen_at = max(proven_at, self.seen_at)
+        if update.seen:
+            # If the reader fails, this host asks for changes after this
+            # revision. Full reads by all followers at once would saturate
+            # links that are already slow.
+            self.known_revision = max(update.seen, self.known_revision or 0)
+            self.known_at = max(proven_at, self.known_at)
         return True
 
     def told_seen(self):
-        """Return the store's revision that other hosts may go on from.
+        """Return the store's revision from which other hosts may resume reads.
 
         Explanation
         ===========
 
-        0 when a newer configuration than the one in force was seen and could
-        not be used: from there on, nothing new would prove the old one.
+        0 when a configuration newer than the one in force is known and could
+        not be decoded. A later answer without changes would otherwise verify
+        the old configuration.
         """
-        return self.seen if self.seen and self.newest == self.revision else 0
+        return (
+            self.known_revision
+            if self.known_revision and self.newest_revision == self.revision
+            else 0
+        )
 
-    def _replaced(self, found):
+    def _replace_table(self, found):
         try:
             table = self.decode(found.value)
         except ValueError as error:
@@ -271,15 +281,15 @@
             age_ms=self.age_ms(),
         )
         for listener in self.listeners:
-            self._call(listener, table)
+            self._notify(listener, table)
         return True
 
-    def _call(self, listener, table):
+    def _notify(self, listener, table):
         try:
             listener(table)
         except Exception as error:
-            # A table that one part can't bear must not end the reading: the
-            # host would go on with an old table and no sign of it.
+            # A listener that fails on a table must not end the read loop: the
+            # host would continue with an old table without reporting it.
             self.log(
                 events.CONFIGURATION_BAD,
                 level='error',
--- a/pollenstile/forward/_daemon.py
+++ b/pollenstile/forward/_daemon.py
@@ -1,4 +1,4 @@
-"""An entry host that forwards: started, ready, stopped."""
+"""Daemon of a forwarding entry host: start, readiness and shutdown."""
 
 from dataclasses import replace
 
@@ -8,10 +8,10 @@
 from twisted.web.server import Site
 
 from pollenstile.forward import events
-from pollenstile.forward._assembly import built_parts, link_peers
+from pollenstile.forward._assembly import build_parts, link_peers
 from pollenstile.forward._face import CallerFactory
 from pollenstile.forward._gauges import TIMES, add_gauges
-from pollenstile.forward._settings import word_seconds
+from pollenstile.forward._settings import update_seconds
 from pollenstile.forward._storewatches import StoreWatches
 from pollenstile.ops.http import quiet
 from pollenstile.ops.logs import silent_log
@@ -19,26 +19,27 @@
 from pollenstile.ops.settings import shown
 from pollenstile.peer import Beat, keys_from, tcp_listen
 
-# Seconds for which a leaving host still takes requests: the balancer asks
-# each second and needs two answers that it is not ready.
-_LAME_DUCK = 2.3
-# Seconds left of the grace time when the host stops, whatever is in flight.
-_GRACE_MARGIN = 0.6
-# Seconds between looks whether all is finished.
-_IDLE_PERIOD = 0.05
-# Seconds between looks whether another host owns a queue of this one now.
-_REVIEW_PERIOD = 0.25
-# Seconds for connections to take what was written to them.
-_FLUSH = 0.3
-# Seconds between looks whether a starting host knows enough to join.
-_JOIN_PERIOD = 0.05
-# Connections that wait to be accepted; a burst must not lose any.
+# Time for which a leaving host still accepts requests. The load balancer checks
+# readiness each second and needs two negative answers.
+_LAME_DUCK_SECONDS = 2.3
+# Part of the grace time that must remain when the host stops, even with
+# requests in flight.
+_GRACE_MARGIN_SECONDS = 0.6
+# Time between checks whether all requests are finished.
+_IDLE_CHECK_SECONDS = 0.05
+# Time between checks whether another host now owns a queue of this one.
+_REVIEW_PERIOD_SECONDS = 0.25
+# Time for connections to send their buffered data.
+_FLUSH_SECONDS = 0.3
+# Time between checks whether a starting host has the state it needs to join.
+_JOIN_CHECK_SECONDS = 0.05
+# Length of the queue of connections to accept; a burst must not overflow it.
 _BACKLOG = 512
 _NOT_READY = 503
 
 
-class _Ready(Resource):
-    """Answers whether the host takes requests."""
+class _ReadyResource(Resource):
+    """Readiness endpoint for the load balancer."""
 
     isLeaf = True
 
@@ -47,7 +48,7 @@
         self.daemon = daemon
 
     def render(self, request):
-        """Answer; called by twisted."""
+        """Return an empty body with the status; called by Twisted."""
         if not self.daemon.is_ready():
             request.setResponseCode(_NOT_READY)
         return b''
@@ -60,18 +61,18 @@
     ==========
 
     reactor : IReactorTCP and IReactorTime
-        Makes ports, connections and timers.
+        Provides ports, connections and timers.
     settings : HostSettings
-        Where to listen.
+        Addresses and time bounds.
     store : Store
-        Configuration, registry and the hosts' own entries.
+        Holds the configuration, the registry and the entries of hosts.
     adapter : object
-        With ``names``, ``codec``, ``decode_table(value)`` and
+        Provides ``names``, ``codec``, ``decode_table(value)`` and
         ``decode_upstream(name, value)``.
     rng : random.Random
-        Seeded under test.
+        Source of jitter and random choices; seeded in tests.
     suspend_clock : function
-        Returns seconds, suspended time included.
+        Returns seconds, including time spent suspended.
     log : function
         Writes events.
     """
@@ -114,7 +115,7 @@
         self.was_ready = False
         self.ports = []
         self.review = LoopingCall(self._review)
-        self.parts = built_parts(
+        self.parts = build_parts(
             reactor,
             settings,
             store,
@@ -134,7 +135,7 @@
         self.factory = CallerFactory(self.parts.core, reactor)
 
     def start(self):
-        """Listen, read the store, join the fleet."""
+        """Listen for callers, start reading the store and join the fleet."""
         settings = self.settings
         core = self.parts.core
         core.registry.listeners.append(self._registry_changed)
@@ -143,7 +144,8 @@
         self.parts.members.listeners.append(self._hosts_changed)
         callers = self._listen(settings.callers, self.factory)
         ready = self._listen(
-            settings.ready, quiet(Site(_Ready(self), reactor=self.reactor))
+            settings.ready,
+            quiet(Site(_ReadyResource(self), reactor=self.reactor)),
         )
         if settings.metrics is not None:
             add_gauges(self.measures, self.parts, self.factory)
@@ -151,23 +153,23 @@
             self._listen(settings.metrics, quiet(site))
         self.log(
             events.FORWARD_STARTED,
-            callers=shown(_bound(callers)),
-            ready=shown(_bound(ready)),
+            callers=shown(_bound_address(callers)),
+            ready=shown(_bound_address(ready)),
             peers=shown(settings.peers),
             domain=settings.domain,
         )
         self.review.clock = self.reactor
-        self.review.start(_REVIEW_PERIOD, now=False)
+        self.review.start(_REVIEW_PERIOD_SECONDS, now=False)
         Deferred.fromCoroutine(core.configuration.loop.run())
         Deferred.fromCoroutine(self._join())
         self.watches.start(settings.drain_seconds)
 
     def is_ready(self):
-        """Return whether the balancer should send callers here."""
+        """Return whether the load balancer should send callers to this host."""
         core = self.parts.core
         ready = (
             not self.leaving
-            and self._knows_enough()
+            and self._has_initial_state()
             and core.configuration.is_fresh()
         )
         if ready and not self.was_ready:
@@ -180,49 +182,49 @@
         return ready
 
     def reload(self, settings):
-        """Take changed bounds.
+        """Apply changed time bounds and retry budgets.
 
         Explanation
         ===========
 
-        Addresses stay as they are: a host that listened elsewhere would cut
-        off its callers. They change with the next start.
+        Changed addresses are applied only at the next start, as listening on
+        another address would disconnect the callers.
         """
         self.settings = settings
         core = self.parts.core
         core.configuration.revoke_seconds = settings.revoke_seconds
         core.configuration.apply_seconds = settings.apply_seconds
-        self.parts.relay.follower.word_seconds = word_seconds(settings)
+        self.parts.relay.follower.word_seconds = update_seconds(settings)
         core.budget.ratio = settings.repeat_ratio
         core.budget.slack = settings.repeat_slack
         core.budget.window = settings.repeat_window
         self.log(events.SETTINGS_TAKEN, revoke_s=settings.revoke_seconds)
 
     def stop(self):
-        """Leave: return a Deferred that fires when all is finished."""
+        """Start to leave; return a Deferred that fires when all is stopped."""
         self.leaving = True
         self.parts.relay.source.leaving = True
         self.factory.leave()
         self.parts.hub.beat_now()
         self._review()
         self.log(events.FORWARD_LEAVING, in_flight=self.factory.in_flight)
-        return Deferred.fromCoroutine(self._stopped())
+        return Deferred.fromCoroutine(self._shut_down())
 
-    async def _stopped(self):
+    async def _shut_down(self):
         began = self.reactor.seconds()
-        latest = began + self.settings.grace_seconds - _GRACE_MARGIN
-        # Nobody waits for this answer; the entry of a host that does not
-        # answer is passed over anyway.
+        latest = began + self.settings.grace_seconds - _GRACE_MARGIN_SECONDS
+        # The result is not awaited, as other hosts skip the entry of a host
+        # that does not answer.
         Deferred.fromCoroutine(self.parts.members.leave())
-        await deferLater(self.reactor, _LAME_DUCK)
-        # Callers keep using open connections until they are closed; what
-        # comes now could be cut off when the process is killed.
+        await deferLater(self.reactor, _LAME_DUCK_SECONDS)
+        # Callers keep using open connections until they are closed. A request
+        # accepted from now on could be cut off when the process is killed.
         self.factory.refusing = True
         self.factory.close_idle()
         while self._is_busy() and self.reactor.seconds() < latest:
-            await deferLater(self.reactor, _IDLE_PERIOD)
+            await deferLater(self.reactor, _IDLE_CHECK_SECONDS)
         self.factory.close_idle()
-        await deferLater(self.reactor, _FLUSH)
+        await deferLater(self.reactor, _FLUSH_SECONDS)
         self.parts.core.configuration.loop.running = False
         self.parts.relay.follower.stop()
         self.watches.stop()
@@ -236,18 +238,18 @@
         return self.factory.in_flight or self.parts.owners.is_busy()
 
     async def _join(self):
-        # A host without a registry has no workers: as the owner of a stage it
-        # would let pieces wait for nothing.
-        while not self._knows_enough():
-            await deferLater(self.reactor, _JOIN_PERIOD)
+        # A host without a registry has no workers. As the owner of a stage, it
+        # would queue pieces that it can't run.
+        while not self._has_initial_state():
+            await deferLater(self.reactor, _JOIN_CHECK_SECONDS)
         key = await self.parts.members.peer_key()
         hub = self.parts.hub
         hub.keys = keys_from(key.decode())
         self.parts.core.quarantine.key = key
         port = tcp_listen(self.reactor, self.settings.peers, hub)
         self.ports.append(port)
-        # Port 0 lets the system choose; peers are told what it chose.
-        bound = _bound(port)
+        # With port 0 the system chooses a port, which is announced to peers.
+        bound = _bound_address(port)
         address = shown(self.settings.peers_seen or bound)
         hub.hello = replace(hub.hello, address=address)
         members = self.parts.members
@@ -258,16 +260,16 @@
         self.log(events.FORWARD_JOINED, peers=shown(bound), seen=address)
         await members.register()
 
-    def _knows_enough(self):
+    def _has_initial_state(self):
         core = self.parts.core
         return core.configuration.table is not None and core.registry.known
 
     def _review(self):
         try:
-            self._reviewed()
+            self._run_review()
         except Exception as error:
-            # A fault here must not end the looks, nor a shutdown halfway:
-            # all that is in flight would be cut off.
+            # An exception here must not end the periodic review or interrupt a
+            # shutdown, which would cut off all requests in flight.
             self.log(
                 events.FORWARD_CRASHED,
                 level='error',
@@ -275,7 +277,7 @@
                 error=repr(error),
             )
 
-    def _reviewed(self):
+    def _run_review(self):
         owners = self.parts.owners.by_service
         self.parts.stages.review(owners, leaving=self.leaving)
         link_peers(self.parts)
@@ -299,7 +301,7 @@
     def _registry_changed(self):
         upstreams = self.parts.core.registry.upstreams.values()
         self.parts.stages.domains = {
-            one.address: one.domain for one in upstreams
+            upstream.address: upstream.domain for upstream in upstreams
         }
         self.parts.owners.configure()
 
@@ -314,18 +316,20 @@
         parts.stages.ownership.take_hosts(hosts)
         parts.relay.readers.take_hosts(hosts)
         if parts.members.known:
-            domains = {name: one.domain for name, one in hosts.items()}
+            domains = {name: peer.domain for name, peer in hosts.items()}
             parts.core.cold.take_hosts(domains)
         table = parts.core.configuration.table
         if table is None:
             return
         parts.stages.limits = {
-            one.name: one.stage for one in table.services.values() if one.stage
+            service.name: service.stage
+            for service in table.services.values()
+            if service.stage
         }
         link_peers(parts)
 
 
-def _bound(port):
+def _bound_address(port):
     """Return IP number and port; port 0 lets the system choose one."""
     bound = port.getHost()
     return bound.host, bound.port
--- a/pollenstile/forward/_face.py
+++ b/pollenstile/forward/_face.py
@@ -1,11 +1,11 @@
-"""Callers' connections: requests in, answers out."""
+"""HTTP server for callers: receives requests and writes answers."""
 
 from io import BytesIO
 
 from twisted.web.http import HTTPChannel, HTTPFactory, Request
 
 from pollenstile.forward import events
-from pollenstile.forward._parse import parsed_exchange
+from pollenstile.forward._parse import parse_exchange
 from pollenstile.forward._run import is_abandoned_at_once, serve
 from pollenstile.forward._types import Refusal
 from pollenstile.routes import Limits
@@ -25,21 +25,22 @@
     503: b'Service Unavailable',
     504: b'Gateway Timeout',
 }
-# Seconds that a body may take beyond its header's time: 4 MB at 1 Mbit/s.
-_BODY_SECONDS = 32.0
+# Time allowed for receiving a body after its headers: 4 MB at 1 Mbit/s.
+_BODY_TIMEOUT_SECONDS = 32.0
 _DEFAULT_LIMITS = Limits()
-# Seconds until another host takes the connections of one that leaves.
+# Refusal by a leaving host. The last value is the retry delay in seconds, after
+# which another host accepts the connections.
 _LEAVING = Refusal(503, 'leaving', 'entry', '', 0.1)
 
 
 class Answer(Request):
-    """One caller's request on its connection, and the answer to it.
+    """A caller's request on its connection, and the answer to it.
 
     Attributes
     ==========
 
     begun : bool
-        Whether the head of an answer went out.
+        Whether the head of an answer was set.
     gone : bool
         Whether the caller has closed its connection.
     """
@@ -50,58 +51,59 @@
         self.gone = False
         self.ended = False
         self.refused = False
-        self.received = 0
+        self.received_bytes = 0
         self.work = None
         self.exchange = None
 
     def parseCookies(self):
-        """Parse nothing; called by twisted."""
+        """Skip the parsing of cookies; called by Twisted."""
 
     def gotLength(self, length):
-        """Prepare for a body of a stated length; called by twisted.
+        """Prepare for a body of the declared length; called by Twisted.
 
         Explanation
         ===========
 
-        The library keeps large bodies in files; hosts have no disks.
+        Bodies are kept in memory, as Twisted would store large bodies in files
+        and hosts have no disks.
         """
         self.content = BytesIO()
-        self.channel.head_is_in()
+        self.channel.on_head_received()
         if length is not None and length > self.channel.limits.body_bytes:
             self._reject(_BODY_TOO_LARGE)
 
     def handleContentChunk(self, data):
-        """Keep a part of the body; called by twisted."""
-        self.received += len(data)
+        """Append a chunk to the body; called by Twisted."""
+        self.received_bytes += len(data)
         if self.refused:
             return
-        if self.received > self.channel.limits.body_bytes:
+        if self.received_bytes > self.channel.limits.body_bytes:
             self._reject(_BODY_TOO_LARGE)
             return
         self.content.write(data)
 
     def requestReceived(self, command, path, version):
-        """Serve a request that is whole; called by twisted."""
-        self.channel.body_is_in()
+        """Serve a completely received request; called by Twisted."""
+        self.channel.on_request_received()
         if self.refused:
             return
         self.method = command
         self.uri = path
         self.clientproto = version
-        self.channel.factory.served(self)
+        self.channel.factory.serve_request(self)
 
     def connectionLost(self, reason):
-        """Note that the caller has left; called by twisted."""
+        """Record that the caller has disconnected; called by Twisted."""
         factory = self.channel.factory
         super().connectionLost(reason)
         if self.ended:
             return
         self.gone = True
         self.ended = True
-        factory.left(self)
+        factory.on_caller_left(self)
 
     def begin(self, status, phrase, headers):
-        """Take the head of an upstream's answer; it goes with the body."""
+        """Set the head of the answer, which is sent with the body."""
         self.begun = True
         if self.ended:
             return
@@ -110,27 +112,27 @@
             self.responseHeaders.addRawHeader(name, content)
 
     def write(self, data):
-        """Write a part of the body."""
-        # An empty part brings the head of an answer without a body out.
+        """Write a chunk of the body."""
+        # An empty chunk sends the head of an answer without a body.
         if not self.ended and (data or not self.startedWriting):
             super().write(data)
 
     def finish(self):
-        """End a whole answer."""
+        """End a complete answer."""
         if self.ended:
             return
         super().finish()
         self.ended = True
 
     def abort(self):
-        """Break the connection: what went out is not whole."""
+        """Abort the connection, as the sent answer is incomplete."""
         if self.ended:
             return
         self.ended = True
         self.channel.transport.abortConnection()
 
     def refuse(self, refusal):
-        """Give a final answer of the system's own."""
+        """Send a refusal as the final answer."""
         if self.ended:
             return
         self.begun = True
@@ -146,12 +148,12 @@
         self.finish()
 
     def produce(self, producer):
-        """Let a caller that reads slowly slow its upstream down."""
+        """Register the upstream's producer, for flow control by the caller."""
         if not self.ended:
             self.registerProducer(producer, True)
 
     def unproduce(self):
-        """Forget the upstream whose answer has ended."""
+        """Unregister the producer of an upstream whose answer has ended."""
         if not self.ended:
             self.unregisterProducer()
 
@@ -162,12 +164,12 @@
 
 
 class CallerChannel(HTTPChannel):
-    """One caller's connection, with bounds on size and time."""
+    """A caller's connection, with limits on sizes and times."""
 
     requestFactory = Answer
 
     def connectionMade(self):
-        """Begin; called by twisted."""
+        """Set the limits of the connection; called by Twisted."""
         self.limits = self.factory.limits()
         self.totalHeadersSize = self.limits.header_bytes
         self.timeOut = self.limits.idle_seconds
@@ -177,37 +179,37 @@
         super().connectionMade()
 
     def connectionLost(self, reason):
-        """End; called by twisted."""
+        """Release the resources of the connection; called by Twisted."""
         self._stop_slow_timer()
         self.factory.channels.discard(self)
         super().connectionLost(reason)
 
     def dataReceived(self, data):
-        """Take bytes; called by twisted."""
+        """Parse received bytes within the time limit; called by Twisted."""
         if self.rejected:
             return
         if self.slow_timer is None and not self._handlingRequest:
-            self._time(self.limits.header_seconds)
+            self._start_slow_timer(self.limits.header_seconds)
         super().dataReceived(data)
 
     def lineLengthExceeded(self, line):
-        """Refuse a line that is too long; called by twisted."""
+        """Reject a line that is too long; called by Twisted."""
         self.reject(_HEADERS_TOO_LARGE)
 
-    def head_is_in(self):
-        """Note that a request's head is whole."""
-        self._time(_BODY_SECONDS)
+    def on_head_received(self):
+        """Start the time limit for the body."""
+        self._start_slow_timer(_BODY_TIMEOUT_SECONDS)
 
-    def body_is_in(self):
-        """Note that a request is whole."""
+    def on_request_received(self):
+        """Stop the time limit of a completely received request."""
         self._stop_slow_timer()
 
     def checkPersistence(self, request, version):
-        """Return whether to keep the connection; called by twisted."""
-        stated = request.requestHeaders.getRawHeaders(b'connection', ())
+        """Return whether to keep the connection open; called by Twisted."""
+        values = request.requestHeaders.getRawHeaders(b'connection', ())
         tokens = {
             token.strip().lower()
-            for line in stated
+            for line in values
             for token in line.split(b',')
         }
         if version != b'HTTP/1.1' or b'close' in tokens or self.factory.leaving:
@@ -216,7 +218,7 @@
         return True
 
     def reject(self, status):
-        """Refuse bytes that are no acceptable request, and close."""
+        """Answer an unacceptable request and close the connection."""
         if self.rejected:
             return
         self.rejected = True
@@ -236,23 +238,23 @@
         over = self._receivedHeaderSize > self.totalHeadersSize
         self.reject(_HEADERS_TOO_LARGE if over else _BAD_REQUEST)
 
-    def _time(self, seconds):
+    def _start_slow_timer(self, seconds):
         self._stop_slow_timer()
-        self.slow_timer = self.callLater(seconds, self._too_slow)
+        self.slow_timer = self.callLater(seconds, self._on_timeout)
 
     def _stop_slow_timer(self):
         if self.slow_timer is not None and self.slow_timer.active():
             self.slow_timer.cancel()
         self.slow_timer = None
 
-    def _too_slow(self):
-        # A request that never becomes whole holds a connection for good.
+    def _on_timeout(self):
+        # An incomplete request would occupy its connection indefinitely.
         self.slow_timer = None
         self.reject(_TIMED_OUT)
 
 
 class CallerFactory(HTTPFactory):
-    """Callers' connections, and what is in flight.
+    """Callers' connections and the requests in flight.
 
     Parameters
     ==========
@@ -274,21 +276,21 @@
         self.on_idle = None
 
     def log(self, request):
-        """Write no access log: events take its place."""
+        """Write no access log, as events replace it."""
 
     def limits(self):
-        """Return what callers may send."""
+        """Return the limits on callers' requests."""
         table = self.core.configuration.table
         return table.limits if table else _DEFAULT_LIMITS
 
-    def served(self, answer):
-        """Serve a request that is whole."""
+    def serve_request(self, answer):
+        """Serve a completely received request."""
         if self.leaving:
             answer.channel.persistent = False
             answer.responseHeaders.setRawHeaders(b'connection', [b'close'])
         exchange = _LEAVING
         if not self.refusing:
-            exchange = parsed_exchange(self.core, answer)
+            exchange = parse_exchange(self.core, answer)
         if isinstance(exchange, Refusal):
             self.core.log(
                 events.FORWARD_ENDED,
@@ -304,10 +306,10 @@
         answer.exchange = exchange
         self.in_flight += 1
         answer.work = serve(self.core, exchange, answer)
-        answer.work.addBoth(self._over)
+        answer.work.addBoth(self._on_finished)
 
-    def left(self, answer):
-        """Stop the work of a caller that is gone, if it may be stopped."""
+    def on_caller_left(self, answer):
+        """Cancel the request of a disconnected caller, if permitted."""
         if answer.work is None or answer.exchange is None:
             return
         self.core.log(
@@ -319,25 +321,25 @@
             answer.work.cancel()
 
     def leave(self):
-        """Close connections with their next answers from now on."""
+        """Close each connection after its next answer."""
         self.leaving = True
         for channel in list(self.channels):
             if channel.requests:
                 channel.persistent = False
 
     def close_idle(self):
-        """Close connections on which nothing is under way."""
+        """Close connections without a request in flight."""
         for channel in list(self.channels):
             if not channel.requests:
                 channel.loseConnection()
 
-    def _over(self, ignored):
+    def _on_finished(self, ignored):
         self.in_flight -= 1
         if not self.in_flight and self.on_idle is not None:
             self.on_idle()
 
 
 def header(answer, name):
-    """Return a header's text, empty for none."""
+    """Return the value of a header, or an empty text if it is missing."""
     content = answer.getHeader(name) or b''
     return content.decode('latin-1')
--- a/pollenstile/forward/_gauges.py
+++ b/pollenstile/forward/_gauges.py
@@ -1,4 +1,4 @@
-"""What a host's measures show besides the counts of its events."""
+"""Gauges and histograms of a forwarding host."""
 
 from collections import Counter
 from functools import partial
@@ -6,10 +6,10 @@
 from pollenstile.forward import events
 from pollenstile.stagework.events import STAGE_MADE
 
-# Gauges by failure domain, which the command that drains one reads.
+# Gauges by failure domain, read by the command that drains a domain.
 DRAINED_SECONDS = 'drained_seconds'
 UNDER_WAY = 'under_way'
-# Histograms: event, field with milliseconds, and what tells apart.
+# Histograms: event, field with milliseconds, and field used as the label.
 TIMES = (
     (events.FORWARD_ENDED.name, 'took_ms', 'service'),
     (events.FORWARD_ENDED.name, 'staged_ms', 'service'),
@@ -20,22 +20,22 @@
 
 
 def add_gauges(measures, parts, factory):
-    """Add gauges of a host's beliefs and of its load.
+    """Add gauges of a host's state and load.
 
     Parameters
     ==========
 
     measures : Measures
-        Gets them.
+        Receives the gauges.
     parts : Parts
-        Of the host.
+        Parts of the host.
     factory : CallerFactory
-        Knows what is in flight.
+        Counts the requests in flight.
     """
     core = parts.core
     measures.gauge(
         'proof_age_seconds',
-        'Age of the proof that the configuration is the newest.',
+        'Seconds since the configuration was verified to be the newest.',
         core.configuration.age,
     )
     measures.gauge(
@@ -45,19 +45,19 @@
     )
     measures.gauges(
         DRAINED_SECONDS,
-        'Seconds since this host heard that a failure domain is drained.',
+        'Seconds since this host learned that a failure domain is drained.',
         'domain',
         parts.drained.ages,
     )
     measures.gauges(
         UNDER_WAY,
-        'Requests and pieces that this host has at upstreams of a domain.',
+        'Requests and pieces of this host in flight at upstreams of a domain.',
         'domain',
         partial(_under_way, core.registry, parts.owners.calls),
     )
     measures.gauge(
         'quarantined',
-        'Requests that are kept from upstreams, as they crash them.',
+        'Requests that are not sent to upstreams because they crash them.',
         lambda: len(core.quarantine.verdicts.all_held()),
     )
     measures.gauge(
@@ -67,7 +67,7 @@
     )
     measures.gauge(
         'stage_waiting',
-        'Pieces that wait in the queues of this host.',
+        'Pieces waiting in the queues of this host.',
         parts.owners.waiting,
     )
     measures.gauge(
@@ -78,7 +78,7 @@
 
 
 def _under_way(registry, calls):
-    """Return how much this host has at the upstreams of each domain."""
+    """Return the count of requests and pieces in flight in each domain."""
     running = Counter(calls.pieces_in)
     for view in registry.views.values():
         running[view.domain] += view.flying
--- a/pollenstile/forward/_members.py
+++ b/pollenstile/forward/_members.py
@@ -1,4 +1,4 @@
-"""Entry hosts of the fleet, as their own entries in the store say."""
+"""Registration of this host in the store, and the list of other hosts."""
 
 import secrets
 from dataclasses import dataclass
@@ -13,23 +13,23 @@
 _KEYS = 'pollenstile-keys'
 _KEY = 'peers'
 _KEY_BYTES = 32
-# Seconds between tries while the store does not answer.
-_RETRY = 0.5
+# Time between retries while the store does not answer.
+_RETRY_SECONDS = 0.5
 
 
 @dataclass(slots=True, frozen=True)
 class PeerHost:
-    """Another entry host, as its entry says.
+    """An entry host, as registered in the store.
 
     Parameters
     ==========
 
     address : str
-        Where it listens for peers.
+        Address on which it listens for peers.
     domain : str
-        Its failure domain.
+        Failure domain of the host.
     capacity : float
-        Its cores.
+        Number of cores.
     """
 
     address: str
@@ -38,31 +38,31 @@
 
 
 class Members:
-    """This host's entry, and those of the others.
+    """Entries of this host and of the other hosts of the fleet.
 
     Parameters
     ==========
 
     store : Store
-        Where the entries are.
+        Holds the entries.
     clock : IReactorTime
-        Paces the tries.
+        Schedules the retries.
     host : str
-        The own name.
+        Name of this host.
     entry : PeerHost
-        The own entry.
+        Entry of this host.
 
     Attributes
     ==========
 
-    registered : bool
-        Whether the own entry should stand.
-    standing : dict or None
-        The own entry as the store has it; None where there is none.
+    should_register : bool
+        Whether the entry of this host should be in the store.
+    stored_entry : dict or None
+        Entry of this host as found in the store; None if there is none.
     hosts : dict
         :class:`PeerHost` of each other host, by name.
     known : bool
-        Whether a whole list has come.
+        Whether a full list was received.
     listeners : list of function
         Called after each change.
     """
@@ -75,8 +75,8 @@
         'known',
         'listeners',
         'log',
-        'registered',
-        'standing',
+        'should_register',
+        'stored_entry',
         'store',
     )
 
@@ -89,19 +89,20 @@
         self.hosts = {}
         self.known = False
         self.listeners = []
-        self.registered = False
-        self.standing = None
+        self.should_register = False
+        self.stored_entry = None
 
     def take(self, change):
-        """Take a change of an entry."""
+        """Apply a change of an entry."""
         if change.name == self.host:
-            self.standing = change.value
-            if self.registered and change.value is None:
-                # Taken back by a call of this host's last process that came
-                # late: unknown to its peers, it would be asked for nothing.
+            self.stored_entry = change.value
+            if self.should_register and change.value is None:
+                # A delayed delete call of the previous process of this host
+                # removed the entry. Peers send no requests to a host that is
+                # not registered.
                 Deferred.fromCoroutine(self.register())
             return
-        peer = _peer_host(change.value)
+        peer = _decode_peer_host(change.value)
         if peer is None:
             self.hosts.pop(change.name, None)
         else:
@@ -112,31 +113,31 @@
             address=peer.address if peer else '',
             hosts=len(self.hosts) + 1,
         )
-        self._changed()
+        self._notify_listeners()
 
     def note_listed(self):
-        """Note that a whole list has come."""
+        """Record that a full list was received."""
         self.known = True
-        self._changed()
+        self._notify_listeners()
 
     async def register(self):
-        """Write the own entry until the store has it.
+        """Write the entry of this host until the store has it.
 
         Explanation
         ===========
 
-        Each call of the store is paid for, and a fleet that restarts makes a
-        few of them for each host: an entry that stands already, from before a
-        crash, is not written again, and one that is new is created at once.
+        Calls of the store are billed, and a restart of the fleet needs some of
+        them for each host. An identical entry from before a crash is therefore
+        not written again, and a new entry is created without a read.
         """
         entry = {
             'address': self.entry.address,
             'domain': self.entry.domain,
             'capacity': self.entry.capacity,
         }
-        self.registered = True
-        expected = 0 if self.standing is None else None
-        while entry != self.standing:
+        self.should_register = True
+        expected = 0 if self.stored_entry is None else None
+        while entry != self.stored_entry:
             outcome = await self.store.put(HOSTS, self.host, entry, expected)
             if isinstance(outcome, Written):
                 return
@@ -148,16 +149,16 @@
                 level='warning',
                 reason=getattr(outcome, 'reason', repr(outcome)),
             )
-            await paused(self.clock, _RETRY)
+            await paused(self.clock, _RETRY_SECONDS)
 
     async def peer_key(self):
-        """Return the key that the fleet's hosts share; make it if need be.
+        """Return the key shared by the hosts, creating it if necessary.
 
         Explanation
         ===========
 
-        Only who reads the store has it. Two hosts that make one at a time
-        both read what the store took first.
+        Only processes with access to the store have the key. When two hosts
+        create a key concurrently, both read the one that was stored first.
         """
         while True:
             found = await self.store.get(_KEYS, _KEY)
@@ -167,20 +168,20 @@
                 key = {'key': secrets.token_hex(_KEY_BYTES)}
                 await self.store.put(_KEYS, _KEY, key, if_version=0)
                 continue
-            await paused(self.clock, _RETRY)
+            await paused(self.clock, _RETRY_SECONDS)
 
     def leave(self):
-        """Take the own entry back; return the store's call."""
-        self.registered = False
+        """Delete the entry of this host; return the coroutine of the call."""
+        self.should_register = False
         return self.store.delete(HOSTS, self.host)
 
-    def _changed(self):
+    def _notify_listeners(self):
         for listener in self.listeners:
             listener()
 
 
-def _peer_host(entry):
-    """Return the host of an entry; None for a deleted or unreadable one."""
+def _decode_peer_host(entry):
+    """Decode an entry; return None for a deleted or invalid one."""
     if not isinstance(entry, dict):
         return None
     address = entry.get('address')
--- a/pollenstile/forward/_parse.py
+++ b/pollenstile/forward/_parse.py
@@ -1,4 +1,4 @@
-"""From a caller's bytes to an exchange, or to the reason why not."""
+"""Validates a caller's request and converts it to an exchange."""
 
 from pollenstile.forward._admission import admitted
 from pollenstile.forward._types import Asked, Exchange, Refusal
@@ -6,15 +6,16 @@
 from pollenstile.routes import Kind, picked_service, urgency_of
 
 _MS = 1000
-# Where refusals of this module arise.
+# Step that is named in refusals of this module.
 _STEP = 'entry'
 _BAD_REQUEST = 400
 _UNAVAILABLE = 503
-# Seconds after which a host that just started has its configuration.
-_START_RETRY = 0.5
-# Pieces of one step of a request, and parts of a prompt, at most.
-_MOST_PIECES = 256
-_MOST_PARTS = 64
+# Retry delay for callers: a host that has just started receives its
+# configuration within this time.
+_START_RETRY_SECONDS = 0.5
+# Limits of the pieces of one step of a request, and of the parts of a prompt.
+_MAX_PIECES = 256
+_MAX_PROMPT_PARTS = 64
 # Headers that concern one connection only (RFC 9110, section 7.6.1).
 _HOP_HEADERS = frozenset(
     (
@@ -33,20 +34,22 @@
 )
 
 
-def parsed_exchange(core, answer):
+def parse_exchange(core, answer):
     """Return an :class:`Exchange`, or a :class:`Refusal`.
 
     Parameters
     ==========
 
     core : ForwardCore
-        With the route table in force.
+        Provides the route table in force.
     answer : Answer
-        The request as the library parsed it.
+        The request as parsed by Twisted.
     """
     table = core.configuration.table
     if table is None or not core.registry.known:
-        return Refusal(_UNAVAILABLE, 'starting', _STEP, '', _START_RETRY)
+        return Refusal(
+            _UNAVAILABLE, 'starting', _STEP, '', _START_RETRY_SECONDS
+        )
     target = answer.uri
     hosts = answer.requestHeaders.getRawHeaders(b'host', ())
     if len(hosts) != 1 or not target.startswith(b'/'):
@@ -68,14 +71,14 @@
     names = core.names
     now = core.clock.seconds()
     deadline = whole_number(_text(answer, names.deadline))
-    left = route.timeout if deadline is None else deadline / _MS
-    counts = parsed_counts(_text(answer, names.counts), len(route.steps))
-    prompt = parsed_prompt(_text(answer, names.prompt))
+    remaining = route.timeout if deadline is None else deadline / _MS
+    counts = parse_counts(_text(answer, names.counts), len(route.steps))
+    prompt = parse_prompt(_text(answer, names.prompt))
     if counts is None or prompt is None:
         return Refusal(_BAD_REQUEST, 'pieces or prompt', _STEP)
     ident = _text(answer, names.attempt)
     if not ident:
-        # Without it no answer could be told from another request's.
+        # The identifier is needed to assign answers to their requests.
         return Refusal(_BAD_REQUEST, 'no attempt is named', _STEP)
     return Exchange(
         ident=ident,
@@ -90,7 +93,7 @@
         urgency=urgency_of(route, team),
         arrived=now,
         aim=now + route.aim,
-        ends=now + min(left, route.timeout),
+        ends=now + min(remaining, route.timeout),
         counts=counts,
         stage_key=_text(answer, names.stage_key),
         prompt=prompt,
@@ -102,13 +105,14 @@
 
 
 def _fingerprint(core, answer, asked, team):
-    """Return what a request shares with its repeats only.
+    """Return the fingerprint that a request shares only with its repeats.
 
     Explanation
     ===========
 
-    The team goes in: no team's request may speak against another's. Headers
-    don't: a repeat names another attempt, and often other sizes.
+    The team is included, so that requests of one team can't put those of
+    another team in quarantine. Headers are excluded, as a repeat contains
+    another attempt identifier, and often other sizes.
     """
     return core.quarantine.fingerprint(
         team.name.encode() if team else b'',
@@ -126,13 +130,13 @@
 
 
 def _forwarded_headers(answer, names):
-    """Return the headers that go on to the upstream.
+    """Return the headers that are forwarded to the upstream.
 
     Explanation
     ===========
 
-    The system sets some headers itself. Taken from a caller, they would let
-    it choose its team, or use an engine's memory of another request.
+    Headers that the system sets itself are dropped. Otherwise a caller could
+    choose its team, or use the cached state of another request at an engine.
     """
     dropped = {
         *_HOP_HEADERS,
@@ -155,17 +159,17 @@
     ]
 
 
-def parsed_counts(text, steps):
-    """Return pieces by step; None when the text is wrong.
+def parse_counts(text, steps):
+    """Return the piece count of each step; None for an invalid text.
 
     Examples
     ========
 
-    >>> parsed_counts('1,4,6', 3)
+    >>> parse_counts('1,4,6', 3)
     (1, 4, 6)
-    >>> parsed_counts('', 2)
+    >>> parse_counts('', 2)
     (0, 0)
-    >>> parsed_counts('1,x', 2) is None
+    >>> parse_counts('1,x', 2) is None
     True
     """
     if not steps:
@@ -175,26 +179,26 @@
     counts = [whole_number(part.strip()) for part in text.split(',')]
     if len(counts) != steps:
         return None
-    if any(one is None or one > _MOST_PIECES for one in counts):
+    if any(count is None or count > _MAX_PIECES for count in counts):
         return None
     return tuple(counts)
 
 
-def parsed_prompt(text):
-    """Return identifier and tokens of each part; None when it is wrong.
+def parse_prompt(text):
+    """Return identifier and tokens of each part; None for an invalid text.
 
     Examples
     ========
 
-    >>> parsed_prompt('5c1e:800,91bd:410')
+    >>> parse_prompt('5c1e:800,91bd:410')
     (('5c1e', 800), ('91bd', 410))
-    >>> parsed_prompt('5c1e') is None
+    >>> parse_prompt('5c1e') is None
     True
     """
     if not text:
         return ()
     parts = []
-    for part in text.split(',')[:_MOST_PARTS]:
+    for part in text.split(',')[:_MAX_PROMPT_PARTS]:
         ident, _, tokens = part.strip().partition(':')
         size = whole_number(tokens)
         if not ident or size is None:
--- a/pollenstile/forward/_plaincodec.py
+++ b/pollenstile/forward/_plaincodec.py
@@ -1,22 +1,22 @@
-"""Stage calls in the product's own form: JSON over HTTP."""
+"""Codec for stage calls in the default format, JSON over HTTP."""
 
 import msgspec
 
 from pollenstile.stagework import Made
 
-# Targets of a call that makes pieces, and of one that releases results.
+# Request targets of calls that run pieces and that release results.
 RUN_TARGET = b'/batch'
 FREE_TARGET = b'/free'
 
 
 class PlainCodec:
-    """Batches and releases in the product's own form."""
+    """Encodes batches and releases, and decodes results, in JSON."""
 
     __slots__ = ()
 
     def batch(self, worker, pieces, now):
-        """Return target, headers and body of a call that makes pieces."""
-        asked = [
+        """Return target, headers and body of a call that runs pieces."""
+        encoded_pieces = [
             {
                 'request': piece.group.request,
                 'step': piece.group.step,
@@ -26,14 +26,18 @@
             }
             for piece in pieces
         ]
-        return RUN_TARGET, _host(worker.address), msgspec.json.encode(asked)
+        return (
+            RUN_TARGET,
+            _host_header(worker.address),
+            msgspec.json.encode(encoded_pieces),
+        )
 
     def release(self, address, handles):
-        """Return target, headers and body of a release of results."""
-        return FREE_TARGET, _host(address), msgspec.json.encode(handles)
+        """Return target, headers and body of a call that releases results."""
+        return FREE_TARGET, _host_header(address), msgspec.json.encode(handles)
 
     def results(self, body, count):
-        """Return a list of ``Made``; None for an answer of another shape."""
+        """Return a list of ``Made``; None for an invalid answer."""
         try:
             handles = msgspec.json.decode(body, type=list[str])
         except (msgspec.DecodeError, msgspec.ValidationError):
@@ -46,5 +50,5 @@
         ]
 
 
-def _host(address):
+def _host_header(address):
     return [(b'host', address.encode())]
--- a/pollenstile/forward/_registry.py
+++ b/pollenstile/forward/_registry.py
@@ -1,4 +1,4 @@
-"""Upstreams as they say of themselves, and what this host saw of them."""
+"""Registry of upstreams, and the state that this host observed of each."""
 
 from dataclasses import dataclass, field
 
@@ -6,10 +6,11 @@
 from pollenstile.forward._choose import EngineView
 from pollenstile.ops.logs import silent_log
 
-# Kind of the upstreams' own entries in the store.
+# Kind of the objects with which upstreams register themselves in the store.
 UPSTREAMS = 'upstreams'
-# Entries that lapse while the store is away are back within two seconds of
-# its return, when the upstream lives; one that is missing then is gone.
+# Entries that expire during an outage of the store are written again within two
+# seconds of its recovery if the upstream is alive. An upstream whose entry is
+# still missing then is gone.
 _RETURN_SECONDS = 2.3
 _MS = 1000
 
@@ -22,17 +23,17 @@
     ==========
 
     ident : str
-        As it names itself; one that starts again may keep it.
+        Identifier chosen by the upstream, which may keep it after a restart.
     slots : int
-        Requests that it works on at a time.
+        Number of requests that it processes concurrently.
     leaving : bool
-        Takes no new work.
+        Whether it accepts no new work.
     born : int
-        Unix milliseconds of its start; 0 where upstreams don't tell. With the
-        identifier it names the incarnation.
+        Time of its start in Unix milliseconds; 0 if upstreams don't report it.
+        Identifies the incarnation together with the identifier.
     cold_seconds : float
-        For so much longer it bears few requests. It changes with each word of
-        the upstream, and is no difference between two entries.
+        Remaining time for which it can handle only few requests. Each report
+        of the upstream changes it, so comparisons of entries ignore it.
     """
 
     ident: str
@@ -52,7 +53,7 @@
     ==========
 
     clock : IReactorTime
-        Seconds.
+        Provides the time and timers.
     log : function
         Writes events.
 
@@ -60,17 +61,19 @@
     ==========
 
     upstreams : dict
-        By identifier.
+        Upstreams by identifier.
     views : dict
-        What was seen of each, by identifier.
+        :class:`EngineView` of each upstream, by identifier.
+    by_service : dict
+        Views of the upstreams that accept new work, by service.
     store_failed_at : float
-        When the store last failed to answer.
-    lapsed : dict
-        Timers of entries that are missing and may come back.
+        Time at which the store last failed to answer.
+    missing_timers : dict
+        Timers of missing entries that may be written again, by identifier.
     listeners : list of function
         Called after each change.
     known : bool
-        Whether a whole list has come.
+        Whether a full list was received.
     drained : frozenset of str
         Failure domains whose upstreams get no new work.
     """
@@ -80,7 +83,7 @@
         'clock',
         'drained',
         'known',
-        'lapsed',
+        'missing_timers',
         'listeners',
         'log',
         'store_failed_at',
@@ -94,20 +97,20 @@
         self.upstreams = {}
         self.views = {}
         self.by_service = {}
-        self.lapsed = {}
+        self.missing_timers = {}
         self.listeners = []
         self.store_failed_at = -1000.0
         self.known = False
         self.drained = frozenset()
 
     def drain(self, domains):
-        """Take the failure domains whose upstreams get no new work.
+        """Set the failure domains whose upstreams get no new work.
 
         Explanation
         ===========
 
-        They stay known: what runs there ends, and results that lie there are
-        read and released.
+        These upstreams stay in the registry, so that running requests can end
+        and stored results can be read and released.
         """
         if domains == self.drained:
             return
@@ -115,48 +118,50 @@
         self._index()
 
     def take(self, ident, upstream):
-        """Take an entry; None says that it is missing."""
-        timer = self.lapsed.pop(ident, None)
+        """Apply an entry; None for a missing one."""
+        timer = self.missing_timers.pop(ident, None)
         if timer is not None:
             timer.cancel()
         if upstream is not None:
-            self._put(upstream)
+            self._store_entry(upstream)
             return
         if ident not in self.upstreams:
             return
         away = self.clock.seconds() - self.store_failed_at
         if away < _RETURN_SECONDS:
-            # Taken as gone at once, all upstreams would vanish after an
-            # outage that was longer than their heartbeats.
+            # If missing entries were removed at once, all upstreams would
+            # disappear after an outage that outlasts their heartbeats.
             wait = _RETURN_SECONDS - away
-            self.lapsed[ident] = self.clock.callLater(wait, self.drop, ident)
+            self.missing_timers[ident] = self.clock.callLater(
+                wait, self.drop, ident
+            )
             return
         self.drop(ident)
 
     def note_listed(self):
-        """Note that a whole list has come."""
+        """Record that a full list was received."""
         self.known = True
-        self._changed()
+        self._notify_listeners()
 
     def note_read(self, answered):
-        """Note whether the store has answered a read."""
+        """Record whether the store has answered a read."""
         if not answered:
             self.store_failed_at = self.clock.seconds()
 
     def drop(self, ident, born=None):
-        """Forget an incarnation that is gone, or whose address has another.
+        """Remove an upstream that is gone or whose address has another owner.
 
         Parameters
         ==========
 
         born : int or None
-            Of the incarnation that was found gone. One that has started since
-            under the same identifier stays.
+            Start time of the incarnation that was found to be gone. A later
+            incarnation with the same identifier is kept.
         """
         upstream = self.upstreams.get(ident)
         if born is not None and upstream and upstream.born != born:
             return
-        self.lapsed.pop(ident, None)
+        self.missing_timers.pop(ident, None)
         if self.upstreams.pop(ident, None) is None:
             return
         self.views.pop(ident, None)
@@ -169,38 +174,40 @@
         self._index()
 
     def usable(self, service):
-        """Return views of the upstreams of a service that take new work."""
+        """Return views of the upstreams of a service that accept new work."""
         return self.by_service.get(service, ())
 
     def count(self, service):
-        """Return how many upstreams a service has, also those that leave."""
-        return sum(one.service == service for one in self.upstreams.values())
+        """Return the number of upstreams of a service, with leaving ones."""
+        return sum(
+            upstream.service == service for upstream in self.upstreams.values()
+        )
 
     def is_drained(self, service):
-        """Return whether some upstream of a service is in a drained domain."""
+        """Return whether any upstream of a service is in a drained domain."""
         return any(
-            one.service == service and one.domain in self.drained
-            for one in self.upstreams.values()
+            upstream.service == service and upstream.domain in self.drained
+            for upstream in self.upstreams.values()
         )
 
     def stage_upstreams(self, service):
-        """Return the upstreams of a service that take new work."""
+        """Return the upstreams of a service that accept new work."""
         return [self.upstreams[view.ident] for view in self.usable(service)]
 
-    def _put(self, upstream):
+    def _store_entry(self, upstream):
         before = self.upstreams.get(upstream.ident)
         if before == upstream:
-            self._note_cold(upstream)
+            self._record_cold(upstream)
             return
         if before is not None and upstream.born < before.born:
-            # What the incarnation before said, and a slow write or read has
-            # brought late.
+            # An entry of a previous incarnation, delayed by a slow write or
+            # read.
             return
         self.upstreams[upstream.ident] = upstream
         if before is None or before.born != upstream.born:
-            # An upstream that started again under its identifier knows nothing
-            # of before. With the load, failures and requests under way of its
-            # last incarnation it was taken for full or sick.
+            # A restarted upstream has no state of its previous incarnation.
+            # When the load, failures and requests in flight of that
+            # incarnation were kept, the new one counted as full or unhealthy.
             self.views[upstream.ident] = EngineView(
                 upstream.ident,
                 upstream.address,
@@ -208,7 +215,7 @@
                 upstream.slots,
                 upstream.born,
             )
-        self._note_cold(upstream)
+        self._record_cold(upstream)
         self.log(
             events.UPSTREAM_CHANGED,
             peer=upstream.ident,
@@ -219,14 +226,15 @@
         )
         self._index()
 
-    def _note_cold(self, upstream):
-        """Take for how long an upstream says that it is cold.
+    def _record_cold(self, upstream):
+        """Record for how long an upstream reports that it stays cold.
 
         Explanation
         ===========
 
-        Counted from now, not from when the entry was written: an old word makes
-        it cold for too long, never too short.
+        The time is counted from now, not from the write of the entry. After a
+        delayed report, the upstream thus counts as cold for too long, but
+        never for too short.
         """
         view = self.views[upstream.ident]
         now = self.clock.seconds()
@@ -251,8 +259,8 @@
             views = by_service.setdefault(upstream.service, [])
             views.append(self.views[ident])
         self.by_service = by_service
-        self._changed()
+        self._notify_listeners()
 
-    def _changed(self):
+    def _notify_listeners(self):
         for listener in self.listeners:
             listener()
--- a/pollenstile/forward/_settings.py
+++ b/pollenstile/forward/_settings.py
@@ -1,37 +1,38 @@
-"""What an entry host is told at its start."""
+"""Settings of a forwarding entry host."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class HostSettings:
-    """Where a host listens, and the bounds it keeps.
+    """Addresses and time bounds of a host.
 
     Parameters
     ==========
 
     host, domain : str
-        Names of host and failure domain.
+        Names of the host and of its failure domain.
     callers, ready, peers : tuple
-        IP number and port: for callers, the balancer's question, and peers.
+        IP address and port on which the host listens for callers, for the load
+        balancer's readiness checks, and for peers.
     peers_seen : tuple or None
-        Where peers reach this host, if not at ``peers``.
+        Address at which peers reach this host, if it differs from ``peers``.
     metrics : tuple or None
-        IP number and port of the measures; None serves none.
+        IP address and port of the metrics endpoint; None disables it.
     revoke_seconds : float
-        Within this time a key that was taken away stops working.
+        Time within which a revoked key must stop working.
     repeat_ratio, repeat_slack, repeat_window : float
         See :class:`~pollenstile.forward.RepeatBudget`.
     grace_seconds : float
-        From the signal to stop until the process is killed.
+        Time from the signal to stop until the process is killed.
     apply_seconds : float
-        Within this time a change of the configuration is in force.
+        Time within which a change of the configuration must be in force.
     leave_seconds : float
-        Within this time an upstream that leaves gets nothing more.
+        Time after which an upstream that leaves must get no new work.
     drain_seconds : float
-        Within this time a failure domain that was drained gets nothing more.
+        Time after which a drained failure domain must get no new work.
     capacity : float
-        Cores of the host; larger hosts take the shared work first.
+        Number of cores; larger hosts are preferred for shared work.
     """
 
     host: str
@@ -52,20 +53,20 @@
     peers_seen: tuple | None = None
 
 
-# Share of the tightest bound on news after which a host reads the store itself:
-# the rest is for the pause before that read, and for its answer.
-_WORD_SHARE = 0.85
+# Share of the tightest time bound after which a host reads the store itself.
+# The rest allows for the pause before that read and for its answer.
+_UPDATE_SHARE = 0.85
 
 
-def word_seconds(settings):
-    """Return seconds for which a host goes by what its reader knew.
+def update_seconds(settings):
+    """Return the seconds for which a host uses an update of its reader.
 
     Examples
     ========
 
     >>> from pollenstile.forward import HostSettings
     >>> at = ('10.0.0.1', 1)
-    >>> word_seconds(HostSettings('h', 'd', at, at, at, apply_seconds=4.0))
+    >>> update_seconds(HostSettings('h', 'd', at, at, at, apply_seconds=4.0))
     1.7
     """
-    return _WORD_SHARE * min(settings.apply_seconds, settings.leave_seconds)
+    return _UPDATE_SHARE * min(settings.apply_seconds, settings.leave_seconds)
--- a/pollenstile/forward/_sse.py
+++ b/pollenstile/forward/_sse.py
@@ -1,24 +1,26 @@
-"""Events of a stream, kept whole."""
+"""Splits a stream of server-sent events at event boundaries."""
 
 _END = b'\n\n'
 _ID = b'id:'
 
 
 class EventSplitter:
-    """Splits a stream's bytes at the ends of its events.
+    """Splits the bytes of a stream at the ends of its events.
 
     Explanation
     ===========
 
-    An upstream can stop in the middle of an event. Only whole events are
-    handed on, so that another upstream can go on after the last one without a
-    torn line between them.
+    An upstream can fail in the middle of an event. Only complete events are
+    forwarded, so that another upstream can resume after the last one without
+    leaving a partial line in the stream.
 
     Attributes
     ==========
 
     last : bytes
-        Identifier of the last whole event.
+        Identifier of the last complete event.
+    rest : bytes
+        Received bytes of an incomplete event.
 
     Examples
     ========
@@ -40,7 +42,7 @@
         self.rest = b''
 
     def whole(self, data):
-        """Return the bytes up to the end of the last whole event."""
+        """Return the bytes up to the end of the last complete event."""
         self.rest += data
         end = self.rest.rfind(_END)
         if end < 0:
--- a/pollenstile/forward/_storewatches.py
+++ b/pollenstile/forward/_storewatches.py
@@ -1,4 +1,4 @@
-"""What a host watches in the store: upstreams, hosts, drained domains."""
+"""Store watches of a host: upstreams, hosts, drains and quarantine."""
 
 from pollenstile.forward import events
 from pollenstile.forward._drained import DRAINED
@@ -8,10 +8,10 @@
 from pollenstile.platform import WatchTiming, watch
 from pollenstile.quarantine import QUARANTINED
 
-# Registry: a watch is answered within this time. One that went silent with all
-# connections is noticed and armed anew within 2.5 s; from 3 s after such a
-# fault on, an upstream that leaves must get nothing more 2 s later. Each call
-# of the store is paid for.
+# Watch of upstreams. A watch that became unresponsive together with all
+# connections is detected and rearmed within 2.5 s (poll and margin). From 3 s
+# after such a fault on, an upstream that leaves must get no new work within
+# 2 s. The poll is not shorter, as each call of the store is billed.
 _REGISTRY_TIMING = WatchTiming(
     poll=2.0,
     margin=0.5,
@@ -21,8 +21,8 @@
     backoff=0.15,
     backoff_cap=0.5,
 )
-# Hosts: when all start at once, each entry wakes all watches; a second's pause
-# takes many of them in one answer.
+# Watch of hosts. When all hosts start at once, each entry wakes all watches. A
+# pause of one second combines many changes in one answer.
 _HOSTS_TIMING = WatchTiming(
     poll=10.0,
     margin=1.5,
@@ -32,8 +32,8 @@
     backoff=0.3,
     backoff_cap=2.0,
 )
-# Verdicts go from host to host; the store's word is for hosts that start, and
-# for what an operator has lifted.
+# Watch of quarantine verdicts. Hosts exchange verdicts directly; the store
+# serves hosts that start, and verdicts that an operator has lifted.
 _QUARANTINE_TIMING = WatchTiming(
     poll=20.0,
     margin=1.5,
@@ -43,22 +43,22 @@
     backoff=0.3,
     backoff_cap=2.0,
 )
-# Share of the bound on draining a domain for which the store holds a watch.
-_DRAINS_POLL_SHARE = 0.5
+# Duration of a watch of drained domains, as a share of the bound on a drain.
+_DRAINED_POLL_SHARE = 0.5
 
 
 class StoreWatches:
-    """The watches of one host, and what their news changes.
+    """Watches the store and applies changes to the parts of a host.
 
     Parameters
     ==========
 
     parts : Parts
-        Of the host; its source hears of all news as well.
+        Parts of the host; all changes are also passed to its relay source.
     decode_upstream : function
-        From a name and a stored value to an upstream, or None.
+        Decodes a name and a stored value to an upstream, or returns None.
     clock : IReactorTime
-        Times the watches.
+        Schedules the watches.
     rng : random.Random
         Source of the jitter.
     log : function
@@ -76,13 +76,13 @@
         self.running = []
 
     def start(self, drain_seconds):
-        """Watch from now on.
+        """Start all watches.
 
         Parameters
         ==========
 
         drain_seconds : float
-            Within this time a domain that was drained gets nothing more.
+            Time after which a drained domain must get no new work.
         """
         registry = self.parts.core.registry
         self._watch(
@@ -98,35 +98,35 @@
             DRAINED,
             drained.take,
             drained.note_listed,
-            _drains_timing(drain_seconds),
+            _drained_timing(drain_seconds),
         )
         self._watch(
             QUARANTINED,
             self.parts.record.take,
-            _nothing_to_do,
+            _ignore_listing,
             _QUARANTINE_TIMING,
         )
 
     def stop(self):
-        """End all watches."""
+        """Stop all watches."""
         for running in self.running:
             running.stop()
 
     def _watch(self, kind, callback, note_listed, timing):
         source = self.parts.relay.source
 
-        def take(change):
+        def handle_change(change):
             source.note(change)
             callback(change)
 
-        def listed(running):
+        def handle_listed(running):
             note_listed()
             return running
 
         running = watch(
             self.parts.relay.store,
             kind,
-            take,
+            handle_change,
             self.clock,
             self.rng,
             self.log,
@@ -134,7 +134,7 @@
         )
         source.add(kind, running)
         self.running.append(running)
-        running.ready.addCallback(listed)
+        running.ready.addCallback(handle_listed)
 
     def _upstream_changed(self, change):
         upstream = None
@@ -150,18 +150,18 @@
         self.parts.core.registry.take(change.name, upstream)
 
 
-def _drains_timing(bound):
-    """Return the times of the watch of drained domains.
+def _drained_timing(bound):
+    """Return the timing of the watch of drained domains.
 
     Parameters
     ==========
 
     bound : float
-        Seconds after which a drained domain must get nothing more. A watch
-        that went silent has to be noticed and armed anew well within them.
+        Time in seconds after which a drained domain must get no new work. An
+        unresponsive watch must be detected and rearmed well within this time.
     """
     return WatchTiming(
-        poll=_DRAINS_POLL_SHARE * bound,
+        poll=_DRAINED_POLL_SHARE * bound,
         margin=0.5,
         rearm=0.1,
         list_every=45.0,
@@ -171,5 +171,5 @@
     )
 
 
-def _nothing_to_do():
-    """Take that a whole list of verdicts has come: none is waited for."""
+def _ignore_listing():
+    """Ignore that a full list of verdicts was received; nothing awaits it."""
--- a/pollenstile/forward/events.py
+++ b/pollenstile/forward/events.py
@@ -1,27 +1,27 @@
-"""Log events of forwarding."""
+"""Log events of the forwarding entry host."""
 
 from pollenstile.ops.events import define
 
 FORWARD_STARTED = define(
     1201,
     'forward-started',
-    'An entry host listens and reads its configuration.',
+    'An entry host listens and starts to read its configuration.',
 )
 FORWARD_READY = define(
     1202,
     'forward-ready',
-    'The host has a configuration and the registry, and takes requests.',
+    'The host has a configuration and the registry, and accepts requests.',
 )
 FORWARD_LEAVING = define(
     1203,
     'forward-leaving',
-    'The host was told to stop; it finishes what is in flight.',
+    'The host received a signal to stop; it finishes the requests in flight.',
 )
 FORWARD_STOPPED = define(1204, 'forward-stopped', 'The host stops.')
 FORWARDED = define(
     1205,
     'forwarded',
-    'A request was sent to an upstream; what decided is in the line.',
+    'A request was sent to an upstream; the line has the reasons of the choice.',
 )
 FORWARD_ENDED = define(
     1206,
@@ -31,12 +31,12 @@
 ATTEMPT_FAILED = define(
     1207,
     'attempt-failed',
-    'A send did not bring the answer; what follows is in the line.',
+    'An attempt ended without the final answer; the line has the next step.',
 )
 CALLER_LEFT = define(
     1208,
     'caller-left',
-    'A caller closed its connection before the answer was whole.',
+    'A caller closed its connection before the answer was complete.',
 )
 CONFIGURATION_TAKEN = define(
     1209,
@@ -46,99 +46,99 @@
 CONFIGURATION_BAD = define(
     1210,
     'configuration-bad',
-    'A version can not be used; the last good one stays in force.',
-    'Look at the reason; the version was written by the operator.',
+    'A version is invalid; the last valid one stays in force.',
+    'Correct the version, which an operator wrote; the line has the reason.',
 )
 STORE_LOST = define(
     1211,
     'store-lost',
-    'The store does not answer; what is known stays in use.',
-    'Nothing at first; keyed requests end when the proof is too old.',
+    'The store does not answer; the known configuration stays in use.',
+    'None at first; requests with a key are refused once verification is too old.',
 )
 STORE_REGAINED = define(1212, 'store-regained', 'The store answers again.')
 STORE_SILENT = define(
     1239,
     'store-silent',
-    'A read of the configuration has no answer; others are sent beside it.',
-    'Look whether the host reaches the store; `age_ms` tells what it still knows.',
+    'A read of the configuration has no answer in time; further reads are sent.',
+    'Check the connection to the store; `age_ms` is the age of the configuration.',
 )
 UPSTREAM_CHANGED = define(
     1213,
     'upstream-changed',
-    'An upstream came, leaves or is gone.',
+    'An upstream was registered, is leaving or is gone.',
 )
 UPSTREAM_UNREADABLE = define(
     1222,
     'upstream-unreadable',
-    'An entry of the registry names no upstream; the others hold.',
-    'Find who else writes there; the line names the entry.',
+    'A registry entry can not be decoded; the other entries stay in use.',
+    'Find the writer of the entry that the line names.',
 )
 UPSTREAM_CRASHED = define(
     1240,
     'upstream-crashed',
-    'Connections to an upstream broke and nobody listens there any more.',
-    'Look for a fingerprint in `requests` that is in other such lines as well.',
+    'Connections to an upstream broke and its port refuses connections.',
+    'Look for a fingerprint in `requests` that recurs in other such lines.',
 )
 DOMAIN_DRAINED = define(
     1233,
     'domain-drained',
     'A failure domain is drained: its upstreams get no new work from here.',
-    'An operator asked for it; `pollenstile drain DOMAIN --metrics` shows what is left.',
+    'An operator drained it; `pollenstile drain DOMAIN --metrics` shows the rest.',
 )
 DOMAIN_RETURNED = define(
     1234,
     'domain-returned',
-    'A failure domain is not drained any more; its upstreams get work again.',
+    'A failure domain is no longer drained; its upstreams get new work again.',
 )
 DRAINS_KNOWN = define(
     1235,
     'drains-known',
-    'The host has heard which domains are drained; before, it went by none.',
+    'The host has read the drained domains; before, it treated none as drained.',
 )
 UPSTREAM_COLD = define(
     1236,
     'upstream-cold',
-    'An upstream says that it is cold; hosts share the few requests it bears.',
+    'An upstream reports that it is cold; hosts share its reduced capacity.',
 )
 UPSTREAM_WARM = define(
     1237,
     'upstream-warm',
-    'An upstream that was cold says that it is warm.',
+    'An upstream that was cold reports that it is warm.',
 )
 FORWARD_CRASHED = define(
     1214,
     'forward-crashed',
-    'A fault of the program ended a request.',
-    'Report it with the whole line.',
+    'An unexpected exception ended a request or a periodic task.',
+    'Report it as a bug, with the full line.',
 )
 REQUEST_MALFORMED = define(
     1215,
     'request-malformed',
-    'A caller sent bytes that are no acceptable request.',
+    'A caller sent a malformed or oversize request, or sent it too slowly.',
 )
 SETTINGS_TAKEN = define(
     1219,
     'settings-taken',
-    'Changed settings are in force; addresses only after a restart.',
+    'Changed settings are in force; changed addresses need a restart.',
 )
 SETTINGS_BAD = define(
     1220,
     'settings-bad',
-    'The settings file can not be used; the last good settings stay.',
-    'Mend the file; the line names the field.',
+    'The settings file is invalid; the last valid settings stay in force.',
+    'Correct the file; the line names the field.',
 )
 HOSTS_CHANGED = define(
     1216,
     'hosts-changed',
-    'Entry hosts that this one knows of.',
+    'The entry of another host was added, changed or removed.',
 )
 FORWARD_JOINED = define(
     1221,
     'forward-joined',
-    'The host listens for peers and is about to register.',
+    'The host listens for peers and registers itself in the store.',
 )
 REGISTER_FAILED = define(
     1217,
     'register-failed',
-    'The host could not write its own entry; it tries again.',
+    'The host could not write its entry in the store; it retries.',
 )
