--- a/features/builders/forwardfleet.py
+++ b/features/builders/forwardfleet.py
@@ -1,4 +1,4 @@
-"""Builders of forwarding daemons on loopback, their store and upstreams."""
+"""Builders of forwarding daemons, their store and upstreams on loopback."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred
 from twisted.web.server import Site
 
-from features.builders.forwardhost import Talk, talk_to
+from features.builders.forwardhost import CallerConnection, open_connection
 from features.builders.loop import result_of, turned_until
 from pollenstile.forward import (
     ForwardDaemon,
@@ -33,9 +33,9 @@
 )
 from pollenstile.standin.objectapi import MemoryStore
 
-# Calls of the stand-ins are answered at once. A call counts as slow after three
-# of the times that stand here and is given up after eight: with 0.02 s, a
-# machine that stood still for 0.2 s lost calls until no repeats were left.
+# The simulated upstreams answer calls at once. A call counts as slow after
+# three times ``call_seconds`` and is given up after eight times. With 0.02 s, a
+# machine that stalled for 0.2 s lost calls until the retry budget was spent.
 _LIMITS = StageLimits(
     batch=32,
     call_seconds=0.2,
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Adapter:
-    """What a daemon asks of its platform, in the product's own form."""
+    """Platform adapter of the daemons, with the default formats."""
 
     names: HeaderNames = field(default_factory=HeaderNames)
     codec: PlainCodec = field(default_factory=PlainCodec)
@@ -81,19 +81,19 @@
 
 
 class ForwardFleet:
-    """Hosts, one stage upstream a service, one engine, and a store.
+    """Hosts, one stage upstream for each service, one engine and a store.
 
     Attributes
     ==========
 
     daemons : dict
-        By host name.
+        :class:`ForwardDaemon` of each host, by host name.
     results : Results
-        Of the stage upstreams.
+        Results of the stage upstreams.
     engine : EngineResource
         The model engine.
     logged : list of tuple
-        Host, event and fields.
+        Host, event name and fields of each log line.
     """
 
     def __init__(self):
@@ -111,11 +111,11 @@
 
     def add_host(self, name):
         """Start a host and wait until it is ready."""
-        daemon = self.begin_host(name)
+        daemon = self.start_host(name)
         turned_until(daemon.is_ready)
 
-    def begin_host(self, name):
-        """Start a host; return its daemon."""
+    def start_host(self, name):
+        """Start a host without waiting; return its daemon."""
         settings = HostSettings(
             name,
             'here',
@@ -137,40 +137,40 @@
         self.daemons[name] = daemon
         return daemon
 
-    def linked(self):
+    def wait_until_linked(self):
         """Wait until every host has a link to every other."""
         count = len(self.daemons) - 1
         hubs = [daemon.parts.hub for daemon in self.daemons.values()]
         turned_until(lambda: all(len(hub.links) == count for hub in hubs))
 
     def send(self, name, attempt):
-        """Send a request to a host; return its :class:`Talk`."""
-        talk = Talk(
+        """Send a request to a host; return its :class:`CallerConnection`."""
+        connection = CallerConnection(
             b'POST /draft/x HTTP/1.1\r\nHost: host\r\nX-Attempt: %s\r\n'
             b'X-Pieces: 1,3\r\nX-Piece-Key: %s\r\nContent-Length: 0\r\n\r\n'
             % (attempt.encode(), attempt.encode()),
         )
         callers = self.daemons[name].ports[0]
-        talk_to(callers.getHost().port, talk)
-        return talk
+        open_connection(callers.getHost().port, connection)
+        return connection
 
     def owner_hosts(self):
-        """Return the hosts that made pieces."""
+        """Return the hosts that sent stage calls."""
         return {
             host for host, event, _ in self.logged if event == 'stage-called'
         }
 
     def stop(self, name):
-        """Tell a host to stop; return the Deferred of its end."""
+        """Stop a host; return a Deferred that fires when it has stopped."""
         return self.daemons.pop(name).stop()
 
     def close(self):
-        """Stop all."""
-        endings = [self.stop(name) for name in list(self.daemons)]
-        for ending in endings:
-            result_of(ending)
+        """Stop all hosts and servers."""
+        stopping = [self.stop(name) for name in list(self.daemons)]
+        for stopped in stopping:
+            result_of(stopped)
         for port in self.ports:
-            result_of(_ended(port))
+            result_of(_stop_listening(port))
 
     def _listen(self, service, resource):
         port = reactor.listenTCP(0, Site(resource), interface=_HOST)
@@ -187,7 +187,7 @@
         return log
 
 
-def _ended(port):
-    ended = Deferred()
-    port.stopListening().addBoth(ended.callback)
-    return ended
+def _stop_listening(port):
+    stopped = Deferred()
+    port.stopListening().addBoth(stopped.callback)
+    return stopped
--- a/features/builders/forwardhost.py
+++ b/features/builders/forwardhost.py
@@ -1,4 +1,4 @@
-"""Builders of a forwarding host on loopback: callers, an upstream, a store."""
+"""Builders of a forwarding host, an upstream and callers on loopback."""
 
 from random import Random
 
@@ -21,7 +21,7 @@
 KEY = 'secret'
 
 
-class _Upstream(Protocol):
+class _UpstreamProtocol(Protocol):
     """Answers each request with the bytes that the test has set."""
 
     def connectionMade(self):
@@ -39,32 +39,32 @@
             self.transport.loseConnection()
 
 
-class _Caller(Protocol):
-    """Keeps what it receives."""
+class _CallerProtocol(Protocol):
+    """Sends a request and stores the received bytes."""
 
     def connectionMade(self):
-        self.factory.talk.wire = self.transport
-        self.transport.write(self.factory.talk.request)
+        self.factory.connection.transport = self.transport
+        self.transport.write(self.factory.connection.request)
 
     def dataReceived(self, data):
-        self.factory.talk.received += data
+        self.factory.connection.received += data
 
     def connectionLost(self, reason):
-        self.factory.talk.closed = True
+        self.factory.connection.closed = True
 
 
-class Talk:
-    """One caller's connection."""
+class CallerConnection:
+    """A caller's connection: the request and the received bytes."""
 
     def __init__(self, request):
         self.request = request
         self.received = b''
         self.closed = False
-        self.wire = None
+        self.transport = None
 
 
 class _Configuration:
-    """A route table in force; the test says what is proven of it."""
+    """A route table in force, whose verification state the test sets."""
 
     def __init__(self, table):
         self.table = table
@@ -72,37 +72,37 @@
         self.current = True
 
     def is_current(self):
-        """Return what the test says."""
+        """Return the value that the test has set."""
         return self.current
 
     def is_proven(self):
-        """Return what the test says."""
+        """Return the value that the test has set."""
         return self.proven
 
     def age_ms(self):
-        """Return 0: the proof is of now."""
+        """Return 0, as the configuration is always just verified."""
         return 0
 
 
 class ForwardHost:
-    """A host, one upstream, and callers' connections to it.
+    """A host with one upstream, and the connections of callers to it.
 
     Attributes
     ==========
 
     reply : bytes
-        What the upstream answers.
+        Answer of the upstream.
     closes : bool
-        Whether the upstream then closes its connection.
+        Whether the upstream closes its connection after the answer.
     seen : list of bytes
-        Requests as they reached the upstream.
+        Requests received by the upstream.
     """
 
     def __init__(self, limits=None):
         self.reply = b''
         self.closes = False
         self.seen = []
-        upstream = Factory.forProtocol(_Upstream)
+        upstream = Factory.forProtocol(_UpstreamProtocol)
         upstream.host = self
         self.upstream = reactor.listenTCP(0, upstream, interface='127.0.0.1')
         registry = Registry(reactor)
@@ -122,40 +122,42 @@
             HeaderNames(),
         )
         self.factory = CallerFactory(core, reactor)
-        self.face = reactor.listenTCP(0, self.factory, interface='127.0.0.1')
+        self.callers_port = reactor.listenTCP(
+            0, self.factory, interface='127.0.0.1'
+        )
 
-    def talk(self, request):
-        """Open a connection and send bytes."""
-        talk = Talk(request)
-        talk_to(self.face.getHost().port, talk)
-        return talk
+    def send(self, request):
+        """Open a connection and send bytes; return the connection."""
+        connection = CallerConnection(request)
+        open_connection(self.callers_port.getHost().port, connection)
+        return connection
 
-    def answered(self, request, until=b'\r\n\r\n'):
-        """Return what a caller receives, up to some bytes or the close."""
-        talk = self.talk(request)
-        turned_until(lambda: until in talk.received or talk.closed)
-        return talk
+    def exchange(self, request, until=b'\r\n\r\n'):
+        """Send bytes; wait for an answer with some bytes or for the close."""
+        connection = self.send(request)
+        turned_until(lambda: until in connection.received or connection.closed)
+        return connection
 
     def stop(self):
-        """Close all."""
-        _stopped(self.face)
-        _stopped(self.upstream)
+        """Close all ports and connections."""
+        _stop_listening(self.callers_port)
+        _stop_listening(self.upstream)
         for channel in list(self.factory.channels):
             channel.transport.abortConnection()
 
 
-def talk_to(port, talk):
-    """Open a caller's connection to a port of loopback."""
-    factory = ClientFactory.forProtocol(_Caller)
+def open_connection(port, connection):
+    """Open a caller's connection to a port on loopback."""
+    factory = ClientFactory.forProtocol(_CallerProtocol)
     factory.noisy = False
-    factory.talk = talk
+    factory.connection = connection
     reactor.connectTCP('127.0.0.1', port, factory)
 
 
-def _stopped(port):
-    ended = Deferred()
-    port.stopListening().addBoth(ended.callback)
-    turned_until(lambda: ended.called)
+def _stop_listening(port):
+    stopped = Deferred()
+    port.stopListening().addBoth(stopped.callback)
+    turned_until(lambda: stopped.called)
 
 
 def _table(limits):
@@ -177,7 +179,7 @@
 
 
 def request(path=b'/a/?', extra=b'', key=KEY, body=b''):
-    """Return the bytes of a request; ``extra`` are header lines."""
+    """Return the bytes of a request; ``extra`` holds further header lines."""
     return (
         b'POST %s HTTP/1.1\r\nHost: host\r\nX-Attempt: a1\r\n'
         b'Authorization: Bearer %s\r\n%sContent-Length: %d\r\n\r\n%s'
--- a/features/forward_fleet.feature
+++ b/features/forward_fleet.feature
@@ -1,35 +1,36 @@
-Feature: the whole path of forwarded requests: hosts, peers, stages, an engine
+Feature: Forwarded requests through hosts, peers, stages and an engine
 
-  Scenario: Stage work of all hosts goes through one queue a stage
-    Two hosts serve drafts whose stages have one queue each. Callers of either
-    get whole answers; each piece is made once, and all results are released.
+  Scenario: Each stage has one queue for the work of all hosts
+    Two hosts serve drafts whose stages have one queue each. Callers of both
+    hosts get complete answers, each piece runs once, and all results are
+    released.
     Given a forwarding fleet of the hosts "one,two"
     When 6 drafts are sent to each forwarding host
-    Then all 12 drafts are answered whole
-    And each piece was made once, and the engine ran each draft once
+    Then all 12 drafts are answered completely
+    And each piece ran once, and the engine ran each draft once
     And each stage had one forwarding host as its owner
-    And no stage result is left
+    And all stage results are released
 
-  Scenario: An owner that is told to stop hands its queue over
-    The owner of a stage gets SIGTERM while drafts are under way at the other
-    host. None of them is lost, and the host ends by itself.
+  Scenario: A stopping owner hands over its queue
+    The owner of a stage gets SIGTERM while drafts are in flight at the other
+    host. No draft is lost, and the process of the owner ends by itself.
     Given a forwarding fleet of the hosts "one,two"
     When 4 drafts are sent to forwarding host "one" and host "two" is stopped
-    Then all 4 drafts are answered whole
-    And forwarding host "two" ends with nothing in flight
+    Then all 4 drafts are answered completely
+    And forwarding host "two" stops with no request in flight
     When 2 drafts are sent to forwarding host "one" alone
-    Then all 6 drafts are answered whole
+    Then all 6 drafts are answered completely
 
-  Scenario: A host that leaves serves what it has taken
-    A host gets SIGTERM with drafts of its own under way, some of whose pieces
-    wait in its own queue. The other host makes them.
+  Scenario: A leaving host completes its accepted requests
+    A host gets SIGTERM with drafts in flight, some of whose pieces wait in its
+    own queue. The other host runs these pieces.
     Given a forwarding fleet of the hosts "one,two"
     When 30 drafts are sent to forwarding host "two" and host "two" is stopped
-    Then all 30 drafts are answered whole
-    And forwarding host "two" ends with nothing in flight
+    Then all 30 drafts are answered completely
+    And forwarding host "two" stops with no request in flight
 
-  Scenario: A host that starts while the store is away denies nothing
+  Scenario: A host that starts during a store outage sends no final refusal
     Given a forwarding fleet of the hosts "one"
-    When the store of the fleet goes down and forwarding host "two" starts
+    When the store of the fleet fails and forwarding host "two" starts
     Then host "two" is not ready, and answers a draft with 503
-    And host "one" goes on serving drafts
+    And host "one" still serves drafts
--- a/features/forward_http.feature
+++ b/features/forward_http.feature
@@ -1,38 +1,40 @@
-Feature: callers' connections to a forwarding host
+Feature: Callers' connections to a forwarding host
 
-  Scenario: A request goes on untouched, but for what the system sets
-    A caller names a team and an incarnation of its own choice, and its key.
-    Passed on, it would choose its team, and the upstream would learn the key.
+  Scenario: A request is forwarded unchanged except for system headers
+    A caller sends its key and headers that name a team and an incarnation. If
+    they were forwarded, the caller could choose its team, and the upstream
+    would learn the key.
     Given a forwarding host whose upstream answers "well"
-    When a caller sends "/a/x?" with a team of its own
+    When a caller sends "/a/x?" with its own team header
     Then it gets 200 with "well"
-    And the upstream saw "/a/x?", the team "team-a" and no key
+    And the upstream received "/a/x?", the team "team-a" and no key
 
-  Scenario: An answer without a body goes out
-    An upstream answers with a failure and no body. The head must go out; a
-    host once left 18 of 1,356 callers waiting for it.
-    Given a forwarding host whose upstream answers nothing with 500
-    When a caller sends "/a/x" with a team of its own
+  Scenario: An answer without a body is sent
+    An upstream answers with a failure and no body. The head must be sent; a
+    host that did not send it left 18 of 1,356 callers waiting.
+    Given a forwarding host whose upstream answers 500 without a body
+    When a caller sends "/a/x" with its own team header
     Then it gets 500 with ""
 
-  Scenario: An answer that ends with its connection is whole
+  Scenario: An answer that ends with its connection is complete
     Given a forwarding host whose upstream answers "well" without a length
-    When a caller sends "/a/x" with a team of its own
+    When a caller sends "/a/x" with its own team header
     Then it gets 200 with "well"
 
-  Scenario: Extra bytes after an answer reach no request
-    An upstream sends a second answer after the first one.
-    Given a forwarding host whose upstream answers "well" and more
+  Scenario: Extra bytes after an answer are dropped
+    An upstream sends a second answer after the first one. It must not be used
+    as the answer to a later request.
+    Given a forwarding host whose upstream answers "well" and a second answer
     When a caller sends two requests on one connection
-    Then each gets 200 with "well" and nothing besides
+    Then each gets 200 with "well" and nothing else
 
-  Scenario Outline: Bytes that are no acceptable request
-    A smuggled, oversize or malformed request gets a clear answer, its
-    connection ends, and no upstream sees any of it.
+  Scenario Outline: Malformed, oversize or incomplete requests
+    A smuggled, oversize or malformed request gets an error status, its
+    connection is closed, and nothing of it is sent to an upstream.
     Given a forwarding host whose upstream answers "well"
     When a caller sends a request with <fault>
-    Then it gets <status> and its connection ends
-    And the upstream saw nothing
+    Then it gets <status> and its connection is closed
+    And the upstream received nothing
 
     Examples:
       | fault                      | status |
@@ -44,26 +46,27 @@
       | a body that is too large   | 413    |
       | a head that never ends     | 408    |
 
-  Scenario Outline: Requests that no route or key allows
+  Scenario Outline: Requests that are not allowed by a route or key
     Given a forwarding host whose upstream answers "well"
     When a caller sends a request with <fault>
-    Then it gets <status> and its connection stays
-    And the upstream saw nothing
+    Then it gets <status> and its connection stays open
+    And the upstream received nothing
 
     Examples:
       | fault               | status |
       | an unknown path     | 404    |
       | an unknown key      | 401    |
-      | a key without proof | 503    |
-      | no attempt named    | 400    |
+      | an unverified key   | 503    |
+      | no attempt header   | 400    |
 
-  Scenario Outline: A host that was kept from asking the store denies nothing
-    The route or key may have been added meanwhile, or taken away.
+  Scenario Outline: A host with an outdated configuration sends no final refusal
+    The host could not read the store in time. The route or key may have been
+    added or removed meanwhile.
     Given a forwarding host whose upstream answers "well"
-    And its configuration may be an old one
+    And its configuration may be outdated
     When a caller sends a request with <what>
-    Then it gets 503 and its connection stays
-    And the upstream saw nothing
+    Then it gets 503 and its connection stays open
+    And the upstream received nothing
 
     Examples:
       | what            |
@@ -71,21 +74,21 @@
       | an unknown key  |
       | a good key      |
 
-  Scenario: Before any configuration is known nothing is denied
-    A host has just started. Answered 404 or 401, callers would give up for
-    good what another host serves.
+  Scenario: A host without a configuration sends no final refusal
+    A host has just started. With 404 or 401, callers would not retry a request
+    that another host can serve.
     Given a forwarding host without a configuration
     When a caller sends a request with an unknown path
-    Then it gets 503 and its connection stays
+    Then it gets 503 and its connection stays open
 
-  Scenario: A leaving host closes after the answer, and refuses late requests
-    Callers keep using open connections. The answer tells them to close; one
-    that comes after the lame-duck time is refused at once, truthfully.
+  Scenario: A leaving host closes connections and refuses late requests
+    Callers keep using open connections. The answer asks them to close theirs;
+    a request after the lame-duck time is refused at once.
     Given a forwarding host whose upstream answers "well"
     When the forwarding host leaves
-    And a caller sends "/a/x" with a team of its own
+    And a caller sends "/a/x" with its own team header
     Then it gets 200 with "well"
-    And its connection ends
-    When the forwarding host refuses what is new
+    And its connection is closed
+    When the forwarding host refuses new requests
     And a caller sends a request with nothing wrong
-    Then it gets 503 and its connection ends
+    Then it gets 503 and its connection is closed
--- a/features/steps/forward_fleet_steps.py
+++ b/features/steps/forward_fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the whole path of forwarded requests."""
+"""Steps for forwarded requests through hosts, stages and an engine."""
 
 from collections import Counter
 
@@ -16,14 +16,14 @@
     context.add_cleanup(context.fleet.close)
     for name in names.split(','):
         context.fleet.add_host(name)
-    context.fleet.linked()
-    context.talks = []
+    context.fleet.wait_until_linked()
+    context.connections = []
 
 
 def _send(context, name, count):
     for _ in range(count):
-        attempt = f'd{len(context.talks)}'
-        context.talks.append(context.fleet.send(name, attempt))
+        attempt = f'd{len(context.connections)}'
+        context.connections.append(context.fleet.send(name, attempt))
 
 
 @when('{count:d} drafts are sent to each forwarding host')
@@ -41,7 +41,7 @@
     turned_until(
         lambda: any(event == 'stage-called' for _, event, _ in fleet.logged)
     )
-    context.ending = fleet.stop(other)
+    context.stopped = fleet.stop(other)
 
 
 @when('{count:d} drafts are sent to forwarding host "{name}" alone')
@@ -49,30 +49,38 @@
     _send(context, name, count)
 
 
-@when('the store of the fleet goes down and forwarding host "{name}" starts')
+@when('the store of the fleet fails and forwarding host "{name}" starts')
 def when_down(context, name):
     context.fleet.store.down = True
-    context.starting = context.fleet.begin_host(name)
+    context.starting = context.fleet.start_host(name)
 
 
-@then('all {count:d} drafts are answered whole')
-def then_whole(context, count):
-    talks = context.talks
-    assert len(talks) == count
-    turned_until(lambda: all(talk.received.endswith(_END) for talk in talks))
-    for talk in talks:
-        assert b'200' in talk.received.split(b'\r\n')[0], talk.received
-        assert talk.received.count(b'data: piece') == 4, talk.received
+@then('all {count:d} drafts are answered completely')
+def then_complete(context, count):
+    connections = context.connections
+    assert len(connections) == count
+    turned_until(
+        lambda: all(
+            connection.received.endswith(_END) for connection in connections
+        )
+    )
+    for connection in connections:
+        assert b'200' in connection.received.split(b'\r\n')[0], (
+            connection.received
+        )
+        assert connection.received.count(b'data: piece') == 4, (
+            connection.received
+        )
 
 
-@then('each piece was made once, and the engine ran each draft once')
+@then('each piece ran once, and the engine ran each draft once')
 def then_once(context):
-    made = Counter(
+    pieces = Counter(
         (piece['request'], piece['step'], piece['number'])
         for piece in context.fleet.results.made
     )
-    assert len(made) == 4 * len(context.talks), len(made)
-    assert set(made.values()) == {1}, made
+    assert len(pieces) == 4 * len(context.connections), len(pieces)
+    assert set(pieces.values()) == {1}, pieces
     runs = Counter(attempt for attempt, _ in context.fleet.engine.runs)
     assert set(runs.values()) == {1}, runs
     for _, handles in context.fleet.engine.runs:
@@ -89,14 +97,14 @@
     assert all(len(hosts) == 1 for hosts in owners.values()), owners
 
 
-@then('no stage result is left')
+@then('all stage results are released')
 def then_released(context):
     turned_until(lambda: not context.fleet.results.known)
 
 
-@then('forwarding host "{name}" ends with nothing in flight')
+@then('forwarding host "{name}" stops with no request in flight')
 def then_ends(context, name):
-    result_of(context.ending)
+    result_of(context.stopped)
     ended = [
         fields
         for host, event, fields in context.fleet.logged
@@ -108,12 +116,12 @@
 @then('host "{name}" is not ready, and answers a draft with {status:d}')
 def then_not_ready(context, name, status):
     assert not context.starting.is_ready()
-    talk = context.fleet.send(name, 'early')
-    turned_until(lambda: b'\r\n\r\n' in talk.received)
-    assert str(status).encode() in talk.received.split(b'\r\n')[0]
+    connection = context.fleet.send(name, 'early')
+    turned_until(lambda: b'\r\n\r\n' in connection.received)
+    assert str(status).encode() in connection.received.split(b'\r\n')[0]
 
 
-@then('host "{name}" goes on serving drafts')
-def then_goes_on(context, name):
+@then('host "{name}" still serves drafts')
+def then_still_serves(context, name):
     _send(context, name, 2)
-    then_whole(context, 2)
+    then_complete(context, 2)
--- a/features/steps/forward_http_steps.py
+++ b/features/steps/forward_http_steps.py
@@ -1,4 +1,4 @@
-"""Steps of callers' connections to a forwarding host."""
+"""Steps for callers' connections to a forwarding host."""
 
 from behave import given, then, when
 
@@ -6,7 +6,7 @@
 from features.builders.loop import turned_until
 from pollenstile.routes import Limits
 
-_PROOF = b'X-Attempt: a1\r\nX-Proof: p\r\n'
+_ECHOED_HEADERS = b'X-Attempt: a1\r\nX-Proof: p\r\n'
 _SMALL = Limits(
     header_bytes=2000,
     body_bytes=1000,
@@ -23,7 +23,7 @@
 
 def _reply(body, status=b'200 OK'):
     head = b'HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s'
-    return head % (status, _PROOF, len(body), body)
+    return head % (status, _ECHOED_HEADERS, len(body), body)
 
 
 @given('a forwarding host whose upstream answers "{text}"')
@@ -31,19 +31,22 @@
     _host(context, _reply(text.encode()))
 
 
-@given('a forwarding host whose upstream answers nothing with 500')
+@given('a forwarding host whose upstream answers 500 without a body')
 def given_empty(context):
     _host(context, _reply(b'', b'500 Failed'))
 
 
 @given('a forwarding host whose upstream answers "{text}" without a length')
-def given_unframed(context, text):
-    _host(context, b'HTTP/1.1 200 OK\r\n%s\r\n%s' % (_PROOF, text.encode()))
+def given_no_length(context, text):
+    _host(
+        context,
+        b'HTTP/1.1 200 OK\r\n%s\r\n%s' % (_ECHOED_HEADERS, text.encode()),
+    )
     context.host.closes = True
 
 
-@given('a forwarding host whose upstream answers "{text}" and more')
-def given_more(context, text):
+@given('a forwarding host whose upstream answers "{text}" and a second answer')
+def given_second_answer(context, text):
     replies = (_reply(text.encode()), _reply(b'another'))
     _host(context, b''.join(replies))
 
@@ -54,23 +57,23 @@
     context.host.configuration.table = None
 
 
-@when('a caller sends "{target}" with a team of its own')
+@when('a caller sends "{target}" with its own team header')
 def when_sends(context, target):
     extra = b'X-Team: other\r\nX-Incarnation: i9\r\n'
     sent = request(target.encode(), extra)
-    context.talk = context.host.answered(sent, b'0\r\n\r\n')
+    context.connection = context.host.exchange(sent, b'0\r\n\r\n')
 
 
 @when('a caller sends two requests on one connection')
 def when_two(context):
-    context.talk = context.host.answered(request(), b'0\r\n\r\n')
-    talk = context.talk
-    talk.wire.write(request())
-    turned_until(lambda: talk.received.count(b'0\r\n\r\n') == 2)
+    context.connection = context.host.exchange(request(), b'0\r\n\r\n')
+    connection = context.connection
+    connection.transport.write(request())
+    turned_until(lambda: connection.received.count(b'0\r\n\r\n') == 2)
 
 
-@given('its configuration may be an old one')
-def given_old(context):
+@given('its configuration may be outdated')
+def given_outdated(context):
     context.host.configuration.current = False
 
 
@@ -78,7 +81,7 @@
 def when_fault(context, fault):
     large = b'X-Large: %s\r\n' % (b'x' * 3000)
     smuggled = b'Transfer-Encoding: chunked\r\n'
-    if fault == 'a key without proof':
+    if fault == 'an unverified key':
         context.host.configuration.proven = False
     sent = {
         'two lengths': request(extra=b'Content-Length: 3\r\n', body=b'abcd'),
@@ -90,9 +93,9 @@
         'a head that never ends': b'POST /a/ HTTP/1.1\r\nHost:',
         'an unknown path': request(b'/b/'),
         'an unknown key': request(key='wrong'),
-        'no attempt named': request().replace(b'X-Attempt: a1\r\n', b''),
+        'no attempt header': request().replace(b'X-Attempt: a1\r\n', b''),
     }
-    context.talk = context.host.answered(sent.get(fault, request()))
+    context.connection = context.host.exchange(sent.get(fault, request()))
 
 
 @when('the forwarding host leaves')
@@ -100,13 +103,13 @@
     context.host.factory.leave()
 
 
-@when('the forwarding host refuses what is new')
+@when('the forwarding host refuses new requests')
 def when_refuses(context):
     context.host.factory.refusing = True
 
 
-def _status(talk):
-    return int(talk.received.split(b' ', 2)[1])
+def _status(connection):
+    return int(connection.received.split(b' ', 2)[1])
 
 
 @then('it gets {status:d} with "{text}"')
@@ -120,24 +123,24 @@
 
 
 def _then_body(context, status, body):
-    talk = context.talk
-    assert _status(talk) == status, talk.received
+    connection = context.connection
+    assert _status(connection) == status, connection.received
     chunks = (
         b'%x\r\n%s\r\n0\r\n\r\n' % (len(body), body) if body else b'0\r\n\r\n'
     )
     ending = b''.join((b'\r\n\r\n', chunks))
-    assert talk.received.endswith(ending), talk.received
+    assert connection.received.endswith(ending), connection.received
 
 
-@then('each gets 200 with "{text}" and nothing besides')
+@then('each gets 200 with "{text}" and nothing else')
 def then_each(context, text):
-    received = context.talk.received
+    received = context.connection.received
     assert received.count(text.encode()) == 2, received
     assert b'another' not in received, received
 
 
-@then('the upstream saw "{target}", the team "{team}" and no key')
-def then_saw(context, target, team):
+@then('the upstream received "{target}", the team "{team}" and no key')
+def then_received(context, target, team):
     seen = context.host.seen[0]
     assert seen.startswith(b'POST %s HTTP/1.1\r\n' % target.encode()), seen
     assert b'X-Team: %s\r\n' % team.encode() in seen, seen
@@ -146,25 +149,25 @@
     assert b'secret' not in seen, seen
 
 
-@then('it gets {status:d} and its connection ends')
+@then('it gets {status:d} and its connection is closed')
 def then_status_ends(context, status):
-    assert _status(context.talk) == status, context.talk.received
+    assert _status(context.connection) == status, context.connection.received
     then_ends(context)
 
 
-@then('its connection ends')
+@then('its connection is closed')
 def then_ends(context):
-    talk = context.talk
-    turned_until(lambda: talk.closed)
+    connection = context.connection
+    turned_until(lambda: connection.closed)
 
 
-@then('it gets {status:d} and its connection stays')
+@then('it gets {status:d} and its connection stays open')
 def then_status_stays(context, status):
-    assert _status(context.talk) == status, context.talk.received
-    assert b'onnection: close' not in context.talk.received
-    assert not context.talk.closed
+    assert _status(context.connection) == status, context.connection.received
+    assert b'onnection: close' not in context.connection.received
+    assert not context.connection.closed
 
 
-@then('the upstream saw nothing')
-def then_saw_nothing(context):
+@then('the upstream received nothing')
+def then_received_nothing(context):
     assert not context.host.seen, context.host.seen
--- a/features/steps/large_configuration_steps.py
+++ b/features/steps/large_configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps of hosts whose configuration has grown large."""
+"""Steps for hosts with large configurations."""
 
 from dataclasses import replace
 from random import Random
@@ -8,14 +8,14 @@
 from features.builders.relay import large_config
 from pollenstile.peer import patch_between, patched
 
-_MBIT_BYTES = 125_000
-_STEP = 0.05
+_BYTES_PER_MBIT = 125_000
+_STEP_SECONDS = 0.05
 
 
 @given('links of {rate:g} Mbit/s')
 def given_links(context, rate):
     for host in context.fleet.hosts.values():
-        host.link.rate = rate * _MBIT_BYTES
+        host.link.rate = rate * _BYTES_PER_MBIT
 
 
 @when('a configuration of {routes:d} routes is written')
@@ -28,12 +28,12 @@
 
 
 @when(
-    '{seconds:g} seconds of relaying pass, and the age of each proof is noted'
+    '{seconds:g} seconds of relaying pass, and the age of each verification is recorded'
 )
-def when_noted(context, seconds):
+def when_ages_recorded(context, seconds):
     context.oldest = 0
-    for _ in range(round(seconds / _STEP)):
-        context.fleet.pass_by(_STEP)
+    for _ in range(round(seconds / _STEP_SECONDS)):
+        context.fleet.pass_by(_STEP_SECONDS)
         ages = [
             host.configuration.age() for host in context.fleet.hosts.values()
         ]
@@ -49,7 +49,7 @@
 
 
 @when('the large configuration changes {count:d} times, {gap:g} seconds apart')
-def when_storm(context, count, gap):
+def when_rapid_changes(context, count, gap):
     for host in context.fleet.hosts.values():
         host.link.largest = 0
     for _ in range(count):
@@ -58,14 +58,14 @@
         context.fleet.pass_by(gap)
 
 
-@when('what "{name}" has of the configuration is garbled')
-def when_garbled(context, name):
+@when('the configuration text of "{name}" is corrupted')
+def when_corrupted(context, name):
     configuration = context.fleet.hosts[name].configuration
     configuration.text = configuration.text[: len(configuration.text) // 2]
 
 
-@when('a configuration that is none is written and {seconds:g} seconds pass')
-def when_none(context, seconds):
+@when('an invalid configuration is written and {seconds:g} seconds pass')
+def when_invalid(context, seconds):
     context.fleet.write('config', 'main', 'nonsense')
     context.fleet.pass_by(seconds)
 
@@ -76,8 +76,10 @@
     context.fleet.pass_by(seconds)
 
 
-@when('the store drops its history, and {seconds:g} seconds of relaying pass')
-def when_dropped(context, seconds):
+@when(
+    'the store compacts its history, and {seconds:g} seconds of relaying pass'
+)
+def when_compacted(context, seconds):
     objects = context.fleet.store.objects
     context.fleet.write('other', 'a', 1)
     objects.compact()
@@ -93,8 +95,8 @@
     context.fleet.pass_by(seconds)
 
 
-@then('"{name}" has read the whole again, and trusts keys by that alone')
-def then_whole(context, name):
+@then('"{name}" has sent a full read again, and trusts keys by that read only')
+def then_full_read(context, name):
     assert context.fleet.store.calls['list'] >= 1
     assert context.fleet.hosts[name].configuration.is_proven()
 
@@ -120,8 +122,8 @@
         assert host.link.largest <= most * 1e3, (host.name, host.link.largest)
 
 
-@then('no word to a follower in them had over {most:d} bytes')
-def then_words(context, most):
+@then('no update to a follower in them had over {most:d} bytes')
+def then_updates(context, most):
     assert max(context.fleet.words) <= most, max(context.fleet.words)
 
 
@@ -129,7 +131,7 @@
     return [*rows, f'{{"row":{rng.random()}}}']
 
 
-def _with_doubled(rng, rows):
+def _with_duplicates(rng, rows):
     return rng.choices(rows, k=len(rows)) if rows else rows
 
 
@@ -141,7 +143,7 @@
     return rng.sample(rows, len(rows))
 
 
-_CHANGES = (_with_added, _with_doubled, _without_some, _shuffled)
+_CHANGES = (_with_added, _with_duplicates, _without_some, _shuffled)
 
 
 def _changed_rows(rng, rows):
@@ -163,20 +165,20 @@
         context.texts.append((','.join(rows), ','.join(newer)))
 
 
-@then('each patch makes the newer text of the older one')
+@then('each patch produces the newer text from the older one')
 def then_patched(context):
     for old, new in context.texts:
         assert patched(old, patch_between(old, new)) == new, (old, new)
 
 
-@then('no garbled patch makes another text than the newer one')
-def then_not_garbled(context):
+@then('no corrupted patch produces a text other than the newer one')
+def then_not_corrupted(context):
     for old, new in context.texts:
         patch = patch_between(old, new)
-        place = context.rng.randrange(len(patch.middle))
+        position = context.rng.randrange(len(patch.middle))
         middle = bytearray(patch.middle)
-        middle[place] ^= 1 << context.rng.randrange(8)
-        garbled = replace(patch, middle=bytes(middle))
-        assert patched(old, garbled) in {None, new}, (old, new)
+        middle[position] ^= 1 << context.rng.randrange(8)
+        corrupted = replace(patch, middle=bytes(middle))
+        assert patched(old, corrupted) in {None, new}, (old, new)
         moved = replace(patch, prefix=patch.prefix + 1)
         assert patched(old, moved) in {None, new}, (old, new)
--- a/features/steps/thinpath_steps.py
+++ b/features/steps/thinpath_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the thin path, over real processes."""
+"""Steps for requests through separate operating system processes."""
 
 import signal
 import tempfile
@@ -18,16 +18,16 @@
 _DOMAINS = ('erie-hall', 'huron-hall', 'ontario-hall', 'michigan-hall')
 
 
-def _base(started):
+def _base_url(started):
     return 'http://{}'.format(started['listen'])
 
 
-def _called(context, number, *, stream=False, on_bytes=None):
+def _call(context, number, *, stream=False, on_bytes=None):
     call = caller_for(reactor, persistent=False)
     options = {'stream': stream}
     if on_bytes:
         options['on_bytes'] = on_bytes
-    base = _base(context.entries[number][1])
+    base = _base_url(context.entries[number][1])
     return call(base, _PIPELINE, _KEY, 'no heat on the third floor', **options)
 
 
@@ -37,14 +37,15 @@
     context.add_cleanup(context.processes.end)
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
-    context.placed = f'{folder.name}/placed.json'
+    context.manifest_path = f'{folder.name}/placed.json'
     fleet = context.processes.start(
         'standin',
         'fleet',
         path,
         '--anywhere',
-        context.placed,
-        # Long streams: a kill after the first bytes is in their middle.
+        context.manifest_path,
+        # Makes streams long enough that a kill after their first bytes always
+        # cuts them off.
         '--scale',
         '2',
     )
@@ -62,7 +63,7 @@
 def apply_manifest(context):
     applied = command(
         'apply',
-        context.placed,
+        context.manifest_path,
         '--platform',
         context.platform,
         '--reviewed-against',
@@ -91,52 +92,52 @@
 def call_each(context):
     context.answers = []
     for number, _ in enumerate(context.entries):
-        context.answers.append(result_of(_called(context, number)))
+        context.answers.append(result_of(_call(context, number)))
 
 
-def _begun_stream(context):
+def _start_stream(context):
     seen = []
-    kept = kept_result(
-        _called(context, 0, stream=True, on_bytes=seen.append),
+    results = kept_result(
+        _call(context, 0, stream=True, on_bytes=seen.append),
     )
-    turned_until(lambda: seen or kept)
-    return kept
+    turned_until(lambda: seen or results)
+    return results
 
 
 @when('a stream at the first entry host has begun and the host is killed')
 def kill_in_stream(context):
-    kept = _begun_stream(context)
+    results = _start_stream(context)
     context.entries[0][0].kill()
-    turned_until(lambda: kept)
-    context.broken = kept[0]
+    turned_until(lambda: results)
+    context.cut_off = results[0]
     context.answers = []
 
 
-@when('a stream at the first entry host has begun and the host is told to stop')
+@when('a stream at the first entry host has begun and the host is stopped')
 def stop_in_stream(context):
-    kept = _begun_stream(context)
+    results = _start_stream(context)
     context.entries[0][0].send_signal(signal.SIGTERM)
-    turned_until(lambda: kept)
-    context.answers = [kept[0]]
+    turned_until(lambda: results)
+    context.answers = [results[0]]
 
 
 @when('the same request is sent to the second entry host')
 def call_second(context):
-    context.answers = [result_of(_called(context, 1))]
+    context.answers = [result_of(_call(context, 1))]
 
 
-@then('every thin path answer is whole')
-def answers_whole(context):
+@then('every thin path answer is complete')
+def answers_complete(context):
     assert context.answers
     for answer in context.answers:
         assert answer.outcome == 'answered', answer
         assert answer.document['output'], answer
 
 
-@then("that caller's thin path answer is broken off and not whole")
-def answer_broken(context):
-    assert context.broken.status == 0, context.broken
-    assert context.broken.outcome == 'unknown', context.broken
+@then("that caller's thin path answer is cut off and incomplete")
+def answer_cut_off(context):
+    assert context.cut_off.status == 0, context.cut_off
+    assert context.cut_off.outcome == 'unknown', context.cut_off
 
 
 async def _status(started):
@@ -147,7 +148,7 @@
 
 
 @then('the remaining entry hosts report no broken invariant')
-def no_broken(context):
+def no_broken_invariants(context):
     for _, started in context.entries[1:]:
         status = result_of(_status(started))
         assert status['broken_invariants'] == 0, status
