--- a/pollenstile/forward/_assembly.py
+++ b/pollenstile/forward/_assembly.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class Parts:
+class HostParts:
     """Parts of a host that its daemon starts and stops."""
 
     core: object
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class Relay:
+class RelayParts:
     """Parts with which the hosts of a domain share one reader of the store."""
 
     source: Source
@@ -102,7 +102,7 @@
     Returns
     =======
 
-    Parts
+    HostParts
     """
     registry = Registry(reactor, log)
     configuration = Configuration(
@@ -152,7 +152,7 @@
         PeerHost(hub.hello.address, settings.domain, settings.capacity),
         log,
     )
-    return Parts(
+    return HostParts(
         core,
         hub,
         members,
@@ -224,11 +224,11 @@
 
     def covered():
         age = configuration.age()
-        joining = relayed.is_joining() and age < _JOIN_VERIFIED_SECONDS
+        is_joining = relayed.is_joining() and age < _JOIN_VERIFIED_SECONDS
         # A valid update of the reader does not always verify the table here:
         # its revision may be older, or one that this host could not decode.
-        followed = follower.is_following() and age < follower.word_seconds
-        return followed or joining
+        is_following = follower.is_following() and age < follower.word_seconds
+        return is_following or is_joining
 
     loop = configuration.loop
 
@@ -240,7 +240,7 @@
     loop.covered = covered
     loop.is_answering = store.is_answering
     loop.followed = source.is_followed
-    return Relay(source, follower, readers, relayed)
+    return RelayParts(source, follower, readers, relayed)
 
 
 def _build_hub(reactor, rng, settings, log):
--- a/pollenstile/forward/_gauges.py
+++ b/pollenstile/forward/_gauges.py
@@ -27,7 +27,7 @@
 
     measures : Measures
         Receives the gauges.
-    parts : Parts
+    parts : HostParts
         Parts of the host.
     factory : CallerFactory
         Counts the requests in flight.
--- a/pollenstile/forward/_storewatches.py
+++ b/pollenstile/forward/_storewatches.py
@@ -53,7 +53,7 @@
     Parameters
     ==========
 
-    parts : Parts
+    parts : HostParts
         Parts of the host; all changes are also passed to its relay source.
     decode_upstream : function
         Decodes a name and a stored value to an upstream, or returns None.
--- a/pollenstile/forward/events.py
+++ b/pollenstile/forward/events.py
@@ -60,7 +60,7 @@
     1239,
     'store-silent',
     'A read of the configuration has no answer in time; further reads are sent.',
-    'Check the connection to the store; `age_ms` is the age of the configuration.',
+    'Check the connection to the store; `age_ms` is the time since the last verification.',
 )
 UPSTREAM_CHANGED = define(
     1213,
@@ -83,7 +83,7 @@
     1233,
     'domain-drained',
     'A failure domain is drained: its upstreams get no new work from here.',
-    'An operator drained it; `pollenstile drain DOMAIN --metrics` shows the rest.',
+    'An operator drained it; `pollenstile drain DOMAIN --metrics` shows what remains.',
 )
 DOMAIN_RETURNED = define(
     1234,
