--- a/features/builders/forward.py
+++ b/features/builders/forward.py
@@ -12,7 +12,7 @@
     Exchange,
     ForwardCore,
     HeaderNames,
-    Reach,
+    ProbeResult,
     Registry,
     RepeatBudget,
     Upstream,
@@ -158,15 +158,15 @@
 
     def __init__(self, table):
         self.table = table
-        self.proven = True
+        self.verified = True
 
     def is_current(self):
         """Return what the test says."""
-        return self.proven
+        return self.verified
 
-    def is_proven(self):
+    def is_verified(self):
         """Return what the test says."""
-        return self.proven
+        return self.verified
 
 
 class Story:
@@ -184,11 +184,11 @@
         self.clock = Clock()
         self.calls = []
         self.reached = []
-        self.reaches = Reach.ACCEPTED
+        self.reaches = ProbeResult.ACCEPTED
         self.logged = []
         self.registry = Registry(self.clock)
         for place in range(upstreams):
-            self.registry.take(
+            self.registry.apply(
                 f'i{place}',
                 Upstream(
                     f'i{place}', SERVICE, f'10.0.0.{place}:1', domains[place]
@@ -227,7 +227,7 @@
         self.calls.append(call)
         return call
 
-    def reach(self, address):
+    def probe(self, address):
         """Be the client: open a connection, as the test says."""
         self.reached.append(address)
         return succeed(self.reaches)
--- a/features/builders/forwardhost.py
+++ b/features/builders/forwardhost.py
@@ -15,7 +15,7 @@
     RepeatBudget,
     Upstream,
 )
-from pollenstile.forward._face import CallerFactory
+from pollenstile.forward._frontend import CallerFactory
 from pollenstile.routes import Kind, Limits, Route, RouteTable, Target, Team
 
 KEY = 'secret'
@@ -68,16 +68,16 @@
 
     def __init__(self, table):
         self.table = table
-        self.proven = True
+        self.verified = True
         self.current = True
 
     def is_current(self):
         """Return the value that the test has set."""
         return self.current
 
-    def is_proven(self):
+    def is_verified(self):
         """Return the value that the test has set."""
-        return self.proven
+        return self.verified
 
     def age_ms(self):
         """Return 0, as the configuration is always just verified."""
@@ -107,7 +107,7 @@
         self.upstream = reactor.listenTCP(0, upstream, interface='127.0.0.1')
         registry = Registry(reactor)
         port = self.upstream.getHost().port
-        registry.take('i1', Upstream('i1', 'desk', f'127.0.0.1:{port}', 'd'))
+        registry.apply('i1', Upstream('i1', 'desk', f'127.0.0.1:{port}', 'd'))
         registry.known = True
         self.configuration = _Configuration(_table(limits or Limits()))
         core = ForwardCore(
--- a/features/forward_fleet.feature
+++ b/features/forward_fleet.feature
@@ -33,4 +33,4 @@
     Given a forwarding fleet of the hosts "one"
     When the store of the fleet fails and forwarding host "two" starts
     Then host "two" is not ready, and answers a draft with 503
-    And host "one" still serves drafts
+    And host "one" goes on serving drafts
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -20,17 +20,17 @@
 def given_cold(context, seconds):
     context.clock = Clock()
     context.registry = Registry(context.clock)
-    context.registry.take('a', _entry(seconds))
+    context.registry.apply('a', _entry(seconds))
 
 
 @when('"a" says that it is warm')
 def when_warm(context):
-    context.registry.take('a', _entry(0.0))
+    context.registry.apply('a', _entry(0.0))
 
 
 @when('"a" says that it is cold for {seconds:g} seconds, with no new start')
 def when_cold_again(context, seconds):
-    context.registry.take('a', _entry(seconds))
+    context.registry.apply('a', _entry(seconds))
 
 
 def _is_cold(context):
--- a/features/steps/forward_fleet_steps.py
+++ b/features/steps/forward_fleet_steps.py
@@ -121,7 +121,7 @@
     assert str(status).encode() in connection.received.split(b'\r\n')[0]
 
 
-@then('host "{name}" still serves drafts')
+@then('host "{name}" goes on serving drafts')
 def then_still_serves(context, name):
     _send(context, name, 2)
     then_complete(context, 2)
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -75,13 +75,13 @@
     story = context.story
     moved = replace(story.route, targets=(Target(service),))
     upstream = Upstream('other', service, '10.0.1.0:1', 'd')
-    story.registry.take('other', upstream)
+    story.registry.apply('other', upstream)
     story.change(by_host={'host': (moved,)})
 
 
 @when('its host can prove nothing any more')
 def when_host_lost(context):
-    context.story.core.configuration.proven = False
+    context.story.core.configuration.verified = False
 
 
 @when('its stage work ends')
--- a/features/steps/large_configuration_steps.py
+++ b/features/steps/large_configuration_steps.py
@@ -98,7 +98,7 @@
 @then('"{name}" has sent a full read again, and trusts keys by that read only')
 def then_full_read(context, name):
     assert context.fleet.store.calls['list'] >= 1
-    assert context.fleet.hosts[name].configuration.is_proven()
+    assert context.fleet.hosts[name].configuration.is_verified()
 
 
 @then("the links carried at most {most:g} MB of the store's answers each")
--- a/pollenstile/bench/shared.py
+++ b/pollenstile/bench/shared.py
@@ -83,8 +83,8 @@
             self.configuration,
             readers.current,
         )
-        self.configuration.loop.covered = self.follower.is_following
-        self.configuration.loop.followed = source.is_followed
+        self.configuration.loop.can_skip_reads = self.follower.is_following
+        self.configuration.loop.has_followers = source.is_followed
         relayed = RelayStore(fleet.store, clock, self.follower, (_KIND,))
         running = watch(
             relayed, _KIND, source.note, clock, Random(name), silent_log
--- a/pollenstile/forward/__init__.py
+++ b/pollenstile/forward/__init__.py
@@ -9,7 +9,7 @@
     subject_of,
     usable,
 )
-from pollenstile.forward._client import HttpClient, Reach
+from pollenstile.forward._client import HttpClient, ProbeResult
 from pollenstile.forward._cold import ColdShares
 from pollenstile.forward._configuration import Configuration
 from pollenstile.forward._core import ForwardCore
--- a/pollenstile/forward/_admission.py
+++ b/pollenstile/forward/_admission.py
@@ -44,7 +44,7 @@
         return _unavailable('the configuration can not be checked')
     outcome = _allowed(configuration.table, asked)
     has_key = isinstance(outcome, Admitted) and outcome.team is not None
-    if has_key and not configuration.is_proven():
+    if has_key and not configuration.is_verified():
         return _unavailable('the key can not be checked')
     return outcome
 
--- a/pollenstile/forward/_assembly.py
+++ b/pollenstile/forward/_assembly.py
@@ -222,7 +222,7 @@
         late=(DRAINED, QUARANTINED),
     )
 
-    def covered():
+    def can_skip_reads():
         age = configuration.age()
         is_joining = relayed.is_joining() and age < _JOIN_VERIFIED_SECONDS
         # A valid update of the reader does not always verify the table here:
@@ -237,9 +237,9 @@
 
     relayed.is_away = is_away
     follower.on_direct.append(loop.wake)
-    loop.covered = covered
+    loop.can_skip_reads = can_skip_reads
     loop.is_answering = store.is_answering
-    loop.followed = source.is_followed
+    loop.has_followers = source.is_followed
     return RelayParts(source, follower, readers, relayed)
 
 
--- a/pollenstile/forward/_attempt.py
+++ b/pollenstile/forward/_attempt.py
@@ -265,7 +265,7 @@
                 self.heard = True
                 self.first_at = self.core.clock.seconds()
                 self._learn_first()
-            events = self.splitter.whole(data)
+            events = self.splitter.feed(data)
             if not events:
                 return
             if not self.answer.begun:
--- a/pollenstile/forward/_client.py
+++ b/pollenstile/forward/_client.py
@@ -33,7 +33,7 @@
 CONNECT_SECONDS = 0.35
 
 
-class Reach(enum.Enum):
+class ProbeResult(enum.Enum):
     """Outcome of opening a probe connection."""
 
     ACCEPTED = 'accepted'
@@ -74,7 +74,7 @@
 
     def connectionMade(self):
         """Report that the port accepts connections; called by Twisted."""
-        self.factory.done.callback(Reach.ACCEPTED)
+        self.factory.done.callback(ProbeResult.ACCEPTED)
         self.transport.abortConnection()
 
 
@@ -88,7 +88,9 @@
     def clientConnectionFailed(self, connector, reason):
         """Report why no connection was made; called by Twisted."""
         refused = reason.check(ConnectionRefusedError) is not None
-        self.done.callback(Reach.REFUSED if refused else Reach.UNKNOWN)
+        self.done.callback(
+            ProbeResult.REFUSED if refused else ProbeResult.UNKNOWN
+        )
 
 
 class _Body(Protocol):
@@ -232,8 +234,8 @@
     def __init__(self, reactor):
         self.reactor = reactor
 
-    def reach(self, address):
-        """Open a connection and close it; return a Deferred of ``Reach``."""
+    def probe(self, address):
+        """Open and close a connection; return a Deferred of ``ProbeResult``."""
         factory = _ProbeFactory()
         host, _, port = address.rpartition(':')
         self.reactor.connectTCP(
--- a/pollenstile/forward/_configloop.py
+++ b/pollenstile/forward/_configloop.py
@@ -68,7 +68,7 @@
 
     failures : int
         Consecutive reads without an answer.
-    away_at : float
+    unreachable_at : float
         Time on the suspend clock at which the store was last found to be
         unreachable: a read failed, or had no answer within the time in which
         a healthy store answers.
@@ -85,36 +85,36 @@
         host was sent; verifications received from other hosts do not count.
     next_check : Deferred or None
         Fires when it is time to check whether a read is needed.
-    covered : function
+    can_skip_reads : function
         Returns whether the updates of a reader make own reads unnecessary.
     is_answering : function
         Returns whether an answer of the store is being received.
-    followed : function
+    has_followers : function
         Returns whether other hosts rely on the reads of this one.
     on_read : function or None
         Called after each read with whether it was answered.
     """
 
     __slots__ = (
-        'away_at',
+        'can_skip_reads',
         'clock',
         'configuration',
-        'covered',
         'failures',
-        'followed',
-        'next_check',
+        'full_read_at',
+        'full_read_seconds',
+        'full_reads_in_flight',
+        'has_followers',
         'is_answering',
         'log',
+        'next_check',
         'on_read',
         'random',
         'read_at',
+        'reads_in_flight',
         'running',
         'silent',
         'store',
-        'reads_in_flight',
-        'full_read_at',
-        'full_read_seconds',
-        'full_reads_in_flight',
+        'unreachable_at',
     )
 
     def __init__(self, store, clock, random, configuration, log=silent_log):
@@ -123,14 +123,14 @@
         self.random = random
         self.configuration = configuration
         self.log = log
-        self.covered = _never
-        self.followed = _never
+        self.can_skip_reads = _never
+        self.has_followers = _never
         self.is_answering = _never
         self.on_read = None
         self.next_check = None
         self.failures = 0
         self.silent = False
-        self.away_at = -1000.0
+        self.unreachable_at = -1000.0
         self.reads_in_flight = 0
         self.full_reads_in_flight = 0
         self.full_read_at = -1000.0
@@ -149,7 +149,7 @@
         the store is available again.
         """
         while self.running:
-            if self.covered():
+            if self.can_skip_reads():
                 await self._next_check()
                 continue
             began = self.clock.seconds()
@@ -200,7 +200,9 @@
         if not self._is_large():
             return _MIN_HOLD_SECONDS
         return (
-            _FOLLOWED_HOLD_SECONDS if self.followed() else _LARGE_HOLD_SECONDS
+            _FOLLOWED_HOLD_SECONDS
+            if self.has_followers()
+            else _LARGE_HOLD_SECONDS
         )
 
     def _is_large(self):
@@ -214,7 +216,7 @@
             return _SETTLE_SECONDS
         return (
             _FOLLOWED_PERIOD_SECONDS
-            if self.followed()
+            if self.has_followers()
             else _READ_PERIOD_SECONDS
         )
 
@@ -292,7 +294,7 @@
             self._record_unreachable()
 
     def _record_unreachable(self):
-        self.away_at = self.configuration.suspend_clock()
+        self.unreachable_at = self.configuration.suspend_clock()
 
     def _record_outcome(self, outcome, *, answered):
         if answered and self.failures:
--- a/pollenstile/forward/_configuration.py
+++ b/pollenstile/forward/_configuration.py
@@ -52,7 +52,7 @@
         Time within which a change must be in force.
     table : RouteTable or None
         Table in force.
-    proven_at : float
+    verified_at : float
         Time on the suspend clock at which the table was last known to be the
         newest.
     listeners : list of function
@@ -80,18 +80,18 @@
         'decode',
         'found',
         'in_storm',
+        'known_at',
+        'known_revision',
         'listeners',
         'log',
         'loop',
         'newest_revision',
-        'proven_at',
         'revision',
         'revoke_seconds',
-        'known_revision',
-        'known_at',
         'suspend_clock',
         'table',
         'text',
+        'verified_at',
     )
 
     def __init__(
@@ -117,11 +117,11 @@
         self.known_revision = None
         self.known_at = -1000.0
         self.in_storm = False
-        self.proven_at = -1000.0
+        self.verified_at = -1000.0
         self.listeners = []
         self.loop = ConfigurationLoop(store, clock, random, self, log)
 
-    def is_proven(self):
+    def is_verified(self):
         """Return whether keys may be trusted now."""
         return self.age() < _PROOF_SHARE * self.revoke_seconds
 
@@ -150,12 +150,12 @@
         outdated. A failure of the store before the last verification does not
         count.
         """
-        is_away = self.loop.away_at > self.proven_at
-        return is_away or self.age() < self.apply_seconds
+        is_unreachable = self.loop.unreachable_at > self.verified_at
+        return is_unreachable or self.age() < self.apply_seconds
 
     def age(self):
         """Return the seconds since the table was last known to be newest."""
-        return self.suspend_clock() - self.proven_at
+        return self.suspend_clock() - self.verified_at
 
     def age_ms(self):
         """Return the age in full milliseconds, as written to log lines."""
@@ -178,17 +178,17 @@
         self.known_revision = max(read.revision, self.known_revision or 0)
         self.known_at = max(began, self.known_at)
         if read.found is not None:
-            self.take(read.found, began)
+            self.apply(read.found, began)
         elif read.changed:
             # Deleted: the table in force here is not the newest any more.
             self.newest_revision = max(self.newest_revision, read.revision)
         elif self.newest_revision == self.revision:
-            self.proven_at = max(self.proven_at, began)
+            self.verified_at = max(self.verified_at, began)
         is_newer = self.newest_revision > previous_revision
         # A full read without a newer version ends a series of rapid changes.
         self.in_storm = is_newer and (self.in_storm or not is_full)
 
-    def take(self, found, began):
+    def apply(self, found, began):
         """Apply a stored configuration, unless a newer one is known.
 
         Parameters
@@ -206,9 +206,9 @@
             if not self._replace_table(found):
                 return
             self.revision = found.version
-        self.proven_at = max(self.proven_at, began)
+        self.verified_at = max(self.verified_at, began)
 
-    def told(self, update, began):
+    def apply_update(self, update, began):
         """Apply an update from a reader; return whether reads can be skipped.
 
         Explanation
@@ -225,24 +225,24 @@
         began : float
             Time on the suspend clock before the reader was asked.
         """
-        proven_at = began - update.aged
+        verified_at = began - update.aged
         if update.config is not None:
-            self.take(update.config, proven_at)
+            self.apply(update.config, verified_at)
         if update.config_revision < self.revision:
             # A reader that lags behind can't verify what this host has read.
             return self.is_fresh()
         if update.config_revision > self.revision:
             return False
-        self.proven_at = max(self.proven_at, proven_at)
+        self.verified_at = max(self.verified_at, verified_at)
         if update.seen:
             # If the reader fails, this host asks for changes after this
             # revision. Full reads by all followers at once would saturate
             # links that are already slow.
             self.known_revision = max(update.seen, self.known_revision or 0)
-            self.known_at = max(proven_at, self.known_at)
+            self.known_at = max(verified_at, self.known_at)
         return True
 
-    def told_seen(self):
+    def resumable_revision(self):
         """Return the store's revision from which other hosts may resume reads.
 
         Explanation
--- a/pollenstile/forward/_members.py
+++ b/pollenstile/forward/_members.py
@@ -76,8 +76,8 @@
         'listeners',
         'log',
         'should_register',
-        'stored_entry',
         'store',
+        'stored_entry',
     )
 
     def __init__(self, store, clock, host, entry, log=silent_log):
@@ -92,7 +92,7 @@
         self.should_register = False
         self.stored_entry = None
 
-    def take(self, change):
+    def apply(self, change):
         """Apply a change of an entry."""
         if change.name == self.host:
             self.stored_entry = change.value
--- a/pollenstile/forward/_registry.py
+++ b/pollenstile/forward/_registry.py
@@ -83,9 +83,9 @@
         'clock',
         'drained',
         'known',
-        'missing_timers',
         'listeners',
         'log',
+        'missing_timers',
         'store_failed_at',
         'upstreams',
         'views',
@@ -117,7 +117,7 @@
         self.drained = domains
         self._index()
 
-    def take(self, ident, upstream):
+    def apply(self, ident, upstream):
         """Apply an entry; None for a missing one."""
         timer = self.missing_timers.pop(ident, None)
         if timer is not None:
--- a/pollenstile/forward/_sse.py
+++ b/pollenstile/forward/_sse.py
@@ -28,7 +28,7 @@
     >>> from pollenstile.forward._sse import EventSplitter
     >>> splitter = EventSplitter()
     >>> end = bytes((10,))
-    >>> splitter.whole(end.join((b'id: 1', b'data: a', b'', b'id: 2')))
+    >>> splitter.feed(end.join((b'id: 1', b'data: a', b'', b'id: 2')))
     ... # doctest: +ELLIPSIS
     b'id: 1...data: a...'
     >>> splitter.last, splitter.rest
@@ -41,7 +41,7 @@
         self.last = b''
         self.rest = b''
 
-    def whole(self, data):
+    def feed(self, data):
         """Return the bytes up to the end of the last complete event."""
         self.rest += data
         end = self.rest.rfind(_END)
--- a/pollenstile/forward/_storewatches.py
+++ b/pollenstile/forward/_storewatches.py
@@ -92,7 +92,7 @@
             _REGISTRY_TIMING,
         )
         members = self.parts.members
-        self._watch(HOSTS, members.take, members.note_listed, _HOSTS_TIMING)
+        self._watch(HOSTS, members.apply, members.note_listed, _HOSTS_TIMING)
         drained = self.parts.drained
         self._watch(
             DRAINED,
@@ -147,7 +147,7 @@
                     peer=change.name,
                     version=change.version,
                 )
-        self.parts.core.registry.take(change.name, upstream)
+        self.parts.core.registry.apply(change.name, upstream)
 
 
 def _drained_timing(bound):
--- a/pollenstile/relay/_follower.py
+++ b/pollenstile/relay/_follower.py
@@ -262,12 +262,12 @@
         self.needs_whole = word is None
         if word is None:
             return ''
-        told = self.configuration.told(word, began)
-        if told and word.aged < self.word_seconds:
+        apply_update = self.configuration.apply_update(word, began)
+        if apply_update and word.aged < self.word_seconds:
             self._follow(host, word)
             self._hold_until(began - word.aged + self.word_seconds)
             return ''
-        return _TOO_OLD if told else 'configuration not told'
+        return _TOO_OLD if apply_update else 'configuration not told'
 
     def _hold_until(self, ends):
         """Go by the word until a moment on the suspend clock, not longer.
--- a/pollenstile/relay/_source.py
+++ b/pollenstile/relay/_source.py
@@ -220,12 +220,12 @@
         return Word(
             self.ident,
             fit=True,
-            aged=now - self.configuration.proven_at - (now - came),
+            aged=now - self.configuration.verified_at - (now - came),
             config_revision=revision,
             config=self.configuration.found if is_older and not patch else None,
             news=news,
             patch=patch,
-            seen=self.configuration.told_seen(),
+            seen=self.configuration.resumable_revision(),
         )
 
     def _news(self, asked, *, at_last):
