--- a/features/builders/livemutant.py
+++ b/features/builders/livemutant.py
@@ -33,12 +33,12 @@
 
 def without_new_configuration():
     """Keep the first configuration for good."""
-    replaced = _configuration.Configuration._replaced
+    replaced = _configuration.Configuration._replace_table
 
     def keep(reader, found):
         return reader.table is not None or replaced(reader, found)
 
-    _configuration.Configuration._replaced = keep
+    _configuration.Configuration._replace_table = keep
 
 
 def _is_never_busy(daemon):
@@ -47,7 +47,7 @@
 
 def without_drain():
     """End a host at once when it is told to stop."""
-    _daemon._LAME_DUCK = 0.0
+    _daemon._LAME_DUCK_SECONDS = 0.0
     _daemon.ForwardDaemon._is_busy = _is_never_busy
 
 
