--- a/features/builders/forwardhost.py
+++ b/features/builders/forwardhost.py
@@ -12,7 +12,7 @@
     HeaderNames,
     HttpClient,
     Registry,
-    RepeatBudget,
+    SharedRetryBudget,
     Upstream,
 )
 from pollenstile.forward._frontend import CallerFactory
@@ -117,7 +117,7 @@
             HttpClient(reactor),
             registry,
             self.configuration,
-            RepeatBudget(reactor, 0.2, 58, 10),
+            SharedRetryBudget(reactor, 0.2, 58, 10),
             None,
             HeaderNames(),
         )
--- a/features/builders/livemutant.py
+++ b/features/builders/livemutant.py
@@ -12,7 +12,7 @@
 import sys
 
 from pollenstile.forward import _configuration, _daemon, _registry, _run
-from pollenstile.forward._decisions import Next
+from pollenstile.forward._decisions import RetryDecision
 from pollenstile.forward._types import Refusal
 from pollenstile.ops.clock import run_steadily
 from pollenstile.ops.main import main
@@ -23,12 +23,16 @@
 
 
 def _repeats_all(route, outcome, sends, runs, *, resumed, may_repeat):
-    return Next.AGAIN if sends < 3 and not resumed else Next.GIVE_UP
+    return (
+        RetryDecision.RETRY
+        if sends < 3 and not resumed
+        else RetryDecision.GIVE_UP
+    )
 
 
 def without_once():
     """Send a request again that may run once only."""
-    _run.after_failure = _repeats_all
+    _run.decide_retry = _repeats_all
 
 
 def without_new_configuration():
@@ -63,7 +67,7 @@
 
 def without_quarantine():
     """Send on what has crashed three upstreams and more."""
-    _run.held_refusal = lambda core, exchange: None
+    _run.quarantine_refusal = lambda core, exchange: None
 
 
 GUARDS = {
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -34,12 +34,12 @@
 @given('another request is under way at the upstream of forwarded send 0')
 def given_busy(context):
     upstream = _upstream(context, 0)
-    context.story.registry.views[upstream.ident].flying += 1
+    context.story.registry.views[upstream.ident].in_flight += 1
 
 
 @when('nobody listens any more at the upstream of forwarded send {place:d}')
 def when_ended(context, place):
-    context.story.reaches = ProbeResult.REFUSED
+    context.story.probe_result = ProbeResult.REFUSED
     _break(context, place)
 
 
@@ -50,7 +50,7 @@
 
 @when('the connection of forwarded send 0 breaks, and nothing answers there')
 def when_unknown(context):
-    context.story.reaches = ProbeResult.UNKNOWN
+    context.story.probe_result = ProbeResult.UNKNOWN
     _break(context, 0)
 
 
--- a/features/steps/forward_state_steps.py
+++ b/features/steps/forward_state_steps.py
@@ -24,7 +24,7 @@
     Route,
     RouteTable,
     Target,
-    picked_service,
+    pick_service,
     route_of,
 )
 from pollenstile.standin.objectapi import MemoryStore
@@ -384,7 +384,7 @@
 def then_weights(context, count, least, most):
     route = context.routes.by_host['host'][0]
     rng = Random(4)
-    found = [picked_service(route, rng.random()) for _ in range(count)]
+    found = [pick_service(route, rng.random()) for _ in range(count)]
     assert least <= found.count('most') <= most, found.count('most')
 
 
--- a/features/steps/incarnations_steps.py
+++ b/features/steps/incarnations_steps.py
@@ -109,7 +109,7 @@
 
 @given('a request under way at it')
 def given_under_way(context):
-    context.view.flying += 1
+    context.view.in_flight += 1
 
 
 @when('the entry of "{name}" says that it was born at {born:d}')
@@ -124,7 +124,7 @@
 
 @when('the request under way ends')
 def when_ends(context):
-    context.view.flying -= 1
+    context.view.in_flight -= 1
 
 
 @when('the request under way finds another incarnation')
@@ -142,7 +142,13 @@
 )
 def then_fresh(context, name):
     view = context.registry.usable(SERVICE)[0]
-    seen = (view.ident, view.failures, view.running, view.queued, view.flying)
+    seen = (
+        view.ident,
+        view.failures,
+        view.running,
+        view.queued,
+        view.in_flight,
+    )
     assert seen == (name, 0, 0, 0, 0), seen
 
 
--- a/features/steps/quarantine_stage_steps.py
+++ b/features/steps/quarantine_stage_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from features.builders.forward import Story
+from features.builders.forward import ForwardScenario
 from features.builders.quarantine import tell, verdict
 from features.builders.stagework import SERVICE, Queue, group, pieces_of
 from features.builders.stagework import workers as workers_of
@@ -102,10 +102,10 @@
 
 @given('a stage call with pieces of "{one}" and "{other}"')
 def given_call(context, one, other):
-    context.story = Story('once')
+    context.story = ForwardScenario('once')
     core = context.story.core
     calls = StageCalls(core.clock, context.story, PlainCodec(), HeaderNames())
-    calls.look_at_crashes(core.crashes, core.quarantine)
+    calls.attach_crash_detector(core.crashes, core.quarantine)
     worker = workers_of('d')[0]
     upstream = Upstream(worker.ident, SERVICE, worker.address, 'd')
     core.registry.apply(worker.ident, upstream)
@@ -116,7 +116,7 @@
 
 @when('its upstream crashes')
 def when_upstream_crashes(context):
-    context.story.reaches = ProbeResult.REFUSED
+    context.story.probe_result = ProbeResult.REFUSED
     lost = Lost('ConnectionLost', 'w0', broken=True)
     context.story.calls[-1].head.callback(lost)
 
--- a/pollenstile/bench/shared.py
+++ b/pollenstile/bench/shared.py
@@ -32,7 +32,7 @@
 from pollenstile.routes import RouteTable, StageLimits
 from pollenstile.stagework import (
     Group,
-    Made,
+    Result,
     Owner,
     StageClient,
     StageService,
@@ -144,7 +144,9 @@
     for number in range(groups):
         due = fleet.clock.seconds() + _DUE
         ident = f'r{number}'
-        group = Group(ident, _SERVICE, 0, _PIECES, key=ident, due=due, ends=due)
+        group = Group(
+            ident, _SERVICE, 0, _PIECES, key=ident, due=due, deadline=due
+        )
         asker.submit(group, None).addCallback(ended.append)
         fleet.clock.advance(_STEP)
     fleet.pass_by(2.0)
@@ -168,7 +170,7 @@
     def call(worker, pieces, seconds):
         done = Deferred()
         made = [
-            Made(f'{worker.address}/{piece.group.request}.{piece.number}')
+            Result(f'{worker.address}/{piece.group.request}.{piece.number}')
             for piece in pieces
         ]
         clock.callLater(0.05, done.callback, made)
--- a/pollenstile/forward/_assembly.py
+++ b/pollenstile/forward/_assembly.py
@@ -4,14 +4,14 @@
 from dataclasses import dataclass
 from functools import partial
 
-from pollenstile.forward._budget import RepeatBudget
+from pollenstile.forward._budget import SharedRetryBudget
 from pollenstile.forward._client import HttpClient
 from pollenstile.forward._cold import ColdShares
 from pollenstile.forward._configuration import Configuration
 from pollenstile.forward._core import ForwardCore
 from pollenstile.forward._drained import DRAINED, DrainedDomains
 from pollenstile.forward._members import HOSTS, Members, PeerHost
-from pollenstile.forward._owners import Owners
+from pollenstile.forward._owners import StageOwners
 from pollenstile.forward._registry import UPSTREAMS, Registry
 from pollenstile.forward._settings import update_seconds
 from pollenstile.forward._stagecalls import StageCalls
@@ -19,10 +19,10 @@
 from pollenstile.ops.settings import shown
 from pollenstile.peer import LEAST_VERSION, VERSION, Hello, Hub, tcp_connect
 from pollenstile.quarantine import (
-    QUARANTINED,
+    QUARANTINE_KIND,
     Quarantine,
-    Record,
-    Sharing,
+    VerdictRecorder,
+    VerdictSharing,
 )
 from pollenstile.relay import (
     ASK,
@@ -60,8 +60,8 @@
     stages: object
     relay: object
     drained: DrainedDomains
-    sharing: Sharing
-    record: Record
+    sharing: VerdictSharing
+    record: VerdictRecorder
 
 
 @dataclass(slots=True)
@@ -121,7 +121,7 @@
     calls = StageCalls(reactor, client, adapter.codec, adapter.names, log)
     calls.on_misdirected = registry.drop
     budget = _build_budget(reactor, settings)
-    owners = Owners(
+    owners = StageOwners(
         reactor,
         registry,
         configuration,
@@ -144,7 +144,7 @@
         cold=ColdShares(settings.host, settings.domain),
         quarantine=quarantine,
     )
-    calls.look_at_crashes(core.crashes, quarantine)
+    calls.attach_crash_detector(core.crashes, quarantine)
     members = Members(
         store,
         reactor,
@@ -160,8 +160,8 @@
         core.stages,
         _build_relay(settings, store, suspend_clock, core, hub),
         DrainedDomains(registry, reactor, log),
-        Sharing(hub, quarantine, members.hosts, log),
-        Record(store, quarantine, members.hosts, log),
+        VerdictSharing(hub, quarantine, members.hosts, log),
+        VerdictRecorder(store, quarantine, members.hosts, log),
     )
 
 
@@ -181,7 +181,7 @@
 
 
 def _build_budget(reactor, settings):
-    return RepeatBudget(
+    return SharedRetryBudget(
         reactor,
         settings.repeat_ratio,
         settings.repeat_slack,
@@ -217,9 +217,9 @@
         store,
         clock,
         follower,
-        (UPSTREAMS, HOSTS, DRAINED, QUARANTINED),
+        (UPSTREAMS, HOSTS, DRAINED, QUARANTINE_KIND),
         early=HOSTS,
-        late=(DRAINED, QUARANTINED),
+        late=(DRAINED, QUARANTINE_KIND),
     )
 
     def can_skip_reads():
--- a/pollenstile/forward/_client.py
+++ b/pollenstile/forward/_client.py
@@ -116,7 +116,7 @@
         if reason.check(PotentialDataLoss):
             is_complete = self.call.protocol.closed_cleanly
         self.call.close()
-        self.on_end(BodyEnd.WHOLE if is_complete else BodyEnd.BROKEN)
+        self.on_end(BodyEnd.COMPLETE if is_complete else BodyEnd.BROKEN)
 
 
 class Call:
--- a/pollenstile/forward/_crashes.py
+++ b/pollenstile/forward/_crashes.py
@@ -178,7 +178,7 @@
             address=upstream.address,
             born=upstream.born,
             requests=[one.fingerprint for one in known],
-            ran_ms=[int(one.ran * _MS) for one in known],
+            ran_ms=[int(one.run_seconds * _MS) for one in known],
         )
         self.on_crash(upstream.name, upstream.service, known)
 
@@ -191,7 +191,7 @@
 
     def _is_busy(self, upstream):
         view = self.registry.views.get(upstream.ident)
-        if view is not None and view.flying > 0:
+        if view is not None and view.in_flight > 0:
             return True
         return any(is_busy(upstream) for is_busy in self.busy_checks)
 
--- a/pollenstile/forward/_daemon.py
+++ b/pollenstile/forward/_daemon.py
@@ -313,11 +313,11 @@
         parts = self.parts
         hosts = parts.members.hosts
         parts.core.budget.hosts = len(hosts) + 1
-        parts.stages.ownership.take_hosts(hosts)
-        parts.relay.readers.take_hosts(hosts)
+        parts.stages.ownership.update_hosts(hosts)
+        parts.relay.readers.update_hosts(hosts)
         if parts.members.known:
             domains = {name: peer.domain for name, peer in hosts.items()}
-            parts.core.cold.take_hosts(domains)
+            parts.core.cold.update_hosts(domains)
         table = parts.core.configuration.table
         if table is None:
             return
--- a/pollenstile/forward/_gauges.py
+++ b/pollenstile/forward/_gauges.py
@@ -81,5 +81,5 @@
     """Return the count of requests and pieces in flight in each domain."""
     running = Counter(calls.pieces_in)
     for view in registry.views.values():
-        running[view.domain] += view.flying
+        running[view.domain] += view.in_flight
     return running
--- a/pollenstile/forward/_plaincodec.py
+++ b/pollenstile/forward/_plaincodec.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from pollenstile.stagework import Made
+from pollenstile.stagework import Result
 
 # Request targets of calls that run pieces and that release results.
 RUN_TARGET = b'/batch'
@@ -37,7 +37,7 @@
         return FREE_TARGET, _host_header(address), msgspec.json.encode(handles)
 
     def results(self, body, count):
-        """Return a list of ``Made``; None for an invalid answer."""
+        """Return a list of ``Result``; None for an invalid answer."""
         try:
             handles = msgspec.json.decode(body, type=list[str])
         except (msgspec.DecodeError, msgspec.ValidationError):
@@ -45,7 +45,7 @@
         if len(handles) != count:
             return None
         return [
-            Made(handle) if handle else Made(reason='gone')
+            Result(handle) if handle else Result(reason='gone')
             for handle in handles
         ]
 
--- a/pollenstile/forward/_registry.py
+++ b/pollenstile/forward/_registry.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from pollenstile.forward import events
-from pollenstile.forward._choose import EngineView
+from pollenstile.forward._selection import UpstreamView
 from pollenstile.ops.logs import silent_log
 
 # Kind of the objects with which upstreams register themselves in the store.
@@ -63,7 +63,7 @@
     upstreams : dict
         Upstreams by identifier.
     views : dict
-        :class:`EngineView` of each upstream, by identifier.
+        :class:`UpstreamView` of each upstream, by identifier.
     by_service : dict
         Views of the upstreams that accept new work, by service.
     store_failed_at : float
@@ -208,7 +208,7 @@
             # A restarted upstream has no state of its previous incarnation.
             # When the load, failures and requests in flight of that
             # incarnation were kept, the new one counted as full or unhealthy.
-            self.views[upstream.ident] = EngineView(
+            self.views[upstream.ident] = UpstreamView(
                 upstream.ident,
                 upstream.address,
                 upstream.domain,
--- a/pollenstile/forward/_settings.py
+++ b/pollenstile/forward/_settings.py
@@ -22,7 +22,7 @@
     revoke_seconds : float
         Time within which a revoked key must stop working.
     repeat_ratio, repeat_slack, repeat_window : float
-        See :class:`~pollenstile.forward.RepeatBudget`.
+        See :class:`~pollenstile.forward.SharedRetryBudget`.
     grace_seconds : float
         Time from the signal to stop until the process is killed.
     apply_seconds : float
--- a/pollenstile/forward/_storewatches.py
+++ b/pollenstile/forward/_storewatches.py
@@ -6,7 +6,7 @@
 from pollenstile.forward._registry import UPSTREAMS
 from pollenstile.ops.logs import silent_log
 from pollenstile.platform import WatchTiming, watch
-from pollenstile.quarantine import QUARANTINED
+from pollenstile.quarantine import QUARANTINE_KIND
 
 # Watch of upstreams. A watch that became unresponsive together with all
 # connections is detected and rearmed within 2.5 s (poll and margin). From 3 s
@@ -101,7 +101,7 @@
             _drained_timing(drain_seconds),
         )
         self._watch(
-            QUARANTINED,
+            QUARANTINE_KIND,
             self.parts.record.take,
             _ignore_listing,
             _QUARANTINE_TIMING,
--- a/pollenstile/relay/_reader.py
+++ b/pollenstile/relay/_reader.py
@@ -35,7 +35,7 @@
         self.capacity = capacity
         self.order = [host]
 
-    def take_hosts(self, hosts):
+    def update_hosts(self, hosts):
         """Take the peers that there are now, by name."""
         mine = {
             name: one.capacity
--- a/pollenstile/standin/crashing.py
+++ b/pollenstile/standin/crashing.py
@@ -203,7 +203,7 @@
             self.clock.callLater(_GAP, self._event, process, call, number + 1)
             return
         process.calls.remove(call)
-        call.end(BodyEnd.WHOLE)
+        call.end(BodyEnd.COMPLETE)
 
 
 class _Client:
