--- a/features/builders/forward.py
+++ b/features/builders/forward.py
@@ -11,7 +11,7 @@
     Exchange,
     ForwardCore,
     HeaderNames,
-    Reach,
+    ProbeResult,
     Registry,
     RouteQuery,
     SharedRetryBudget,
@@ -158,15 +158,15 @@
 
     def __init__(self, table):
         self.table = table
-        self.proven = True
+        self.verified = True
 
     def is_current(self):
         """Return whether the table may be used."""
-        return self.proven
+        return self.verified
 
-    def is_proven(self):
+    def is_verified(self):
         """Return whether the table is verified."""
-        return self.proven
+        return self.verified
 
 
 class ForwardScenario:
@@ -184,11 +184,11 @@
         self.clock = Clock()
         self.calls = []
         self.reached = []
-        self.probe_result = Reach.ACCEPTED
+        self.probe_result = ProbeResult.ACCEPTED
         self.logged = []
         self.registry = Registry(self.clock)
         for index in range(upstreams):
-            self.registry.take(
+            self.registry.apply(
                 f'i{index}',
                 Upstream(
                     f'i{index}', SERVICE, f'10.0.0.{index}:1', domains[index]
@@ -227,7 +227,7 @@
         self.calls.append(call)
         return call
 
-    def reach(self, address):
+    def probe(self, address):
         """Stand in for the client: return the scripted probe result."""
         self.reached.append(address)
         return succeed(self.probe_result)
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from pollenstile.forward import Lost, Reach
+from pollenstile.forward import Lost, ProbeResult
 from pollenstile.quarantine import fingerprint
 
 
@@ -30,7 +30,7 @@
 def given_leaves(context, place):
     upstream = _upstream(context, place)
     leaving = replace(upstream, leaving=True)
-    context.story.registry.take(upstream.ident, leaving)
+    context.story.registry.apply(upstream.ident, leaving)
 
 
 @given('another request is in flight at the upstream of forwarded send 0')
@@ -43,7 +43,7 @@
     'the upstream of forwarded send {place:d} resets it and refuses connections'
 )
 def when_ended(context, place):
-    context.story.probe_result = Reach.REFUSED
+    context.story.probe_result = ProbeResult.REFUSED
     _break(context, place)
 
 
@@ -54,7 +54,7 @@
 
 @when('the connection of forwarded send 0 breaks, and a probe gets no answer')
 def when_unknown(context):
-    context.story.probe_result = Reach.UNKNOWN
+    context.story.probe_result = ProbeResult.UNKNOWN
     _break(context, 0)
 
 
--- a/pollenstile/forward/__init__.py
+++ b/pollenstile/forward/__init__.py
@@ -1,4 +1,4 @@
-"""Opaque HTTP exchanges, forwarded to upstreams untouched."""
+"""Forwards HTTP exchanges to upstreams without changing their content."""
 
 from pollenstile.forward._budget import SharedRetryBudget
 from pollenstile.forward._selection import (
@@ -9,7 +9,7 @@
     subject_of,
     usable,
 )
-from pollenstile.forward._client import HttpClient, Reach
+from pollenstile.forward._client import HttpClient, ProbeResult
 from pollenstile.forward._cold import ColdShares
 from pollenstile.forward._configuration import Configuration
 from pollenstile.forward._core import ForwardCore
--- a/pollenstile/forward/_admission.py
+++ b/pollenstile/forward/_admission.py
@@ -47,7 +47,7 @@
         return _unavailable('the configuration can not be checked')
     outcome = _match_table(configuration.table, query)
     has_key = isinstance(outcome, Admission) and outcome.team is not None
-    if has_key and not configuration.is_proven():
+    if has_key and not configuration.is_verified():
         return _unavailable('the key can not be checked')
     return outcome
 
--- a/pollenstile/forward/_attempt.py
+++ b/pollenstile/forward/_attempt.py
@@ -274,7 +274,7 @@
                 self.has_first_bytes = True
                 self.first_at = self.core.clock.seconds()
                 self._learn_first_bytes()
-            events = self.splitter.whole(data)
+            events = self.splitter.feed(data)
             if not events:
                 return
             if not self.answer.begun:
--- a/pollenstile/forward/_crashes.py
+++ b/pollenstile/forward/_crashes.py
@@ -6,7 +6,7 @@
 from twisted.internet.task import deferLater
 
 from pollenstile.forward import events
-from pollenstile.forward._client import Reach
+from pollenstile.forward._client import ProbeResult
 from pollenstile.ops.logs import silent_log
 
 # Delay before the second check of an upstream that refuses connections while a
@@ -156,7 +156,7 @@
 
     async def _has_ended(self, upstream):
         """Return whether the address refuses connections and is not busy."""
-        if await self.client.reach(upstream.address) is not Reach.REFUSED:
+        if await self.client.probe(upstream.address) is not ProbeResult.REFUSED:
             return False
         if not self._is_busy(upstream):
             return True
@@ -165,7 +165,7 @@
             # An overloaded upstream also refuses connections, but continues
             # with the requests that it has accepted.
             return False
-        return await self.client.reach(upstream.address) is Reach.REFUSED
+        return await self.client.probe(upstream.address) is ProbeResult.REFUSED
 
     def _note_ended(self, upstream):
         self.ended[upstream] = True
--- a/pollenstile/forward/_sse.py
+++ b/pollenstile/forward/_sse.py
@@ -1,24 +1,26 @@
-"""Events of a stream, kept whole."""
+"""Splits a stream of server-sent events at event boundaries."""
 
 _END = b'\n\n'
 _ID = b'id:'
 
 
 class EventSplitter:
-    """Splits a stream's bytes at the ends of its events.
+    """Splits the bytes of a stream at the ends of its events.
 
     Explanation
     ===========
 
-    An upstream can stop in the middle of an event. Only whole events are
-    handed on, so that another upstream can go on after the last one without a
-    torn line between them.
+    An upstream can fail in the middle of an event. Only complete events are
+    forwarded, so that another upstream can resume after the last one without
+    leaving a partial line in the stream.
 
     Attributes
     ==========
 
     last : bytes
-        Identifier of the last whole event.
+        Identifier of the last complete event.
+    rest : bytes
+        Received bytes of an incomplete event.
 
     Examples
     ========
@@ -26,7 +28,7 @@
     >>> from pollenstile.forward._sse import EventSplitter
     >>> splitter = EventSplitter()
     >>> end = bytes((10,))
-    >>> splitter.whole(end.join((b'id: 1', b'data: a', b'', b'id: 2')))
+    >>> splitter.feed(end.join((b'id: 1', b'data: a', b'', b'id: 2')))
     ... # doctest: +ELLIPSIS
     b'id: 1...data: a...'
     >>> splitter.last, splitter.rest
@@ -39,8 +41,8 @@
         self.last = b''
         self.rest = b''
 
-    def whole(self, data):
-        """Return the bytes up to the end of the last whole event."""
+    def feed(self, data):
+        """Return the bytes up to the end of the last complete event."""
         self.rest += data
         end = self.rest.rfind(_END)
         if end < 0:
