--- a/features/builders/relay.py
+++ b/features/builders/relay.py
@@ -1,4 +1,4 @@
-"""Builders of hosts of one domain that share a reader of the store."""
+"""Builders of hosts of one domain that follow one store reader."""
 
 from random import Random
 
@@ -9,23 +9,23 @@
 from pollenstile.forward import DRAINED, Configuration
 from pollenstile.peer import Unanswered
 from pollenstile.platform import WatchTiming, paused, watch
-from pollenstile.relay import Follower, RelayStore, Source, reader_of
+from pollenstile.relay import Follower, RelayStore, Source, select_reader
 from pollenstile.routes import RouteTable
 from pollenstile.standin.objectapi import MemoryStore
 from pollenstile.standin.reach import ReachedStore
 
 KIND = 'upstreams'
-# As the daemon has them: see its registry's watch.
+# The timing of the daemon's registry watch.
 _TIMING = WatchTiming(2.0, 0.5, 0.05, 20.0, 1.5, 0.15, 0.5)
-_REVOKE = 5.0
-# Seconds for which a word holds in a fleet whose changes have 3 s.
-_WORD_SECONDS = 2.55
+_REVOKE_SECONDS = 5.0
+# Seconds for which an update is valid where the bound on changes is 3 s.
+_UPDATE_VALIDITY_SECONDS = 2.55
 _STEP = 0.005
 _ORDER = ('r', 's')
 
 
 class _CountedStore:
-    """Counts the calls that pass to a store, and notes what is listed."""
+    """Counts the calls of a store and records the listed kinds."""
 
     def __init__(self, store):
         self.store = store
@@ -33,7 +33,7 @@
         self.listed_kinds = []
 
     def listed(self, kind, *args):
-        """Note a list."""
+        """Record and forward a list call."""
         self.calls += 1
         self.listed_kinds.append(kind)
         return self.store.listed(kind, *args)
@@ -44,17 +44,17 @@
 
 
 class Link:
-    """A host's link: what it carries goes one after the other.
+    """Network link of a host that transmits one message after the other.
 
     Attributes
     ==========
 
     rate : float
-        Bytes a second; 0 for a link that takes no time.
+        Bytes a second; 0 for a link without transmission time.
     carried : int
         Bytes of the store's answers.
     largest : int
-        Bytes of the largest one.
+        Bytes of the largest answer.
     """
 
     def __init__(self, clock):
@@ -65,7 +65,7 @@
         self.free_at = 0.0
 
     def carry(self, size):
-        """Return a Deferred that fires when some bytes have come."""
+        """Return a Deferred that fires when some bytes have arrived."""
         begins = max(self.free_at, self.clock.seconds())
         seconds = size / self.rate if self.rate else 0
         self.free_at = begins + seconds
@@ -73,7 +73,7 @@
 
 
 class LinkedStore:
-    """A store whose answers come over a host's link."""
+    """Store whose answers are transmitted over a host's link."""
 
     def __init__(self, store, link):
         self.store = store
@@ -84,19 +84,19 @@
         return getattr(self.store, name)
 
     def is_answering(self):
-        """Return whether an answer is on the link."""
+        """Return whether an answer is being received."""
         return self.arriving > 0
 
     async def get(self, *args):
-        """Carry an object."""
+        """Transmit an object."""
         return await self._carried(self.store.get(*args))
 
     async def listed(self, *args):
-        """Carry a list."""
+        """Transmit a list."""
         return await self._carried(self.store.listed(*args))
 
     async def watched(self, *args):
-        """Carry changes."""
+        """Transmit changes."""
         return await self._carried(self.store.watched(*args))
 
     async def _carried(self, call):
@@ -111,23 +111,23 @@
 
 
 class RelayHost:
-    """One host: its configuration, its upstreams, its relay.
+    """One host with its configuration, watches, source and follower.
 
     Attributes
     ==========
 
     parted : bool
-        Whether it can't reach the store.
+        Whether the host can't reach the store.
     frozen : bool
-        Whether it answers nobody.
+        Whether the host answers no requests.
     gone : bool
-        Whether its peers have lost their links to it.
+        Whether the host's peers have lost their links to it.
     upstreams : dict
-        As its watch has told it.
+        Upstreams reported by the host's watch.
     drained : set of str
-        Drained domains, as its other watch has told it.
+        Drained domains reported by the host's other watch.
     relayed : RelayStore
-        What its watches call.
+        Store that the watches call.
     """
 
     def __init__(self, fleet, name, store=None):
@@ -146,8 +146,8 @@
             clock,
             clock.seconds,
             Random(name),
-            _decoded,
-            _REVOKE,
+            _decode_config,
+            _REVOKE_SECONDS,
             fleet.log,
         )
         self.source = Source(name, clock, clock.seconds, self.configuration)
@@ -156,14 +156,14 @@
             clock.seconds,
             fleet.ask,
             self.configuration,
-            lambda skipped: reader_of(
+            lambda skipped: select_reader(
                 fleet.order,
                 name,
                 lambda one: fleet.is_linked(one) and not skipped(one),
             ),
             fleet.log,
         )
-        self.follower.word_seconds = _WORD_SECONDS
+        self.follower.word_seconds = _UPDATE_VALIDITY_SECONDS
         self.follower.place = lambda: list(fleet.hosts).index(name)
         self.configuration.loop.covered = self.follower.is_following
         self.configuration.loop.followed = self.source.is_followed
@@ -177,9 +177,9 @@
         )
         relayed.is_away = self.configuration.loop.is_failing
         self.relayed = relayed
-        self._watch(fleet, relayed, KIND, self._take)
+        self._watch(fleet, relayed, KIND, self._apply_upstream)
         if fleet.drains:
-            self._watch(fleet, relayed, DRAINED, self._take_drain)
+            self._watch(fleet, relayed, DRAINED, self._apply_drain)
         Deferred.fromCoroutine(self.configuration.loop.run())
         self.follower.start()
 
@@ -195,13 +195,13 @@
         )
         self.source.add(kind, running)
 
-    def _take_drain(self, change):
+    def _apply_drain(self, change):
         self.source.note(change)
         self.drained.add(change.name)
         if change.value is None:
             self.drained.remove(change.name)
 
-    def _take(self, change):
+    def _apply_upstream(self, change):
         self.source.note(change)
         self.upstreams[change.name] = change.value
         if change.value is None:
@@ -209,21 +209,21 @@
 
 
 class RelayFleet:
-    """Hosts of one domain; ``r`` reads for them, then ``s``.
+    """Hosts of one domain; ``r`` is the first reader and ``s`` the second.
 
     Attributes
     ==========
 
     delay : float
-        Seconds of a word's way.
+        Seconds that a message takes in one direction.
     links_at : float
-        On the clock: no host has links before.
+        Time, on the clock, before which no host has links.
     words : list of int
-        Bytes of each that a reader has sent.
+        Bytes of each update that a reader has sent.
     drains : bool
-        Whether hosts watch the drained domains, too.
+        Whether hosts also watch the drained domains.
     logged : list of tuple
-        Names of the events that hosts have logged, and their fields.
+        Names and fields of the events that hosts have logged.
     """
 
     def __init__(self, names, *, drains=False):
@@ -243,56 +243,58 @@
         self.pass_by(3.0)
 
     def write(self, kind, name, value):
-        """Write an object at once."""
+        """Write an object and wait until it is written."""
         done = Deferred.fromCoroutine(self.store.put(kind, name, value))
         while not done.called:
             self.clock.advance(_STEP)
 
     def remove(self, kind, name):
-        """Delete an object at once."""
+        """Delete an object and wait until it is deleted."""
         done = Deferred.fromCoroutine(self.store.delete(kind, name))
         while not done.called:
             self.clock.advance(_STEP)
 
     def pass_by(self, seconds):
-        """Let time pass."""
+        """Advance the clock in small steps."""
         for _ in range(round(seconds / _STEP)):
             self.clock.advance(_STEP)
 
     def is_linked(self, name):
-        """Return whether hosts can ask another one."""
+        """Return whether hosts can send requests to another one."""
         linked = self.clock.seconds() >= self.links_at
         return linked and name in self.hosts and not self.hosts[name].gone
 
     def ask(self, name, subject, body, seconds):
-        """Carry an ask and its answer, each on its way for a while."""
+        """Deliver a request and its answer, each after the delay."""
         answer = Deferred()
         answer.addTimeout(
             seconds,
             self.clock,
             onTimeoutCancel=lambda *_: Unanswered('ask', name, 'timeout'),
         )
-        self.clock.callLater(self.delay, self._arrive, name, body, answer)
+        self.clock.callLater(
+            self.delay, self._deliver_request, name, body, answer
+        )
         return answer
 
     def log(self, event, level='info', **fields):
-        """Note a log line."""
+        """Record a log line."""
         self.logged.append((event.name, fields))
 
-    def _arrive(self, name, body, answer):
+    def _deliver_request(self, name, body, answer):
         host = self.hosts[name]
         if host.frozen or host.gone:
             return
-        told = host.source.answer('asker', body)
-        told.addCallback(self._send_back, host, answer)
+        encoded = host.source.answer('asker', body)
+        encoded.addCallback(self._deliver_answer, host, answer)
 
-    def _send_back(self, word, host, answer):
+    def _deliver_answer(self, update, host, answer):
         if host.frozen:
             return
-        self.words.append(len(word))
-        carried = host.link.carry(len(word))
+        self.words.append(len(update))
+        carried = host.link.carry(len(update))
         carried.addCallback(
-            lambda _: self.clock.callLater(self.delay, _fire, answer, word)
+            lambda _: self.clock.callLater(self.delay, _fire, answer, update)
         )
 
 
@@ -307,7 +309,7 @@
     return {'version': version, 'routes': rows}
 
 
-def _decoded(value):
+def _decode_config(value):
     if isinstance(value, dict):
         return RouteTable(value['version'])
     if not isinstance(value, int):
@@ -315,6 +317,6 @@
     return RouteTable(value)
 
 
-def _fire(answer, word):
+def _fire(answer, update):
     if not answer.called:
-        answer.callback(word)
+        answer.callback(update)
--- a/features/steps/lag_steps.py
+++ b/features/steps/lag_steps.py
@@ -1,4 +1,4 @@
-"""Steps of whole hosts of a domain whose readers or store fail."""
+"""Steps of complete hosts of a domain whose readers or store fail."""
 
 from collections import Counter
 
@@ -7,11 +7,15 @@
 
 from pollenstile.bench._domainworld import DomainWorld
 from pollenstile.bench.lag import lag_of
-from pollenstile.relay._messages import Word, word_bytes, word_from
+from pollenstile.relay._messages import (
+    RelayUpdate,
+    encode_update,
+    decode_update,
+)
 
 _MS = 1000
-# Seconds after which a host that reads for itself has settled.
-_LOOKED_BACK = 12.0
+# Length of the interval, at the end of a run, in which hosts must have settled.
+_SETTLED_SECONDS = 12.0
 
 
 @given('a domain of {hosts:d} hosts')
@@ -19,12 +23,14 @@
     context.world = DomainWorld(hosts, apply_seconds=3.0, leave_seconds=3.0)
 
 
-def _counted(ask, unfit):
-    """Return an ask that counts who answers that it has no store."""
+def _count_no_store(ask, no_store_answers):
+    """Return an ``ask`` that counts the answers of peers without the store."""
 
     def count(answer, peer):
-        is_word = isinstance(answer, bytes)
-        unfit[peer] += is_word and not word_from(answer).fit
+        is_update = isinstance(answer, bytes)
+        no_store_answers[peer] += (
+            is_update and not decode_update(answer).has_store
+        )
         return answer
 
     return lambda peer, *rest: ask(peer, *rest).addCallback(count, peer)
@@ -32,16 +38,18 @@
 
 @when('the store refuses its readers, and {seconds:g} seconds pass')
 def when_readers_refused(context, seconds):
-    context.unfit = {name: Counter() for name in context.world.hosts}
-    for name, asking in context.world.hosts.items():
-        relay = asking.daemon.parts.relay
-        relay.follower.ask = _counted(relay.follower.ask, context.unfit[name])
+    context.no_store_answers = {name: Counter() for name in context.world.hosts}
+    for name, host in context.world.hosts.items():
+        relay = host.daemon.parts.relay
+        relay.follower.ask = _count_no_store(
+            relay.follower.ask, context.no_store_answers[name]
+        )
     for host in context.world.readers():
         host.path.refuses = True
     context.world.pass_by(seconds)
 
 
-@when('the store {fault} all, and {seconds:g} seconds pass')
+@when('the store {fault} all hosts, and {seconds:g} seconds pass')
 def when_all_lost(context, fault, seconds):
     for host in context.world.hosts.values():
         host.path.refuses = fault == 'refuses'
@@ -51,8 +59,7 @@
 
 
 @when(
-    "a configuration that can't be used is written, and {seconds:g} seconds"
-    ' pass'
+    'an invalid configuration is written, and {seconds:g} seconds pass',
 )
 def when_unusable(context, seconds):
     alone = DomainWorld(1, **context.world.bounds)
@@ -73,9 +80,9 @@
 def when_lags(context, seconds):
     host = list(context.world.hosts.values())[-1]
     revision = host.configuration.revision
-    word = Word('reader', fit=True, config_revision=revision - 1)
+    update = RelayUpdate('reader', has_store=True, config_revision=revision - 1)
     relay = host.daemon.parts.relay
-    relay.follower.ask = lambda *_: succeed(word_bytes(word))
+    relay.follower.ask = lambda *_: succeed(encode_update(update))
     ages = []
     context.world.pass_by(
         seconds, lambda: ages.append(host.configuration.age())
@@ -83,15 +90,15 @@
     context.oldest = max(ages)
 
 
-@then('its proof was never over {seconds:g} seconds old')
+@then('its verification was never over {seconds:g} seconds old')
 def then_never_older(context, seconds):
     assert context.oldest <= seconds, context.oldest
 
 
-@then('no host has gone back to a reader more than {most:d} times')
+@then('no host has switched back to a reader more than {most:d} times')
 def then_steady(context, most):
     logged = context.world.logged
-    began = context.world.clock.seconds() - _LOOKED_BACK
+    began = context.world.clock.seconds() - _SETTLED_SECONDS
     back = Counter(
         host
         for at, host, event, _ in logged
@@ -108,7 +115,7 @@
     assert each <= 1.25 * alone, context.calls
 
 
-@then('all other hosts but one follow that one')
+@then('one of the other hosts reads the store and the rest follow it')
 def then_one_followed(context):
     others = context.world.in_touch()
     followed = [host.following for host in others]
@@ -118,35 +125,36 @@
 
 
 @then(
-    'each other host has heard at most {most:d} times that each of them has no'
-    ' store'
+    'each other host has received at most {most:d} answers of each of them that'
+    ' it has no store'
 )
 def then_rarely(context, most):
     readers = [host.name for host in context.world.readers()]
     for name in context.world.hosts.keys() - set(readers):
-        heard = [context.unfit[name][reader] for reader in readers]
-        assert 0 < max(heard) <= most, (name, heard)
+        counts = [context.no_store_answers[name][reader] for reader in readers]
+        assert 0 < max(counts) <= most, (name, counts)
 
 
-@then('no follower has asked it for anything but the configuration')
+@then('no follower has read anything but the configuration from it')
 def then_only_configuration(context):
     _, *followers = context.world.hosts.values()
     for host in followers:
         assert set(host.path.kinds) <= {'config'}, (host.name, host.path.kinds)
 
 
-@when('"{fault}" comes over a domain of {hosts:d} hosts')
+@when('the fault "{fault}" affects a domain of {hosts:d} hosts')
 def when_fault(context, fault, hosts):
     context.lags = [lag_of(hosts, fault)]
 
 
-@when('"{fault}" comes over a domain of each of {sizes} hosts')
+@when('the fault "{fault}" affects domains of {sizes} hosts each')
 def when_faults(context, fault, sizes):
     context.lags = [lag_of(int(hosts), fault) for hosts in sizes.split(',')]
 
 
 @then(
-    'each host in touch with the store had each change within {bound:g} seconds'
+    'each host that reaches the store applied each change within {bound:g}'
+    ' seconds'
 )
 def then_in_time(context, bound):
     for lag in context.lags:
@@ -155,8 +163,7 @@
 
 
 @then(
-    'it knew of upstreams that leave and of drained domains within {bound:g}'
-    ' seconds'
+    'it applied leaving upstreams and drained domains within {bound:g} seconds',
 )
 def then_known_in_time(context, bound):
     for lag in context.lags:
@@ -164,7 +171,7 @@
         assert lag.drain_ms <= bound * _MS, lag
 
 
-@then('no host refused requests for want of a newer configuration')
+@then('no host refused requests because its configuration was too old')
 def then_none_refused(context):
     for lag in context.lags:
         assert lag.refusing_ms == 0, lag
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -1,4 +1,4 @@
-"""Steps of hosts that share a reader of the store."""
+"""Steps of hosts of one domain that follow one store reader."""
 
 from types import SimpleNamespace
 
@@ -29,7 +29,7 @@
     context.fleet.pass_by(seconds)
 
 
-@when('the upstream "{name}" comes and "{gone}" is removed')
+@when('the upstream "{name}" is added and "{gone}" is removed')
 def when_changed(context, name, gone):
     context.fleet.write(KIND, name, {'state': 'ready'})
     context.fleet.remove(KIND, gone)
@@ -49,15 +49,15 @@
     context.fleet.remove(KIND, name)
 
 
-@when('words take {seconds:g} seconds each way')
+@when('messages take {seconds:g} seconds in each direction')
 def when_slow(context, seconds):
     context.fleet.delay = seconds
     context.fleet.pass_by(2)
 
 
 @when(
-    '{seconds:g} seconds of relaying pass, and each proof is compared with the'
-    " reader's"
+    '{seconds:g} seconds of relaying pass, and each verification time is'
+    " compared with the reader's"
 )
 def when_compared(context, seconds):
     context.younger = []
@@ -74,7 +74,7 @@
             context.oldest = max(context.oldest, age)
 
 
-@then("no follower's proof was ever younger than the newest of the reader's")
+@then("no follower's verification time was ever later than the reader's")
 def then_none_younger(context):
     assert not context.younger, context.younger[:3]
 
@@ -104,36 +104,39 @@
     configuration.take(found, context.fleet.clock.seconds())
 
 
-@when('the upstream "{name}" comes as the reader freezes')
+@when('the upstream "{name}" is added as the reader freezes')
 def when_frozen(context, name):
     context.fleet.write(KIND, name, {'state': 'ready'})
     context.fleet.hosts['r'].frozen = True
 
 
-@when('the reader wakes and the upstream "{name}" comes')
+@when('the reader resumes and the upstream "{name}" is added')
 def when_woken(context, name):
     context.fleet.hosts['r'].frozen = False
     context.fleet.write(KIND, name, {'state': 'ready'})
 
 
-@when('"{name}" is kept from asking while {count:d} upstreams come and go')
+@when(
+    '"{name}" can not send requests while {count:d} upstreams are added or'
+    ' removed'
+)
 def when_many(context, name, count):
-    asked = context.fleet.hosts[name].follower
-    ask = asked.ask
-    asked.ask = lambda *_: succeed(b'')
+    follower = context.fleet.hosts[name].follower
+    ask = follower.ask
+    follower.ask = lambda *_: succeed(b'')
     for number in range(count // 2):
         context.fleet.write(KIND, f'n{number}', {'state': 'ready'})
         context.fleet.remove(KIND, f'n{number}')
-    asked.ask = ask
+    follower.ask = ask
 
 
-@when('a part of "{name}" fails at its next word')
+@when('"{name}" raises an exception when it applies its next update')
 def when_part_fails(context, name):
     configuration = context.fleet.hosts[name].configuration
 
-    def fail_once(word, began):
+    def fail_once(update, began):
         context.fleet.hosts[name].follower.configuration = configuration
-        raise KeyError(word.source)
+        raise KeyError(update.source)
 
     context.fleet.hosts[name].follower.configuration = SimpleNamespace(
         told=fail_once,
@@ -141,10 +144,10 @@
     )
 
 
-@when('"{name}" gets bytes in place of a word')
+@when('"{name}" receives malformed bytes instead of an update')
 def when_bytes(context, name):
-    asked = context.fleet.hosts[name].follower
-    asked.ask = lambda *_: succeed(b'\x00\x01no word')
+    follower = context.fleet.hosts[name].follower
+    follower.ask = lambda *_: succeed(b'\x00\x01no update')
 
 
 @then('"{names}" called the store {count:d} times in them')
@@ -200,7 +203,7 @@
         assert context.fleet.hosts[name].follower.following == reader, name
 
 
-@then('"{name}" reads for itself')
+@then('"{name}" reads the store itself')
 def then_reads(context, name):
     assert not context.fleet.hosts[name].follower.following
 
@@ -213,7 +216,7 @@
 
 @when(
     '"{name}" starts, has links {seconds:g} seconds later, and {count:d}'
-    ' upstreams come meanwhile'
+    ' upstreams are added meanwhile'
 )
 def when_starts(context, name, seconds, count):
     fleet = context.fleet
@@ -247,14 +250,16 @@
     assert len(called) <= most, called
 
 
-@when('the store answers all again and {seconds:g} seconds of relaying pass')
+@when(
+    'the store answers all hosts again and {seconds:g} seconds of relaying pass'
+)
 def when_regained(context, seconds):
     for host in context.fleet.hosts.values():
         host.parted = False
     context.fleet.pass_by(seconds)
 
 
-@when('the store answers nobody any more, and {seconds:g} seconds pass')
+@when('the store stops answering watches, and {seconds:g} seconds pass')
 def when_silent(context, seconds):
     context.fleet.store.silent_watches = True
     context.fleet.pass_by(seconds)
@@ -262,10 +267,10 @@
 
 @then('hosts have logged "{event}" with "{names}"')
 def then_logged(context, event, names):
-    fields = [had for name, had in context.fleet.logged if name == event]
-    assert fields, sorted({name for name, _ in context.fleet.logged})
-    for had in fields:
-        assert all(had[name] >= 0 for name in names.split(',')), had
+    lines = [fields for name, fields in context.fleet.logged if name == event]
+    assert lines, sorted({name for name, _ in context.fleet.logged})
+    for fields in lines:
+        assert all(fields[name] >= 0 for name in names.split(',')), fields
 
 
 @then('all keys are trusted')
--- a/pollenstile/relay/__init__.py
+++ b/pollenstile/relay/__init__.py
@@ -1,12 +1,12 @@
-"""What a host has read of the store, told to the hosts of its domain."""
+"""Relaying of store reads from one host to the others of its domain."""
 
 from pollenstile.relay._follower import Follower
 from pollenstile.relay._messages import (
-    Asked,
     Cursor,
-    KindNews,
-    Word,
+    KindUpdate,
+    RelayRequest,
+    RelayUpdate,
 )
-from pollenstile.relay._reader import Readers, reader_of
+from pollenstile.relay._reader import Readers, select_reader
 from pollenstile.relay._source import ASK, Source
 from pollenstile.relay._store import RelayStore
--- a/pollenstile/relay/_follower.py
+++ b/pollenstile/relay/_follower.py
@@ -1,4 +1,4 @@
-"""A host that takes the store's news from the reader of its domain."""
+"""Long polling of the domain's store reader for changes."""
 
 from dataclasses import replace
 
@@ -9,60 +9,62 @@
 from pollenstile.platform import paused
 from pollenstile.relay import events
 from pollenstile.relay._messages import (
-    Asked,
+    RelayRequest,
     Cursor,
-    asked_bytes,
-    config_from,
-    word_from,
+    encode_request,
+    decode_config,
+    decode_update,
 )
 from pollenstile.relay._skipping import SkippedReaders
 from pollenstile.relay._source import ASK
 
-# Seconds for which a reader holds an ask while there is nothing new, and for
-# which its answer may be late. Together they are the time within which a reader
-# that is frozen or cut off is noticed; this host then reads for itself, well
-# within the 2 s in which it must know of an upstream that leaves.
-_HOLD = 0.6
-_LATE = 0.4
-# Seconds for which a word holds where nothing else is said.
-_WORD_SECONDS = 1.7
-# Words in a row that a reader has no store after which it is passed over. One
-# that has just become the reader says so until its first read is answered.
-_UNFIT_WORDS = 2
-# Seconds for each place in the domain's order by which a host goes to the store
-# later when the readers are there and the store does not answer them: it will
-# hardly answer this one, and each call of 31 hosts counts. Whoever has found it
-# to answer is the reader by the time that most turns come.
-_TURN_SECONDS = 0.15
-# Seconds between looks for a reader while there is none, or none that is fit.
-_LOOK = 0.2
-# Seconds between two asks at least: a burst of changes is taken in few.
-_LEAST_PAUSE = 0.05
+# Seconds for which a reader holds a request while nothing has changed, and for
+# which its answer may be late. Their sum is the time to detect a frozen or
+# unreachable reader; this host then reads the store itself, well within the 2 s
+# in which it must know that an upstream is leaving.
+_HOLD_SECONDS = 0.6
+_LATE_SECONDS = 0.4
+# Default seconds for which an update stays valid.
+_UPDATE_VALIDITY_SECONDS = 1.7
+# A reader is skipped after this many answers in a row that it has no store. A
+# host that has just become the reader reports this until its first read is
+# answered.
+_MAX_NO_STORE_ANSWERS = 2
+# Delay per rank in the domain's order before a host reads the store itself
+# while the readers are up and the store does not answer them: it is unlikely to
+# answer this host, and the calls of 31 hosts add up. A host that the store
+# answers becomes the reader before most delays are over.
+_RANK_DELAY_SECONDS = 0.15
+# Seconds between checks for a reader while none can be followed.
+_CHECK_SECONDS = 0.2
+# Minimum seconds between two requests, so that few of them fetch a burst of
+# changes.
+_MIN_PAUSE_SECONDS = 0.05
 _MS = 1000
 
 
 _NO_STORE = 'reader without store'
-_TOO_OLD = 'word too old'
+_EXPIRED = 'word too old'
 
 
 class Follower:
-    """Asks the reader over and over, and hands on what is new.
+    """Polls the reader of the domain and applies its updates.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        Paces the asks.
+        Schedules the requests.
     suspend_clock : function
         Returns seconds, suspended time included.
     ask : function
         Takes a host, a subject, a body and seconds; returns a Deferred of
         bytes or :class:`~pollenstile.peer.Unanswered`.
     configuration : Configuration
-        Takes tables and proofs.
+        Receives tables and verification times.
     reader : function
-        Takes a function that says of a host whether it is passed over; returns
-        the host to follow, or None to read the store.
+        Takes a function that returns whether a host is skipped; returns the
+        host to follow, or None to read the store.
     log : function
         Writes events.
 
@@ -70,32 +72,37 @@
     ==========
 
     following : str
-        The host whose word was taken last; empty while this host reads.
+        Host whose update was applied last; empty while this host reads the
+        store itself.
     source : str
-        Its incarnation.
+        Incarnation of that host.
     skipped : SkippedReaders
         Readers that failed.
     direct_at : float
-        On the suspend clock: when this host began to read the store last.
-    is_unfit : bool
-        Whether the last reader that failed has no store itself.
-    turn_at : float
-        On the clock: when this host reads the store then; 0 while there is a
-        reader to ask.
+        Time, on the suspend clock, at which this host last began to read the
+        store itself.
+    on_direct : list of function
+        Called when this host begins to read the store itself.
+    reader_lacks_store : bool
+        Whether the last reader that failed had no store itself.
+    read_turn_at : float
+        Time, on the clock, at which this host reads the store while no reader
+        has it; 0 while a reader answers.
     place : function
-        Returns this host's place in the domain's order.
-    needs_whole : bool
-        Whether the next ask is for the whole configuration.
+        Returns the rank of this host in the domain's order.
+    needs_full_config : bool
+        Whether the next request is for the full configuration.
     word_seconds : float
-        For so long after its date this host goes by a reader's word.
-    word_ends : float
-        On the suspend clock: until when the last word holds.
-    word_timer : IDelayedCall or None
-        Ends the following then.
+        Seconds after its date for which a reader's update is valid.
+    expires_at : float
+        Time, on the suspend clock, at which the last update expires.
+    expiry_timer : IDelayedCall or None
+        Timer of that time.
     numbers : dict
-        The newest change that was taken of each kind, as the source counts.
-    feeds : dict
-        Functions that take a kind's :class:`KindNews`.
+        Number of the newest applied change of each kind, as counted by the
+        source.
+    kind_handlers : dict
+        Function that applies a :class:`KindUpdate`, by kind.
     """
 
     __slots__ = (
@@ -103,24 +110,24 @@
         'clock',
         'configuration',
         'direct_at',
-        'feeds',
+        'expires_at',
+        'expiry_timer',
         'following',
-        'is_unfit',
+        'kind_handlers',
         'log',
-        'needs_whole',
+        'needs_full_config',
+        'no_store_answers',
         'numbers',
         'on_direct',
         'place',
+        'read_turn_at',
         'reader',
+        'reader_lacks_store',
         'running',
         'skipped',
         'source',
         'suspend_clock',
-        'turn_at',
-        'unfit_words',
-        'word_ends',
         'word_seconds',
-        'word_timer',
     )
 
     def __init__(
@@ -141,103 +148,112 @@
         self.following = ''
         self.source = ''
         self.numbers = {}
-        self.feeds = {}
+        self.kind_handlers = {}
         self.on_direct = []
         self.direct_at = -1000.0
         self.skipped = SkippedReaders(clock)
-        self.unfit_words = 0
-        self.is_unfit = False
-        self.turn_at = 0.0
-        self.place = _first
-        self.needs_whole = False
-        self.word_seconds = _WORD_SECONDS
-        self.word_ends = 0.0
-        self.word_timer = None
+        self.no_store_answers = 0
+        self.reader_lacks_store = False
+        self.read_turn_at = 0.0
+        self.place = _first_rank
+        self.needs_full_config = False
+        self.word_seconds = _UPDATE_VALIDITY_SECONDS
+        self.expires_at = 0.0
+        self.expiry_timer = None
         self.running = True
 
     def start(self):
-        """Follow from now on."""
+        """Start to follow a reader."""
         return Deferred.fromCoroutine(self._run())
 
     def stop(self):
-        """Ask no more."""
+        """Send no more requests."""
         self.running = False
-        if self.word_timer is not None and self.word_timer.active():
-            self.word_timer.cancel()
+        if self.expiry_timer is not None and self.expiry_timer.active():
+            self.expiry_timer.cancel()
 
     def is_following(self):
-        """Return whether another host's word makes own reads needless."""
+        """Return whether updates of another host replace own reads."""
         return bool(self.following)
 
-    def forget(self, kind):
-        """Ask for all objects of a kind with the next ask."""
+    def request_full(self, kind):
+        """Request all objects of a kind with the next request."""
         self.numbers.pop(kind, None)
 
     async def _run(self):
         while self.running:
             host = self.reader(self.skipped.is_skipped)
-            if host is None and self._may_read():
+            if host is None and self._is_read_turn():
                 self._read_directly('no reader')
             if host is None:
-                await paused(self.clock, self._look())
+                await paused(self.clock, self._check_delay())
                 continue
             settled = await self._ask_once(host)
-            await paused(self.clock, _LEAST_PAUSE if settled else _LOOK)
+            await paused(
+                self.clock,
+                _MIN_PAUSE_SECONDS if settled else _CHECK_SECONDS,
+            )
 
-    def _may_read(self):
-        """Return whether it is this host's turn to read the store."""
-        if not self.is_unfit:
+    def _is_read_turn(self):
+        """Return whether this host may read the store now."""
+        if not self.reader_lacks_store:
             return True
         now = self.clock.seconds()
-        if not self.turn_at:
-            before = max(0, self.place() - self.skipped.count())
-            wait = _TURN_SECONDS * before
-            self.turn_at = now + wait
+        if not self.read_turn_at:
+            rank = max(0, self.place() - self.skipped.count())
+            wait = _RANK_DELAY_SECONDS * rank
+            self.read_turn_at = now + wait
             self.log(
                 events.READ_TURN,
-                place=before,
+                place=rank,
                 wait_ms=int(wait * _MS),
                 age_ms=self.configuration.age_ms(),
             )
-        return now >= self.turn_at
+        return now >= self.read_turn_at
 
-    def _look(self):
-        """Return seconds until it is worth looking for a reader again."""
-        turn = self.turn_at - self.clock.seconds()
-        return min(_LOOK, turn) if turn > 0 else _LOOK
+    def _check_delay(self):
+        """Return seconds until the next check for a reader."""
+        turn = self.read_turn_at - self.clock.seconds()
+        return min(_CHECK_SECONDS, turn) if turn > 0 else _CHECK_SECONDS
 
     async def _ask_once(self, host):
-        """Ask a reader; return whether its word was taken, or it is skipped."""
+        """Ask a reader; return whether it answered validly or is skipped."""
         began = self.suspend_clock()
         cursors = tuple(
-            Cursor(kind, self.numbers.get(kind, 0)) for kind in self.feeds
+            Cursor(kind, self.numbers.get(kind, 0))
+            for kind in self.kind_handlers
+        )
+        revision = 0 if self.needs_full_config else self.configuration.revision
+        request = RelayRequest(self.source, revision, cursors, _HOLD_SECONDS)
+        answer = await self.ask(
+            host,
+            ASK,
+            encode_request(request),
+            _HOLD_SECONDS + _LATE_SECONDS,
         )
-        revision = 0 if self.needs_whole else self.configuration.revision
-        asked = Asked(self.source, revision, cursors, _HOLD)
-        answer = await self.ask(host, ASK, asked_bytes(asked), _HOLD + _LATE)
         try:
-            reason = self._took(host, answer, began)
+            reason = self._apply_answer(host, answer, began)
         except Exception as error:
-            # A fault here must not end the asks: the host would count as
-            # following for good, read nothing itself, and refuse all keys.
+            # An exception here must not end the requests: the host would count
+            # as following forever, read nothing itself and refuse all keys.
             reason = repr(error)
         if not reason:
-            self.unfit_words = 0
-            self.is_unfit = False
-            self.turn_at = 0.0
-            self.skipped.forgive(host)
+            self.no_store_answers = 0
+            self.reader_lacks_store = False
+            self.read_turn_at = 0.0
+            self.skipped.clear(host)
             return True
-        return self._failed(host, reason)
+        return self._handle_failure(host, reason)
 
-    def _failed(self, host, reason):
-        """Return whether a reader that failed is passed over now."""
+    def _handle_failure(self, host, reason):
+        """Record a reader's failure; return whether it is skipped now."""
         is_new = not self.skipped.has_failed(host)
         if reason == _NO_STORE:
-            self.is_unfit = True
-            self.unfit_words += 1
-            if is_new and self.unfit_words < _UNFIT_WORDS:
+            self.reader_lacks_store = True
+            self.no_store_answers += 1
+            if is_new and self.no_store_answers < _MAX_NO_STORE_ANSWERS:
                 return False
-        self.unfit_words = 0
+        self.no_store_answers = 0
         self.skipped.skip(host)
         self.log(
             events.READER_SKIPPED,
@@ -247,72 +263,77 @@
         )
         return True
 
-    def _took(self, host, answer, began):
-        """Take an answer; return why it can't be used, or nothing."""
+    def _apply_answer(self, host, answer, began):
+        """Apply an answer; return why it can't be used, or an empty string."""
         if isinstance(answer, Unanswered):
             return answer.reason
         try:
-            word = word_from(answer)
+            update = decode_update(answer)
         except BadMessageError as error:
             return str(error)
-        if not word.fit:
+        if not update.has_store:
             return _NO_STORE
-        word = self._unpatched(word)
-        # A patch that does not fit leads to an ask for the whole.
-        self.needs_whole = word is None
-        if word is None:
+        update = self._expand_patch(update)
+        # When the patch does not fit, the next request is for the full text.
+        self.needs_full_config = update is None
+        if update is None:
             return ''
-        told = self.configuration.told(word, began)
-        if told and word.aged < self.word_seconds:
-            self._follow(host, word)
-            self._hold_until(began - word.aged + self.word_seconds)
+        is_accepted = self.configuration.told(update, began)
+        if is_accepted and update.aged < self.word_seconds:
+            self._apply_update(host, update)
+            self._set_expiry(began - update.aged + self.word_seconds)
             return ''
-        return _TOO_OLD if told else 'configuration not told'
+        return _EXPIRED if is_accepted else 'configuration not told'
 
-    def _hold_until(self, ends):
-        """Go by the word until a moment on the suspend clock, not longer.
+    def _set_expiry(self, expires_at):
+        """Set the time on the suspend clock at which the update expires.
 
         Explanation
         ===========
 
-        Whatever keeps the next word away, this host is at the store again in
-        time for the bounds: readers that are passed over one by one, asks that
-        hang, or a turn that is far off in a large domain.
+        The expiry makes this host read the store itself in time for its bounds
+        when the next update is delayed: by readers that are skipped one by
+        one, by requests that hang, or by a long delay per rank in a large
+        domain.
         """
-        if self.word_timer is not None and self.word_timer.active():
-            self.word_timer.cancel()
-        self.word_ends = ends
-        left = max(0, ends - self.suspend_clock())
-        self.word_timer = self.clock.callLater(left, self._word_ended)
-
-    def _word_ended(self):
-        # A word that came while the process stood still is taken before the
-        # next call.
-        self.word_timer = self.clock.callLater(0, self._look_again)
-
-    def _look_again(self):
-        if self.suspend_clock() >= self.word_ends:
-            self._read_directly(_TOO_OLD)
-
-    def _follow(self, host, word):
+        if self.expiry_timer is not None and self.expiry_timer.active():
+            self.expiry_timer.cancel()
+        self.expires_at = expires_at
+        remaining = max(0, expires_at - self.suspend_clock())
+        self.expiry_timer = self.clock.callLater(
+            remaining, self._schedule_expiry_check
+        )
+
+    def _schedule_expiry_check(self):
+        # An update that arrived while the process was suspended is applied
+        # before the next delayed call.
+        self.expiry_timer = self.clock.callLater(0, self._check_expiry)
+
+    def _check_expiry(self):
+        if self.suspend_clock() >= self.expires_at:
+            self._read_directly(_EXPIRED)
+
+    def _apply_update(self, host, update):
         if self.following != host:
             self.log(events.READER_FOLLOWED, peer=host)
         self.following = host
-        if self.source != word.source:
-            self.source = word.source
+        if self.source != update.source:
+            self.source = update.source
             self.numbers = {}
-        for news in word.news:
-            self.numbers[news.kind] = news.number
-            self.feeds[news.kind](news)
-
-    def _unpatched(self, word):
-        """Return a word with the whole for a patch; None if that fails."""
-        if word.patch is None:
-            return word
-        text = patched(self.configuration.text, word.patch)
+        for kind_update in update.news:
+            self.numbers[kind_update.kind] = kind_update.number
+            self.kind_handlers[kind_update.kind](kind_update)
+
+    def _expand_patch(self, update):
+        """Return an update with its patch applied; None if that fails."""
+        if update.patch is None:
+            return update
+        text = patched(self.configuration.text, update.patch)
         if text is None:
             return None
-        return replace(word, config=config_from(word.config_revision, text))
+        return replace(
+            update, config=decode_config(update.config_revision, text)
+        )
 
     def _read_directly(self, reason):
         if not self.following:
@@ -329,5 +350,5 @@
             listener()
 
 
-def _first():
+def _first_rank():
     return 0
--- a/pollenstile/relay/_messages.py
+++ b/pollenstile/relay/_messages.py
@@ -1,4 +1,4 @@
-"""What followers ask and what they are told, and the encoding of both."""
+"""Requests of followers, updates for them, and the encoding of both."""
 
 import pathlib
 from dataclasses import dataclass
@@ -16,35 +16,36 @@
 from pollenstile.platform import Change, Found
 
 _MS = 1000
-# A frame between peers has room for a value of the store's largest size and
-# not for two; a configuration over this is read from the store instead.
-_LARGEST_CONFIG = 600_000
+# A frame between peers fits one value of the store's largest size and not two;
+# a follower reads a configuration above this size from the store instead.
+_MAX_CONFIG_BYTES = 600_000
 _schema = loaded_schema(pathlib.Path(__file__).with_name('messages.capnp'))
 
 
 @dataclass(slots=True, frozen=True)
 class Cursor:
-    """The newest change of a kind that an asker has taken; 0 for none."""
+    """Number of the newest change of a kind that the requester has; 0: none."""
 
     kind: str
     number: int
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
-    """What a follower has.
+class RelayRequest:
+    """Request of a follower for changes that it does not have.
 
     Parameters
     ==========
 
     source : str
-        Incarnation whose numbers the cursors have.
+        Incarnation of the source that assigned the cursor numbers.
     config_revision : int
-        Of the configuration in force at the follower.
+        Revision of the configuration in force at the follower.
     cursors : tuple of Cursor
-        What it has of each kind.
+        Position of the follower in the changes of each kind.
     hold : float
-        Seconds for which the answer may be held while nothing is new.
+        Seconds for which the source may hold the answer while nothing has
+        changed.
     """
 
     source: str
@@ -54,130 +55,135 @@
 
 
 @dataclass(slots=True, frozen=True)
-class KindNews:
+class KindUpdate:
     """Changes of one kind of objects.
 
     Parameters
     ==========
 
     number : int
-        Of the newest change, as the source counts them.
+        Number of the newest change, as counted by the source.
     revision : int
-        The store's, up to which the source knows the kind.
-    whole : bool
-        Whether the changes are all objects that there are.
+        Store revision up to which the source knows the kind.
+    is_full : bool
+        Whether the changes are the full list of objects.
     changes : tuple of Change
-        In their order; of a whole list, the objects.
+        Changes in their order, or all objects of a full list.
     """
 
     kind: str
     number: int
     revision: int
-    whole: bool
+    is_full: bool
     changes: tuple[Change, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Word:
-    """What a source knows.
+class RelayUpdate:
+    """Changes and configuration that a source sends to a follower.
 
     Parameters
     ==========
 
-    fit : bool
-        Whether the source has heard from the store lately.
+    has_store : bool
+        Whether the store has answered the source recently.
     aged : float
-        Seconds since its proof of the configuration was true, less those for
-        which it held the ask: counted back from when the ask was sent, the
-        proof is never dated too late.
+        Seconds since the source verified its configuration, less those for
+        which it held the request. Subtracted from the time at which the
+        request was sent, they never give a verification time that is too late.
     config_revision : int
-        Of the proven configuration.
+        Revision of the verified configuration.
     config : Found or None
-        The configuration, if the asker's is older.
+        The configuration, if the requester's is older.
+    news : tuple of KindUpdate
+        Changes of each kind.
     patch : Patch or None
-        In its place, where the source knows what the asker has.
+        Replaces the configuration where the source knows the requester's text.
     seen : int
-        The store's revision up to which the source knows the configuration;
-        0 when the asker can't go on from there.
+        Store revision up to which the source knows the configuration; 0 when
+        the requester can't continue from it.
     """
 
     source: str
-    fit: bool
+    has_store: bool
     aged: float = 0.0
     config_revision: int = 0
     config: Found | None = None
-    news: tuple[KindNews, ...] = ()
+    news: tuple[KindUpdate, ...] = ()
     patch: Patch | None = None
     seen: int = 0
 
 
-def asked_bytes(asked):
-    """Return an ask's encoding."""
+def encode_request(request):
+    """Return the encoding of a request."""
     return _schema.Asked.new_message(
-        source=asked.source,
-        configRevision=asked.config_revision,
+        source=request.source,
+        configRevision=request.config_revision,
         cursors=[
-            {'kind': one.kind, 'number': one.number} for one in asked.cursors
+            {'kind': cursor.kind, 'number': cursor.number}
+            for cursor in request.cursors
         ],
-        holdMs=int(asked.hold * _MS),
+        holdMs=int(request.hold * _MS),
     ).to_bytes()
 
 
-def asked_from(encoded):
-    """Return an ask; raise BadMessageError when the bytes hold none."""
+def decode_request(encoded):
+    """Return a request; raise BadMessageError for malformed bytes."""
 
     def build(reader):
-        return Asked(
+        return RelayRequest(
             reader.source,
             reader.configRevision,
-            tuple(Cursor(one.kind, one.number) for one in reader.cursors),
+            tuple(
+                Cursor(cursor.kind, cursor.number) for cursor in reader.cursors
+            ),
             reader.holdMs / _MS,
         )
 
     return decoded(_schema.Asked, encoded, build)
 
 
-def word_bytes(word):
-    """Return a word's encoding; ages are rounded up."""
+def encode_update(update):
+    """Return the encoding of an update; ages are rounded up."""
     config = b''
-    if word.config is not None:
-        config = msgspec.json.encode(word.config.value)
-    if len(config) > _LARGEST_CONFIG:
+    if update.config is not None:
+        config = msgspec.json.encode(update.config.value)
+    if len(config) > _MAX_CONFIG_BYTES:
         config = b''
     message = _schema.Word.new_message(
-        source=word.source,
-        fit=word.fit,
-        agedMs=int(word.aged * _MS) + 1,
-        configRevision=word.config_revision,
+        source=update.source,
+        fit=update.has_store,
+        agedMs=int(update.aged * _MS) + 1,
+        configRevision=update.config_revision,
         config=config,
-        news=[_news_row(one) for one in word.news],
-        seen=word.seen,
+        news=[_kind_update_fields(kind_update) for kind_update in update.news],
+        seen=update.seen,
     )
-    if word.patch is not None:
-        message.patch = patch_fields(word.patch)
+    if update.patch is not None:
+        message.patch = patch_fields(update.patch)
     return message.to_bytes()
 
 
-def config_from(revision, text):
-    """Return a configuration; raise BadMessageError when its text is none."""
-    return Found('config', 'main', revision, _value(text))
+def decode_config(revision, text):
+    """Return a configuration; raise BadMessageError for malformed JSON."""
+    return Found('config', 'main', revision, _decode_value(text))
 
 
-def word_from(encoded):
-    """Return a word; raise BadMessageError when the bytes hold none."""
+def decode_update(encoded):
+    """Return an update; raise BadMessageError for malformed bytes."""
 
     def build(reader):
         revision = reader.configRevision
         config = None
         if reader.config:
-            config = config_from(revision, reader.config)
-        return Word(
+            config = decode_config(revision, reader.config)
+        return RelayUpdate(
             reader.source,
             reader.fit,
             reader.agedMs / _MS,
             revision,
             config,
-            tuple(_news_from(one) for one in reader.news),
+            tuple(_build_kind_update(row) for row in reader.news),
             patch_from(reader.patch) if reader.patch.digest else None,
             reader.seen,
         )
@@ -185,27 +191,27 @@
     return decoded(_schema.Word, encoded, build)
 
 
-def _news_row(news):
+def _kind_update_fields(kind_update):
     return {
-        'kind': news.kind,
-        'number': news.number,
-        'revision': news.revision,
-        'whole': news.whole,
+        'kind': kind_update.kind,
+        'number': kind_update.number,
+        'revision': kind_update.revision,
+        'whole': kind_update.is_full,
         'changes': [
             {
-                'name': one.name,
-                'version': one.version,
+                'name': change.name,
+                'version': change.version,
                 'value': b''
-                if one.value is None
-                else msgspec.json.encode(one.value),
+                if change.value is None
+                else msgspec.json.encode(change.value),
             }
-            for one in news.changes
+            for change in kind_update.changes
         ],
     }
 
 
-def _news_from(reader):
-    return KindNews(
+def _build_kind_update(reader):
+    return KindUpdate(
         reader.kind,
         reader.number,
         reader.revision,
@@ -213,17 +219,17 @@
         tuple(
             Change(
                 reader.kind,
-                one.name,
-                one.version,
-                _value(one.value) if one.value else None,
-                one.version,
+                row.name,
+                row.version,
+                _decode_value(row.value) if row.value else None,
+                row.version,
             )
-            for one in reader.changes
+            for row in reader.changes
         ),
     )
 
 
-def _value(encoded):
+def _decode_value(encoded):
     try:
         return msgspec.json.decode(encoded)
     except msgspec.DecodeError as error:
--- a/pollenstile/relay/_reader.py
+++ b/pollenstile/relay/_reader.py
@@ -1,13 +1,13 @@
-"""Which host of a failure domain reads the store for the others."""
+"""Selection of the host that reads the store for its failure domain."""
 
 from pollenstile.stagework import owner_order
 
-# What the order is drawn for; hosts that own queues are drawn by their stage.
-_ROLE = 'store reader'
+# Key of the rendezvous order; owners of stage queues are ordered by stage name.
+_ORDER_KEY = 'store reader'
 
 
 class Readers:
-    """The hosts that may read for this host's domain.
+    """Candidate store readers of this host's domain.
 
     Parameters
     ==========
@@ -15,15 +15,15 @@
     hub : Hub
         Links to peers.
     host, domain : str
-        This host.
+        Name and domain of this host.
     capacity : float
-        Its cores.
+        CPU cores of this host.
 
     Attributes
     ==========
 
     order : list of str
-        The first one that can be asked is followed.
+        Hosts by preference; the first reachable one is followed.
     """
 
     __slots__ = ('capacity', 'domain', 'host', 'hub', 'order')
@@ -36,67 +36,71 @@
         self.order = [host]
 
     def take_hosts(self, hosts):
-        """Take the peers that there are now, by name."""
-        mine = {
-            name: one.capacity
-            for name, one in hosts.items()
-            if one.domain == self.domain
+        """Update the order from the current peers, given by name."""
+        capacities = {
+            name: peer.capacity
+            for name, peer in hosts.items()
+            if peer.domain == self.domain
         }
         self.order = owner_order(
-            _ROLE,
-            {**mine, self.host: self.capacity},
+            _ORDER_KEY,
+            {**capacities, self.host: self.capacity},
         )
 
     def current(self, is_skipped):
-        """Return whom to follow; None to read the store.
+        """Return the host to follow; None if this host reads the store.
 
         Parameters
         ==========
 
         is_skipped : function
-            Takes a host; returns whether it failed lately.
+            Takes a host; returns whether it failed recently.
         """
 
-        def asked(host):
-            return self._is_asked(host) and not is_skipped(host)
+        def is_available(host):
+            return self._is_reachable(host) and not is_skipped(host)
 
-        return reader_of(self.order, self.host, asked)
+        return select_reader(self.order, self.host, is_available)
 
     def place(self):
-        """Return how many hosts would read before this one."""
+        """Return how many hosts precede this one in the order."""
         return self.order.index(self.host)
 
-    def _is_asked(self, host):
+    def _is_reachable(self, host):
         link = self.hub.links.get(host)
         return link is not None and not link.beat.leaving
 
 
-def reader_of(order, host, linked):
-    """Return whom a host follows; None when it reads the store itself.
+def select_reader(order, host, is_available):
+    """Return the reader that a host follows; None if it reads the store itself.
 
     Explanation
     ===========
 
-    A host that is linked to no reader reads for itself: it may be cut off
-    from its domain, or just have started.
+    A host without a link to any reader reads the store itself: it may be cut
+    off from its domain, or may have just started.
 
     Parameters
     ==========
 
-    linked : function
-        Takes a host's name, returns whether it can be asked.
+    order : list of str
+        Hosts by preference.
+    host : str
+        The host that selects its reader.
+    is_available : function
+        Takes the name of a host; returns whether requests can be sent to it.
 
     Examples
     ========
 
-    >>> reader_of(['a', 'b'], 'c', {'b'}.__contains__)
+    >>> select_reader(['a', 'b'], 'c', {'b'}.__contains__)
     'b'
-    >>> reader_of(['a', 'b'], 'b', set().__contains__)
-    >>> reader_of(['a', 'b'], 'c', set().__contains__)
+    >>> select_reader(['a', 'b'], 'b', set().__contains__)
+    >>> select_reader(['a', 'b'], 'c', set().__contains__)
     """
-    for one in order:
-        if one == host:
+    for candidate in order:
+        if candidate == host:
             return None
-        if linked(one):
-            return one
+        if is_available(candidate):
+            return candidate
     return None
--- a/pollenstile/relay/_skipping.py
+++ b/pollenstile/relay/_skipping.py
@@ -1,23 +1,23 @@
-"""Readers that failed, and until when they are passed over."""
+"""Temporary exclusion of readers that failed."""
 
 from dataclasses import dataclass
 
-# Seconds for which a reader that failed is passed over, at first; twice as long
-# after each further failure in a row, up to a bound.
-_FIRST_SECONDS = 3.0
-_LONGEST_SECONDS = 12.0
+# A reader is skipped for 3 s after its first failure; each further failure in a
+# row doubles the time, up to 12 s.
+_FIRST_SKIP_SECONDS = 3.0
+_MAX_SKIP_SECONDS = 12.0
 
 
 @dataclass(slots=True, frozen=True)
 class _Skip:
-    """Until when a reader is passed over, after how many failures in a row."""
+    """End of a reader's exclusion, and its number of failures in a row."""
 
     until: float
     failures: int
 
 
 class SkippedReaders:
-    """Which readers are passed over.
+    """Readers that are skipped after a failure.
 
     Parameters
     ==========
@@ -46,26 +46,26 @@
         self.skips = {}
 
     def is_skipped(self, host):
-        """Return whether a reader is passed over now."""
+        """Return whether a reader is skipped now."""
         skip = self.skips.get(host)
         return skip is not None and skip.until > self.clock.seconds()
 
     def has_failed(self, host):
-        """Return whether a reader has failed and not been followed since."""
+        """Return whether a reader has failed since it was last followed."""
         return host in self.skips
 
     def count(self):
-        """Return how many readers are passed over now."""
+        """Return how many readers are skipped now."""
         return sum(map(self.is_skipped, self.skips))
 
     def skip(self, host):
-        """Pass a reader over that has failed."""
-        before = self.skips.get(host)
-        failures = before.failures if before else 0
-        seconds = min(_FIRST_SECONDS * 2**failures, _LONGEST_SECONDS)
+        """Skip a reader that has failed, with exponential backoff."""
+        previous = self.skips.get(host)
+        failures = previous.failures if previous else 0
+        seconds = min(_FIRST_SKIP_SECONDS * 2**failures, _MAX_SKIP_SECONDS)
         until = self.clock.seconds() + seconds
         self.skips[host] = _Skip(until, failures + 1)
 
-    def forgive(self, host):
-        """Forget that a reader has failed: its word was taken."""
+    def clear(self, host):
+        """Clear the failures of a reader whose update was applied."""
         self.skips.pop(host, None)
--- a/pollenstile/relay/_source.py
+++ b/pollenstile/relay/_source.py
@@ -1,4 +1,4 @@
-"""What this host has read of the store, for hosts that follow it."""
+"""Answers to followers from this host's reads of the store."""
 
 from collections import deque
 
@@ -6,43 +6,43 @@
 
 from pollenstile.peer import RecentTexts
 from pollenstile.relay._messages import (
-    KindNews,
-    Word,
-    asked_from,
-    word_bytes,
+    KindUpdate,
+    RelayUpdate,
+    decode_request,
+    encode_update,
 )
 
 ASK = 'store-word'
-# Seconds since this host's own read of the configuration after which it says
-# that it knows nothing. A follower then reads the store itself: 1.2 s, one
-# turn of its own watch and the way are under the 2 s within which a host in
-# touch must know that an upstream leaves.
+# Seconds since this host's own read of the configuration after which it reports
+# that it has no store. A follower then reads the store itself: 1.2 s, one round
+# of its own watch and the network delay are under the 2 s within which a host
+# in contact with the store must know that an upstream is leaving.
 CONTACT_SECONDS = 1.2
-# The same while an answer of the store is coming in: the store is there, and
-# the link is full. Its followers, sent to the store all at once, would fill
-# theirs with the same document.
-_SLOW_CONTACT_SECONDS = 3.0
-# Changes that are kept of each kind; who has missed more gets all objects.
-_MOST_CHANGES = 512
-# Seconds for which changes of one instant are gathered before they are told.
-_GATHER = 0.01
-# Seconds without an ask after which nobody follows this host.
+# The same limit while an answer of the store is being received: the store is
+# up and the link is saturated. If the followers all read the store at once,
+# the same document would saturate their links.
+_RECEIVING_CONTACT_SECONDS = 3.0
+# Changes kept of each kind; a follower that has missed more gets all objects.
+_MAX_CHANGES = 512
+# Seconds for which simultaneous changes are collected into one answer.
+_BATCH_SECONDS = 0.01
+# Seconds without a request after which no host counts as a follower.
 _FOLLOWED_SECONDS = 3.0
 
 
 class _History:
-    """Objects of a kind, and their latest changes by number."""
+    """Objects of a kind and their latest numbered changes."""
 
     __slots__ = ('changes', 'number', 'objects', 'watch')
 
     def __init__(self):
         self.objects = {}
-        self.changes = deque(maxlen=_MOST_CHANGES)
+        self.changes = deque(maxlen=_MAX_CHANGES)
         self.number = 1
         self.watch = None
 
-    def take(self, change):
-        """Note a change."""
+    def record(self, change):
+        """Record a change."""
         self.number += 1
         self.changes.append((self.number, change))
         if change.value is None:
@@ -50,62 +50,74 @@
         else:
             self.objects[change.name] = change
 
-    def news(self, kind, after, *, at_last):
-        """Return what is newer than a number, or None.
+    def changes_after(self, kind, after, *, is_final):
+        """Return the changes after a number, or None while there are none.
 
         Explanation
         ===========
 
-        Numbers are this host's own. The store's revisions would not do: a
-        list can show a change that a watch has missed, of an older revision
-        than followers have been told.
+        This host numbers the changes itself. The store's revisions can't be
+        used: a list can show a change that a watch has missed, with an older
+        revision than the one already sent to followers.
+
+        Parameters
+        ==========
+
+        kind : str
+            Kind of the objects.
+        after : int
+            Number of the newest change that the follower has; 0 for none.
+        is_final : bool
+            Whether to return an update without changes instead of None.
         """
         revision = self.watch.revision if self.watch is not None else None
         if revision is None:
             return None
         if after == self.number:
-            # How far the source knows the kind; a follower that has read more
-            # itself must not take an older list for news.
-            unchanged = KindNews(kind, self.number, revision, False, ())
-            return unchanged if at_last else None
+            # Sends the revision up to which the source knows the kind, so that
+            # a follower that has read more itself ignores an older list.
+            unchanged = KindUpdate(kind, self.number, revision, False, ())
+            return unchanged if is_final else None
         oldest = self.changes[0][0] if self.changes else self.number + 1
         if 0 < after < self.number and after + 1 >= oldest:
             changes = tuple(
-                one for number, one in self.changes if number > after
+                change for number, change in self.changes if number > after
             )
-            return KindNews(kind, self.number, revision, False, changes)
+            return KindUpdate(kind, self.number, revision, False, changes)
         changes = tuple(self.objects.values())
-        return KindNews(kind, self.number, revision, True, changes)
+        return KindUpdate(kind, self.number, revision, True, changes)
 
 
 class Source:
-    """Answers followers.
+    """Answers requests of followers.
 
     Parameters
     ==========
 
     ident : str
-        This incarnation of this host.
+        Incarnation of this host.
     clock : IReactorTime
-        Times what is held.
+        Times the held requests.
     suspend_clock : function
         Returns seconds, suspended time included.
     configuration : Configuration
-        Its table, proof and last read of its own.
+        Configuration in force at this host, with its verification time and the
+        time of the last own read.
 
     Attributes
     ==========
 
     histories : dict
-        By kind.
+        Recorded objects and changes, by kind.
     held : dict
-        Asks that wait for news, and the Deferreds of their answers.
-    asked_at : float
-        On the clock: the latest ask.
+        Requests that wait for changes, by the Deferred of their answer.
+    requested_at : float
+        Time, on the clock, of the latest request.
+    leaving : bool
+        Whether this host is leaving and must not be followed.
     """
 
     __slots__ = (
-        'asked_at',
         'clock',
         'config_texts',
         'configuration',
@@ -113,6 +125,7 @@
         'histories',
         'ident',
         'leaving',
+        'requested_at',
         'suspend_clock',
         'timer',
     )
@@ -124,117 +137,124 @@
         self.configuration = configuration
         self.histories = {}
         self.held = {}
-        self.asked_at = -_FOLLOWED_SECONDS
+        self.requested_at = -_FOLLOWED_SECONDS
         self.leaving = False
         self.timer = None
         self.config_texts = RecentTexts()
-        configuration.listeners.append(self._config_changed)
+        configuration.listeners.append(self._record_config)
 
     def add(self, kind, watch):
-        """Name the watch that knows how far a kind is known."""
-        self._history(kind).watch = watch
+        """Register the watch that knows the last read revision of a kind."""
+        self._get_history(kind).watch = watch
 
     def note(self, change):
-        """Note a change that this host has taken."""
-        self._history(change.kind).take(change)
-        self._soon()
+        """Record a change that this host has applied."""
+        self._get_history(change.kind).record(change)
+        self._schedule_answers()
 
     def is_followed(self):
-        """Return whether other hosts rely on this one's reads."""
-        return self.clock.seconds() - self.asked_at < _FOLLOWED_SECONDS
+        """Return whether other hosts depend on this host's reads."""
+        return self.clock.seconds() - self.requested_at < _FOLLOWED_SECONDS
 
-    def is_fit(self):
-        """Return whether the store has answered this host lately."""
+    def has_store_contact(self):
+        """Return whether the store has answered this host recently."""
         age = self.suspend_clock() - self.configuration.loop.read_at
         return not self.leaving and age < self._contact_seconds()
 
     def _contact_seconds(self):
         if self.configuration.loop.is_answering():
-            return _SLOW_CONTACT_SECONDS
+            return _RECEIVING_CONTACT_SECONDS
         return CONTACT_SECONDS
 
     def answer(self, host, body):
-        """Return a Deferred of the answer to an ask."""
-        self.asked_at = self.clock.seconds()
-        asked = asked_from(body)
+        """Return a Deferred of the answer to a follower's request."""
+        self.requested_at = self.clock.seconds()
+        request = decode_request(body)
         done = Deferred()
-        came = self.suspend_clock()
-        word = self._word(asked, came)
-        if word is not None:
-            done.callback(word_bytes(word))
+        arrived_at = self.suspend_clock()
+        update = self._build_update(request, arrived_at)
+        if update is not None:
+            done.callback(encode_update(update))
             return done
-        self.held[done] = (asked, came, self.clock.seconds() + asked.hold)
-        self._look_again(done)
+        held_until = self.clock.seconds() + request.hold
+        self.held[done] = (request, arrived_at, held_until)
+        self._check_held(done)
         return done
 
-    def _history(self, kind):
+    def _get_history(self, kind):
         return self.histories.setdefault(kind, _History())
 
-    def _config_changed(self, table):
+    def _record_config(self, table):
         found = self.configuration.found
         self.config_texts.keep(found.version, self.configuration.text)
-        self._soon()
+        self._schedule_answers()
 
-    def _soon(self):
+    def _schedule_answers(self):
         if self.timer is None and self.held:
-            self.timer = self.clock.callLater(_GATHER, self._tell)
+            self.timer = self.clock.callLater(
+                _BATCH_SECONDS, self._answer_all_held
+            )
 
-    def _tell(self):
+    def _answer_all_held(self):
         self.timer = None
         for done in list(self.held):
             self._answer_held(done)
 
-    def _look_again(self, done):
-        """Answer an ask when it was held long enough, or when unfit."""
+    def _check_held(self, done):
+        """Answer a request at the end of its hold time or of store contact."""
         held = self.held.get(done)
         if held is None:
             return
         now = self.clock.seconds()
-        if now >= held[2] or not self.is_fit():
-            self._answer_held(done, at_last=True)
+        if now >= held[2] or not self.has_store_contact():
+            self._answer_held(done, is_final=True)
             return
         age = self.suspend_clock() - self.configuration.loop.read_at
-        left = min(held[2] - now, self._contact_seconds() - age)
-        self.clock.callLater(max(_GATHER, left), self._look_again, done)
+        remaining = min(held[2] - now, self._contact_seconds() - age)
+        self.clock.callLater(
+            max(_BATCH_SECONDS, remaining), self._check_held, done
+        )
 
-    def _answer_held(self, done, *, at_last=False):
-        asked, came, _ = self.held[done]
-        word = self._word(asked, came, at_last=at_last)
-        if word is not None:
+    def _answer_held(self, done, *, is_final=False):
+        request, arrived_at, _ = self.held[done]
+        update = self._build_update(request, arrived_at, is_final=is_final)
+        if update is not None:
             self.held.pop(done)
-            done.callback(word_bytes(word))
+            done.callback(encode_update(update))
 
-    def _word(self, asked, came, *, at_last=False):
-        """Return what to say, or None while there is nothing new."""
-        if not self.is_fit():
-            return Word(self.ident, fit=False)
+    def _build_update(self, request, arrived_at, *, is_final=False):
+        """Return the update for a request, or None while nothing is new."""
+        if not self.has_store_contact():
+            return RelayUpdate(self.ident, has_store=False)
         revision = self.configuration.revision
-        is_older = asked.config_revision < revision
-        news = self._news(asked, at_last=at_last)
-        if not (at_last or news or is_older):
+        is_older = request.config_revision < revision
+        kind_updates = self._kind_updates(request, is_final=is_final)
+        if not (is_final or kind_updates or is_older):
             return None
         patch = None
-        if is_older and asked.config_revision in self.config_texts.texts:
-            patch = self.config_texts.patch_from(asked.config_revision)
+        if is_older and request.config_revision in self.config_texts.texts:
+            patch = self.config_texts.patch_from(request.config_revision)
         now = self.suspend_clock()
-        return Word(
+        return RelayUpdate(
             self.ident,
-            fit=True,
-            aged=now - self.configuration.proven_at - (now - came),
+            has_store=True,
+            aged=now - self.configuration.proven_at - (now - arrived_at),
             config_revision=revision,
             config=self.configuration.found if is_older and not patch else None,
-            news=news,
+            news=kind_updates,
             patch=patch,
             seen=self.configuration.told_seen(),
         )
 
-    def _news(self, asked, *, at_last):
-        known = asked.source == self.ident
-        found = []
-        for cursor in asked.cursors:
-            after = cursor.number if known else 0
-            history = self._history(cursor.kind)
-            news = history.news(cursor.kind, after, at_last=at_last)
-            if news is not None:
-                found.append(news)
-        return tuple(found)
+    def _kind_updates(self, request, *, is_final):
+        is_own_numbering = request.source == self.ident
+        updates = []
+        for cursor in request.cursors:
+            after = cursor.number if is_own_numbering else 0
+            history = self._get_history(cursor.kind)
+            update = history.changes_after(
+                cursor.kind, after, is_final=is_final
+            )
+            if update is not None:
+                updates.append(update)
+        return tuple(updates)
--- a/pollenstile/relay/_store.py
+++ b/pollenstile/relay/_store.py
@@ -1,4 +1,4 @@
-"""The store as a host sees it that may follow another one."""
+"""Store client that answers lists and watches from a reader's updates."""
 
 from collections import deque
 
@@ -16,44 +16,48 @@
     paused,
 )
 
-_STEP = 'watch'
-# Seconds after the start within which a host waits for its reader's word before
-# it watches the store itself. When 195 hosts started at once, each made eight
-# watches of upstreams that came up one after the other; a host that has just
-# started has read them all.
-_JOIN_SECONDS = 1.5
+_WATCH_STEP = 'watch'
+# Seconds after the start for which a host waits for an update of its reader
+# before it watches the store itself. When 195 hosts started at once, each made
+# eight watches for upstreams that started one after the other; a host that has
+# just started has read them all.
+_JOIN_TIMEOUT_SECONDS = 1.5
 # Seconds between calls for one kind while the store answers no read of the
-# configuration; those reads go on and tell when it is back.
-_AWAY_PERIOD = 4.0
-# Seconds for which a call waits for that, and between two looks.
-_AWAY_SECONDS = 1.5
-_AWAY_LOOK = 0.1
+# configuration; those reads continue and detect when the store is back.
+_AWAY_CALL_SECONDS = 4.0
+# Seconds for which a call waits for the store's return, and between two checks.
+_AWAY_WAIT_SECONDS = 1.5
+_AWAY_CHECK_SECONDS = 0.1
 
 
 class _Feed:
-    """What a reader told of one kind.
+    """Objects and changes of one kind, as received from a reader.
 
     Attributes
     ==========
 
     objects : dict
-        All that there are, by name; lists are answered from them. Asked of the
-        reader, each follower's list in 20 s was 2.6 kB a second at 950
-        upstreams, and the reader's 42 followers took 108.
+        All objects by name; lists are answered from them. Requesting each list
+        from the reader, one in 20 s per follower, took 2.6 kB a second at 950
+        upstreams, and 108 kB a second for the reader's 42 followers.
     known : bool
-        Whether they are all there.
+        Whether the objects are complete.
     listed : bool
-        Whether the watch has taken the last whole list.
+        Whether the watch has received the last full list.
+    revision : int
+        Store revision up to which the reader knows the kind.
+    waiting : Deferred or None
+        Fires at the next update.
     changes : deque of Change
-        Those that it has not taken.
-    called_at : float
-        On the clock: the last call of the store for this kind.
+        Changes that the watch has not received yet.
+    last_call_at : float
+        Time, on the clock, of the last call of the store for this kind.
     """
 
     __slots__ = (
-        'called_at',
         'changes',
         'known',
+        'last_call_at',
         'listed',
         'objects',
         'revision',
@@ -63,39 +67,39 @@
     def __init__(self):
         self.objects = {}
         self.revision = 0
-        self.called_at = -_AWAY_PERIOD
+        self.last_call_at = -_AWAY_CALL_SECONDS
         self.waiting = None
         self.changes = deque()
-        self.forget()
+        self.reset()
 
-    def take(self, news):
-        """Take what a reader told."""
-        self.revision = news.revision
-        if news.whole:
-            self.forget()
+    def apply_update(self, update):
+        """Apply a reader's update of this kind."""
+        self.revision = update.revision
+        if update.is_full:
+            self.reset()
             self.known = True
             self.listed = False
-        for change in news.changes:
-            self._apply(change)
-        if not news.whole:
-            self.changes.extend(news.changes)
-        if news.whole or news.changes:
-            self.wake()
+        for change in update.changes:
+            self._apply_change(change)
+        if not update.is_full:
+            self.changes.extend(update.changes)
+        if update.is_full or update.changes:
+            self.notify()
 
     def listing(self):
-        """Return all objects; the watch has them from now on."""
+        """Return all objects and mark them as received by the watch."""
         self.listed = True
         self.changes.clear()
         return Listing(tuple(self.objects.values()), self.revision)
 
-    def forget(self):
-        """Know nothing, until a whole list comes."""
+    def reset(self):
+        """Drop all objects until the next full list."""
         self.known = False
         self.listed = True
         self.objects = {}
         self.changes.clear()
 
-    def _apply(self, change):
+    def _apply_change(self, change):
         if change.value is None:
             self.objects.pop(change.name, None)
             return
@@ -103,8 +107,8 @@
             change.kind, change.name, change.version, change.value
         )
 
-    def wake(self):
-        """Let who waits for news look."""
+    def notify(self):
+        """Resume the list or watch that waits for an update."""
         waiting = self.waiting
         self.waiting = None
         if waiting is not None and not waiting.called:
@@ -112,37 +116,40 @@
 
 
 class RelayStore:
-    """Answers lists and watches from a reader's word while one is followed.
+    """Answers lists and watches from a reader's updates while following one.
 
     Explanation
     ===========
 
-    All else goes to the store, and lists and watches too while this host
-    reads for itself; a watch then goes on from the revision that it was told
-    last, so it misses nothing.
+    All other calls go to the store. While this host reads the store itself,
+    lists and watches go there too; a watch then continues from the last
+    revision received from the reader, so that it misses no change.
 
     Parameters
     ==========
 
     store : Store
-        The platform's.
+        The platform's store.
     clock : IReactorTime
         Times the watches.
     follower : Follower
-        Takes readers' word.
+        Receives the updates of readers.
     kinds : tuple of str
-        Those that readers tell.
+        Kinds whose changes readers send.
     early : str
-        The kind that leads to a reader, and is watched from the start.
+        The kind that is needed to find a reader; it is watched from the start.
     late : tuple of str
-        Kinds that a host can begin without: their first list waits for a
-        reader's word, and a start makes no call of the store for them.
+        Kinds that a host can start without: their first list waits for a
+        reader's update, so that a start makes no call of the store for them.
 
     Attributes
     ==========
 
     is_away : function
         Returns whether the store answers no read of the configuration.
+    join_deadline : float
+        Time, on the clock, until which this host waits for a reader after its
+        start.
     """
 
     __slots__ = (
@@ -151,27 +158,35 @@
         'feeds',
         'follower',
         'is_away',
-        'joins_by',
+        'join_deadline',
         'late',
         'store',
     )
 
-    def __init__(self, store, clock, follower, kinds, early='', late=()):
+    def __init__(
+        self,
+        store,
+        clock,
+        follower,
+        kinds,
+        early='',
+        late=(),
+    ):
         self.store = store
         self.clock = clock
         self.early = early
         self.late = late
         self.is_away = _never
-        self.joins_by = clock.seconds() + _JOIN_SECONDS
+        self.join_deadline = clock.seconds() + _JOIN_TIMEOUT_SECONDS
         self.follower = follower
         self.feeds = {kind: _Feed() for kind in kinds}
         for kind, feed in self.feeds.items():
-            follower.feeds[kind] = feed.take
-        follower.on_direct.append(self._wake)
+            follower.kind_handlers[kind] = feed.apply_update
+        follower.on_direct.append(self._reset_feeds)
 
     def is_joining(self):
-        """Return whether this host may soon have a reader to follow."""
-        return self.clock.seconds() < self.joins_by
+        """Return whether this host still waits for a reader after its start."""
+        return self.clock.seconds() < self.join_deadline
 
     def get(self, *args):
         """See :class:`~pollenstile.platform.Store`."""
@@ -186,104 +201,106 @@
         return self.store.delete(*args)
 
     async def listed(self, kind, prefix='', after='', limit=PAGE_LIMIT):
-        """Return all objects from the reader's word, or a page of the store."""
+        """Return all objects from the reader's updates, or a store page."""
         feed = self.feeds.get(kind)
         if kind in self.late and self._awaits_reader(kind):
-            await self._news_by_join(feed)
-        while self._is_told(feed):
+            await self._update_or_join_deadline(feed)
+        while self._is_relayed(feed):
             if feed.known:
                 return feed.listing()
-            self.follower.forget(kind)
-            await self._news(feed)
+            self.follower.request_full(kind)
+            await self._next_update(feed)
         if not await self._may_call(feed):
             return Unavailable('list', 'store', 'away')
         return await self.store.listed(kind, prefix, after, limit)
 
     async def watched(self, kind, since, prefix='', timeout=POLL_SECONDS):
-        """Return changes from the reader's word, or wait for the store's."""
+        """Return changes from the reader's updates, or watch the store."""
         feed = self.feeds.get(kind)
         if feed is not None and self._awaits_reader(kind):
-            await self._news_by_join(feed)
-        if not self._is_told(feed):
+            await self._update_or_join_deadline(feed)
+        if not self._is_relayed(feed):
             if not await self._may_call(feed):
-                return Unavailable(_STEP, 'store', 'away')
+                return Unavailable(_WATCH_STEP, 'store', 'away')
             return await self.store.watched(kind, since, prefix, timeout)
         if feed.listed and not feed.changes:
-            await self._news_within(feed, timeout)
+            await self._update_within(feed, timeout)
         if feed.revision <= since:
-            # The reader knows less than this host has read itself.
+            # The reader is behind what this host has read itself.
             feed.listed = True
         if not feed.listed:
             return Compacted(feed.revision)
         if not self.follower.following:
-            return Unavailable(_STEP, 'reader', 'lost')
+            return Unavailable(_WATCH_STEP, 'reader', 'lost')
         changes = tuple(feed.changes)
         feed.changes.clear()
         return Changes(max(since, feed.revision), changes)
 
-    def _is_told(self, feed):
-        """Return whether a reader's word answers for a kind."""
+    def _is_relayed(self, feed):
+        """Return whether calls for a kind are answered from a reader."""
         return feed is not None and self.follower.is_following()
 
     async def _may_call(self, feed):
-        """Return whether the store is called now, or is away.
+        """Wait for the store; return whether it may be called.
 
         Explanation
         ===========
 
-        A store that refuses all calls at once would be called by each host for
-        each kind over and over, and each call is paid for. The reads of the
-        configuration go on, and the first that is answered lets all calls go.
+        Each call of the store is paid for, and if it refused all of them at
+        once, each host would repeat them for each kind. The reads of the
+        configuration continue; once one of them is answered, all calls proceed.
         """
         if feed is None:
             return True
-        ends = self.clock.seconds() + _AWAY_SECONDS
-        while self.is_away() and not self._is_due(feed):
-            if self.clock.seconds() >= ends:
+        deadline = self.clock.seconds() + _AWAY_WAIT_SECONDS
+        while self.is_away() and not self._is_call_due(feed):
+            if self.clock.seconds() >= deadline:
                 return False
-            await paused(self.clock, _AWAY_LOOK)
-        feed.called_at = self.clock.seconds()
+            await paused(self.clock, _AWAY_CHECK_SECONDS)
+        feed.last_call_at = self.clock.seconds()
         return True
 
-    def _is_due(self, feed):
-        return self.clock.seconds() - feed.called_at >= _AWAY_PERIOD
+    def _is_call_due(self, feed):
+        return self.clock.seconds() - feed.last_call_at >= _AWAY_CALL_SECONDS
 
     def _awaits_reader(self, kind):
         waits = kind != self.early and not self.follower.following
         return waits and self.is_joining()
 
-    def _news_by_join(self, feed):
-        """Return a Deferred of a reader's news, or of the end of the start."""
-        return self._news_within(feed, self.joins_by - self.clock.seconds())
+    def _update_or_join_deadline(self, feed):
+        """Return a Deferred of a reader's update or the join deadline."""
+        return self._update_within(
+            feed, self.join_deadline - self.clock.seconds()
+        )
 
-    def _news_within(self, feed, seconds):
-        """Return a Deferred of a reader's news, or of the end of a time."""
-        return self._news(feed).addTimeout(
-            seconds, self.clock, onTimeoutCancel=_nothing_new
+    def _update_within(self, feed, seconds):
+        """Return a Deferred of a reader's update or a timeout."""
+        return self._next_update(feed).addTimeout(
+            seconds, self.clock, onTimeoutCancel=_ignore_timeout
         )
 
-    def _news(self, feed):
+    def _next_update(self, feed):
         if feed.waiting is None:
             feed.waiting = Deferred(lambda _: None)
         return branched(feed.waiting)
 
-    def _wake(self):
-        # What was told and not yet taken is dropped here, and told whole when
-        # a reader is followed again: a watch that went on from the reader's
-        # revision would never hear of it.
+    def _reset_feeds(self):
+        # Changes that the watch has not received yet are dropped, and a full
+        # list is requested when a reader is followed again: a watch that
+        # continues from the reader's revision would never receive them.
         now = self.clock.seconds()
         for kind, feed in self.feeds.items():
-            self.follower.forget(kind)
-            feed.forget()
-            # The read of the configuration goes first: a store that does not
-            # answer it is not called for each kind by each host of a domain.
-            feed.called_at = now
-            feed.wake()
+            self.follower.request_full(kind)
+            feed.reset()
+            # The configuration is read first: a store that does not answer
+            # that read is not called for each kind by each host of a domain.
+            feed.last_call_at = now
+            feed.notify()
 
 
 def _never():
     return False
 
 
-def _nothing_new(*_):
-    """Stand for a watch in whose time nothing has changed."""
+def _ignore_timeout(*_):
+    """Replace the timeout error of a watch in whose time nothing changed."""
--- a/pollenstile/relay/messages.capnp
+++ b/pollenstile/relay/messages.capnp
@@ -1,45 +1,48 @@
 @0xc1f2a7740b6de915;
-# What a host has read of the store, for the hosts that follow it; carried as
-# bodies of asks and answers.
+# Messages between a store reader and the hosts that follow it, carried as
+# bodies of peer requests and answers.
 
 struct Asked {
-  # Incarnation of the source whose numbers the cursors have; empty for none.
+  # Incarnation of the source that assigned the cursor numbers; empty for none.
   source @0 :Text;
   configRevision @1 :UInt64;
   cursors @2 :List(Cursor);
-  # How long the answer may be held while there is nothing new.
+  # How long the source may hold the answer while nothing has changed.
   holdMs @3 :UInt32;
 }
 
 struct Cursor {
   kind @0 :Text;
-  # Number of the newest change that was taken; 0 asks for all objects.
+  # Number of the newest change that was applied; 0 requests all objects.
   number @1 :UInt64;
 }
 
 struct Word {
   source @0 :Text;
-  # False when the source has not heard from the store lately itself.
+  # False when the source itself has had no recent answer from the store.
   fit @1 :Bool;
-  # Time since the source's proof was true, less the time that it held the ask.
+  # Time since the source verified its configuration, less the time for which
+  # it held the request.
   agedMs @2 :Int64;
   configRevision @3 :UInt64;
-  # Empty unless the asker's revision is older and unknown here; JSON.
+  # JSON; empty unless the requester's revision is older and no patch from it
+  # is available.
   config @4 :Data;
   news @5 :List(KindNews);
-  # Up to which the source knows the configuration; 0 when it can't say.
+  # Store revision up to which the source knows the configuration; 0 when
+  # unknown.
   seen @6 :UInt64;
-  # From the asker's configuration to the newest one; empty digest for none.
+  # From the requester's configuration to the newest one; empty digest for none.
   patch @7 :Patch;
 }
 
 struct Patch {
-  # Bytes kept from the start and the end of the older text.
+  # Numbers of bytes kept at the start and at the end of the older text.
   prefix @0 :UInt32;
   suffix @1 :UInt32;
-  # Edits of what lies between them, compressed.
+  # Compressed edits of the text between prefix and suffix.
   middle @2 :Data;
-  # Of the newer text.
+  # Digest of the newer text.
   digest @3 :Data;
 }
 
@@ -47,7 +50,7 @@
   kind @0 :Text;
   number @1 :UInt64;
   revision @2 :UInt64;
-  # Whether the changes are all objects that there are.
+  # Whether the changes are the full list of objects.
   whole @3 :Bool;
   changes @4 :List(Change);
 }
