--- a/features/builders/fleet.py
+++ b/features/builders/fleet.py
@@ -1,4 +1,4 @@
-"""Builders of fleets in virtual time."""
+"""Builders of fleets of entry hosts in virtual time."""
 
 from twisted.internet.defer import Deferred
 
@@ -21,13 +21,13 @@
 
 
 def next_text(world, name):
-    """Return the text of the fleet's manifest under another name."""
+    """Return the text of the fleet's manifest with another name."""
     return changed_text(world.manifest, name=name)
 
 
-def applying(world, name, reviewed, apply_id, settled=False):
-    """Apply a changed manifest; return the list that gets the outcome."""
-    told = []
+def start_apply(world, name, reviewed, apply_id, settled=False):
+    """Start to apply a changed manifest; return a list for its outcome."""
+    outcomes = []
     pause = pauses(world.clock, world.random, 0.2, 2.0)
     call = applied(
         world.store,
@@ -36,12 +36,12 @@
         apply_id,
         pause,
     )
-    Deferred.fromCoroutine(call).addBoth(told.append)
-    return told
+    Deferred.fromCoroutine(call).addBoth(outcomes.append)
+    return outcomes
 
 
 def link_graph(hosts, domains, without=None, prefix='h'):
-    """Return the links of a fleet, both ways, from the choice of each host."""
+    """Return the links of a fleet, in both directions, by host."""
     records = []
     for number in range(hosts):
         name = f'{prefix}{number}'
@@ -58,11 +58,11 @@
 
 
 def is_connected(links):
-    """Return whether every host can be reached from every other."""
-    waiting = [min(links)]
-    seen = set(waiting)
-    while waiting:
-        for other in links[waiting.pop()] - seen:
-            seen.add(other)
-            waiting.append(other)
-    return len(seen) == len(links)
+    """Return whether every host can be reached from every other one."""
+    unvisited = [min(links)]
+    reached = set(unvisited)
+    while unvisited:
+        for other in links[unvisited.pop()] - reached:
+            reached.add(other)
+            unvisited.append(other)
+    return len(reached) == len(links)
--- a/features/builders/fleetfaults.py
+++ b/features/builders/fleetfaults.py
@@ -1,14 +1,14 @@
-"""Random faults of a fleet, and what is checked while they strike."""
+"""Random faults of a fleet, with checks while they occur."""
 
 from random import Random
 
 from features.builders.fleet import next_text, started_fleet
 from pollenstile.bench.fleetworld import cut_domain
 
-# A poll's period, and what a step of the check may add.
-_LEAVING_LIMIT = 3.0
-_CHECK = 0.25
-_SETTLE = 20.0
+# The period of a poll, with a margin for the interval of the check.
+_LEAVING_LIMIT_SECONDS = 3.0
+_CHECK_SECONDS = 0.25
+_SETTLE_SECONDS = 20.0
 
 
 class FaultRun:
@@ -18,58 +18,58 @@
     ==========
 
     hosts : int
-        How many.
+        Number of hosts.
     seed : int
-        Of all choices.
+        Seed of all random choices.
 
     Attributes
     ==========
 
     reverted : list
-        Hosts that went back to a lower version.
+        Hosts that returned to a lower version.
     late : list
-        Hosts that would give work to an upstream that has left for long.
+        Hosts that would still send work to a leaving upstream after the limit.
     """
 
     __slots__ = (
         'late',
         'left_at',
         'number',
-        'quiet_since',
+        'disturbed_at',
         'random',
         'reverted',
-        'seen',
+        'last_versions',
         'world',
     )
 
     def __init__(self, hosts, seed):
         self.random = Random(seed)
         self.world = started_fleet(hosts, 4, 28, seed)
-        self.seen = {}
+        self.last_versions = {}
         self.left_at = {}
         self.reverted = []
         self.late = []
         self.number = 0
-        self.quiet_since = 0.0
+        self.disturbed_at = 0.0
 
-    def strike(self):
-        """Let one random fault strike, and some time pass."""
+    def inject_fault(self):
+        """Inject one random fault and advance the clock."""
         self.random.choice(_FAULTS)(self)
         self.pass_time(self.random.uniform(0.2, 8.0))
 
     def pass_time(self, seconds):
-        """Let time pass, checking all along."""
-        ends = self.world.clock.seconds() + seconds
-        while self.world.clock.seconds() < ends:
-            self.world.run(_CHECK)
+        """Advance the clock and check the hosts in each step."""
+        end = self.world.clock.seconds() + seconds
+        while self.world.clock.seconds() < end:
+            self.world.run(_CHECK_SECONDS)
             self._check()
 
-    def disturbed(self):
-        """Note that hosts or ways between them changed."""
-        self.quiet_since = self.world.clock.seconds()
+    def record_disturbance(self):
+        """Record that hosts or connections between them have changed."""
+        self.disturbed_at = self.world.clock.seconds()
 
-    def heal(self, seconds):
-        """End all faults, and let time pass."""
+    def clear_faults(self, seconds):
+        """End all faults and advance the clock."""
         world = self.world
         world.cut_pairs.clear()
         world.cut_platform.clear()
@@ -79,25 +79,25 @@
             upstream.dead = False
         for name in sorted(world.places.keys() - world.hosts.keys()):
             world.start(name)
-        self.disturbed()
+        self.record_disturbance()
         self.pass_time(seconds)
 
     def _check(self):
         for name, host in self.world.hosts.items():
-            before = self.seen.get(host, 0)
+            before = self.last_versions.get(host, 0)
             if host.version < before:
                 self.reverted.append((name, before, host.version))
-            self.seen[host] = host.version
+            self.last_versions[host] = host.version
         now = self.world.clock.seconds()
-        # News need ways: while hosts or ways have just changed, a host may be
-        # one that none of them reaches.
-        if self.world.cut_pairs or now - self.quiet_since < _SETTLE:
+        # Right after hosts or connections have changed, updates may not reach
+        # all hosts.
+        if self.world.cut_pairs or now - self.disturbed_at < _SETTLE_SECONDS:
             return
         for name, left_at in self.left_at.items():
             dead = self.world.upstreams[name].dead
-            if now - left_at > _LEAVING_LIMIT and not dead:
+            if now - left_at > _LEAVING_LIMIT_SECONDS and not dead:
                 late = self.world.givers(name)
-                self.late.extend((one, name, now) for one in late)
+                self.late.extend((host, name, now) for host in late)
 
 
 def _apply(run):
@@ -108,24 +108,24 @@
 def _kill(run):
     if len(run.world.hosts) > 3:
         run.world.kill(run.random.choice(sorted(run.world.hosts)))
-        run.disturbed()
+        run.record_disturbance()
 
 
 def _start(run):
     gone = sorted(run.world.places.keys() - run.world.hosts.keys())
     if gone:
         run.world.start(run.random.choice(gone))
-        run.disturbed()
+        run.record_disturbance()
 
 
 def _cut_peers(run):
     cut_domain(run.world, run.random.choice('abcd'))
-    run.disturbed()
+    run.record_disturbance()
 
 
 def _join_peers(run):
     run.world.cut_pairs.clear()
-    run.disturbed()
+    run.record_disturbance()
 
 
 def _cut_platform(run):
@@ -164,8 +164,8 @@
     name = run.random.choice(sorted(run.world.upstreams))
     upstream = run.world.upstreams[name]
     upstream.dead = not upstream.dead
-    # Who can't be asked can't say that it leaves; the 3 s count from when it
-    # can be asked again.
+    # An unreachable upstream can't report that it is leaving; the 3 s count
+    # from the time at which it can be polled again.
     if upstream.leaving:
         run.left_at[name] = run.world.clock.seconds()
 
--- a/features/steps/fleet_random_steps.py
+++ b/features/steps/fleet_random_steps.py
@@ -10,24 +10,24 @@
     context.run = FaultRun(hosts, seed)
 
 
-@when('{steps:d} random faults strike the random fleet')
-def step_strike(context, steps):
+@when('{steps:d} random faults occur in the random fleet')
+def step_faults(context, steps):
     for _ in range(steps):
-        context.run.strike()
+        context.run.inject_fault()
 
 
-@when('all faults of the random fleet are healed for {seconds:d} seconds')
-def step_heal(context, seconds):
-    context.run.heal(seconds)
+@when('all faults of the random fleet are cleared for {seconds:d} seconds')
+def step_clear_faults(context, seconds):
+    context.run.clear_faults(seconds)
 
 
-@then('no host of the random fleet ever went back to a lower version')
+@then('no host of the random fleet ever returned to a lower version')
 def step_no_revert(context):
     assert context.run.number, 'no configuration was applied'
     assert not context.run.reverted, context.run.reverted
 
 
-@then('no reached host of the random fleet gave work 3 s after leaving')
+@then('no reachable host of the random fleet gave work 3 s after leaving')
 def step_no_late(context):
     assert not context.run.late, context.run.late[:5]
 
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -1,11 +1,11 @@
-"""Steps of the configuration in the fleet."""
+"""Steps of the distribution of the configuration in the fleet."""
 
 from random import Random
 
 from behave import given, then, when
 
 from features.builders.fleet import (
-    applying,
+    start_apply,
     is_connected,
     link_graph,
     next_text,
@@ -59,7 +59,7 @@
 @given('no fleet host asks its peers for a configuration')
 def step_no_relay(context):
     for host in context.world.hosts.values():
-        host.fleet.relay.asking = True
+        host.fleet.relay.is_asking = True
 
 
 @given('the next {lost} of a fleet apply is lost')
@@ -81,16 +81,17 @@
     context.world.clock.callLater(seconds, work_again)
 
 
-@given('the fleet hosts of domain "{domain}" hand over garbled configurations')
+@given('the fleet hosts of domain "{domain}" send corrupt configurations')
 def step_garble(context, domain):
     for host in _of_domain(context, domain):
-        content = host.fleet.relay.content
-        host.fleet.answer('config', _garbled(content))
+        answer_request = host.fleet.relay.answer_request
+        host.fleet.answer('config', _garble(answer_request))
 
 
-def _garbled(content):
+def _garble(answer_request):
     def garbled(name, body):
-        with schema.ConfigContent.from_bytes(content(name, body)) as reader:
+        encoded = answer_request(name, body)
+        with schema.ConfigContent.from_bytes(encoded) as reader:
             fields = reader.to_dict()
         fields['prefix'] += 1
         return schema.ConfigContent.new_message(**fields).to_bytes()
@@ -105,16 +106,16 @@
 
 @when('the next fleet configuration is applied')
 def step_apply(context):
-    context.told = applying(context.world, 'second', 1, 'one')
+    context.outcomes = start_apply(context.world, 'second', 1, 'one')
 
 
 @when('the next fleet configuration is applied and another right after it')
 def step_apply_twice(context):
     world = context.world
-    context.told = applying(world, 'second', 1, 'one')
+    context.outcomes = start_apply(world, 'second', 1, 'one')
     world.run(0.1)
     version = world.store.objects.found('config', 'manifest').version
-    other = applying(world, 'third', version, 'two')
+    other = start_apply(world, 'third', version, 'two')
     world.run(0.1)
     assert type(other[0]).__name__ == 'Accepted', other
     world.run(10)
@@ -125,25 +126,25 @@
 )
 def step_race(context, version):
     world = context.world
-    first = applying(world, 'second', version, 'one')
-    second = applying(world, 'third', version, 'two')
+    first = start_apply(world, 'second', version, 'one')
+    second = start_apply(world, 'third', version, 'two')
     world.run(1)
-    context.told = first + second
+    context.outcomes = first + second
 
 
 @then(
-    'one of the fleet appliers is told "{won}" and one "{lost}"',
+    'one of the fleet appliers gets "{won}" and one "{lost}"',
 )
-def step_race_told(context, won, lost):
-    kinds = [type(one).__name__ for one in context.told]
+def step_race_outcomes(context, won, lost):
+    kinds = [type(outcome).__name__ for outcome in context.outcomes]
     assert sorted(kinds) == sorted([won, lost]), kinds
 
 
-@then('the fleet applier is told "{kind}"')
-@then('the first fleet applier is told "{kind}"')
-def step_told(context, kind):
-    kinds = [type(one).__name__ for one in context.told]
-    assert kinds == [kind], context.told
+@then('the fleet applier gets "{kind}"')
+@then('the first fleet applier gets "{kind}"')
+def step_outcome(context, kind):
+    kinds = [type(outcome).__name__ for outcome in context.outcomes]
+    assert kinds == [kind], context.outcomes
 
 
 @when('{seconds:d} fleet seconds pass')
@@ -182,7 +183,7 @@
     context.world.store.down = False
 
 
-@when('every fleet host leaves and starts anew, one by one')
+@when('every fleet host leaves and restarts, one by one')
 def step_rolling(context):
     world = context.world
     for name in list(world.places):
@@ -195,20 +196,20 @@
 
 @then(
     'in {orders:d} random orders of {count:d} versions '
-    'a fleet host never goes back',
+    'a fleet host never returns to an older version',
 )
 def step_orders(context, orders, count):
     manifest = fleet_manifest('ab', 2)
-    news = []
+    updates = []
     for version in range(1, count + 1):
         text = changed_text(manifest, name=f'v{version}')
-        news.append((version, 'broken' if version == 4 else text))
+        updates.append((version, 'broken' if version == 4 else text))
     for seed in range(orders):
-        _mixed(Random(seed), news, count)
+        _offer_shuffled(Random(seed), updates, count)
 
 
-def _mixed(random, news, highest):
-    mixed = news * 2
+def _offer_shuffled(random, updates, highest):
+    mixed = updates * 2
     random.shuffle(mixed)
     in_force = InForce(silent_log)
     before = 0
@@ -220,7 +221,7 @@
     assert in_force.snapshot.manifest.name == f'v{highest}'
 
 
-@then('no fleet host has in force what was not applied')
+@then('all fleet hosts have the applied configuration in force')
 def step_only_applied(context):
     texts = {host.node.in_force.text for host in context.world.hosts.values()}
     assert texts == {next_text(context.world, 'second')}
@@ -228,9 +229,9 @@
 
 @when('a fleet configuration is written that only host "{name}" can read')
 def step_broken(context, name):
-    context.asked = 0
+    context.request_count = 0
     for host in context.world.hosts.values():
-        host.fleet.answer('config', _counted(context, host.fleet.relay))
+        host.fleet.answer('config', _count_requests(context, host.fleet.relay))
     context.world.put('name: 7', 1)
     context.world.run(1)
     newer = context.world.hosts[name].node.in_force
@@ -241,17 +242,17 @@
         listener(newer.snapshot)
 
 
-def _counted(context, relay):
+def _count_requests(context, relay):
     def counted(name, body):
-        context.asked += 1
-        return relay.content(name, body)
+        context.request_count += 1
+        return relay.answer_request(name, body)
 
     return counted
 
 
-@then('fleet hosts asked for configurations at most {most:d} times')
+@then('fleet hosts requested configurations at most {most:d} times')
 def step_asked(context, most):
-    assert context.asked <= most, context.asked
+    assert context.request_count <= most, context.request_count
 
 
 @then('fleet host "{name}" alone has version {version:d}')
@@ -261,24 +262,26 @@
     assert set(versions.values()) == {1}, versions
 
 
-def _behind(context, name, version):
-    found = []
-    asked = context.world.hosts[name].fleet.document(2.0)
-    asked.addCallback(found.append)
+def _hosts_behind(context, name, version):
+    documents = []
+    answer = context.world.hosts[name].fleet.document(2.0)
+    answer.addCallback(documents.append)
     context.world.run(3)
-    assert len(found[0]['hosts']) == len(context.world.hosts)
-    return hosts_behind(found[0], version)
+    assert len(documents[0]['hosts']) == len(context.world.hosts)
+    return hosts_behind(documents[0], version)
 
 
-@then('fleet host "{name}" says that hosts "{names}" lack version {version:d}')
+@then(
+    'fleet host "{name}" reports that hosts "{names}" lack version {version:d}'
+)
 def step_says(context, name, names, version):
-    behind = _behind(context, name, version)
+    behind = _hosts_behind(context, name, version)
     assert behind == names.split(', '), behind
 
 
-@then('fleet host "{name}" says that no host lacks version {version:d}')
+@then('fleet host "{name}" reports that no host lacks version {version:d}')
 def step_says_none(context, name, version):
-    behind = _behind(context, name, version)
+    behind = _hosts_behind(context, name, version)
     assert not behind, behind
 
 
@@ -290,8 +293,8 @@
 
 
 @then(
-    'changing one weight hands over less than {most:d} bytes to a peer '
-    'that has the version before',
+    'changing one weight sends less than {most:d} bytes to a peer '
+    'that has the previous version',
 )
 def step_patch(context, most):
     teams = dict(context.manifest.teams)
@@ -303,8 +306,8 @@
     assert patched(context.old, patch) == context.new
 
 
-@then('a peer without a version gets the whole manifest')
-def step_whole(context):
+@then('a peer without a version gets the full manifest')
+def step_full(context):
     patch = patch_between('', context.new)
     assert patched('', patch) == context.new
     assert patched(context.old[:-1], patch) != context.old
@@ -327,9 +330,9 @@
             assert is_connected(links), (hosts, number)
 
 
-@then('6 fleet hosts that rendezvous alone leaves in two parts are connected')
+@then('6 fleet hosts that rendezvous hashing alone partitions are connected')
 def step_ring(context):
-    # Found by trying names: about one set of six in a hundred thousand.
+    # Found by a search: about one of a hundred thousand sets of six names.
     assert is_connected(link_graph(6, 1, prefix='115622-'))
 
 
@@ -343,7 +346,7 @@
     context.watches = [*getattr(context, 'watches', []), counted]
 
 
-@when('the fleet is one of {hosts:d} hosts instead')
+@when('the fleet has {hosts:d} hosts instead')
 def step_other_fleet(context, hosts):
     step_fleet(context, hosts, 4, 4)
 
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -1,4 +1,4 @@
-"""Steps of membership."""
+"""Steps of the membership of hosts and upstreams."""
 
 from random import Random
 
@@ -60,8 +60,8 @@
     context.world.cut_pairs.clear()
 
 
-@when('upstream "{name}" states that it is leaving')
-def step_states(context, name):
+@when('upstream "{name}" reports that it is leaving')
+def step_reports(context, name):
     context.world.upstreams[name].leaving = True
 
 
@@ -86,7 +86,7 @@
     context.world.upstreams[name].restart()
 
 
-@when('the process before takes it back and says that it is live')
+@when('the previous process takes it again and reports that it is live')
 def step_back(context):
     context.world.upstreams['engine-1'].number -= 1
 
@@ -99,7 +99,7 @@
         host.table.offer(old, link)
 
 
-@when('a late answer of "{incarnation}" says that it is {state}')
+@when('a late answer of "{incarnation}" reports that it is {state}')
 def step_late(context, incarnation, state):
     load = Load(leaving=state == 'leaving', incarnation=incarnation)
     for host in context.world.hosts.values():
@@ -160,29 +160,31 @@
 def _watchers(world, name):
     pool = world.manifest.pools['engines']
     domain = pool.upstreams[name].domain
-    names = [one.name for one in world.hosts.values() if one.domain == domain]
+    names = [
+        host.name for host in world.hosts.values() if host.domain == domain
+    ]
     return ranked(name, names, 2)
 
 
 @given('one watcher of upstream "{name}" can\'t reach it')
-def step_one_blind(context, name):
+def step_one_unreachable(context, name):
     watcher = _watchers(context.world, name)[0]
     watchers = context.world.hosts[watcher].fleet.watchers
     read_load = watchers.read_load
 
-    def blind(upstream, declared):
+    def read_other_loads(upstream, declared):
         if upstream == name:
             return succeed(None)
         return read_load(upstream, declared)
 
-    watchers.read_load = blind
+    watchers.read_load = read_other_loads
     context.world.run(8)
     record = context.world.hosts['a-0'].table.record(UPSTREAM, name)
     assert record.witnesses == (watcher,), record
 
 
-@given('both watchers of upstream "{name}" die')
-def step_watchers_die(context, name):
+@given('both watchers of upstream "{name}" fail')
+def step_watchers_fail(context, name):
     for watcher in _watchers(context.world, name):
         context.world.kill(watcher)
 
@@ -200,13 +202,13 @@
     world.upstreams[name].restart()
     world.run(5)
     assert fleet.table.record(UPSTREAM, name).incarnation == f'{name}-2'
-    fleet.upstreams.polled(name, old, sent_at)
+    fleet.upstreams.record_poll(name, old, sent_at)
     fleet.upstreams.tracker.reported(name, old)
     world.run(0.5)
 
 
-@when('upstream "{name}" dies')
-def step_dies(context, name):
+@when('upstream "{name}" fails')
+def step_fails(context, name):
     context.world.upstreams[name].dead = True
 
 
@@ -225,15 +227,15 @@
         table.offer(record)
 
 
-@when('each membership witness withdraws and their news cross')
+@when('each membership witness withdraws at the same time')
 def step_withdraw(context):
-    news = []
+    records = []
     for name, table in context.tables.items():
         record = table.record(UPSTREAM, 'e1')
         others = set(record.witnesses) - {name}
-        news.append(with_witnesses_only(record, others))
+        records.append(with_witnesses_only(record, others))
     for table in context.tables.values():
-        for record in news:
+        for record in records:
             table.offer(record)
 
 
@@ -243,8 +245,8 @@
         assert not table.record(UPSTREAM, 'e1').witnesses
 
 
-@when('{count:d} of the upstreams die')
-def step_many_die(context, count):
+@when('{count:d} of the upstreams fail')
+def step_many_fail(context, count):
     for number in range(count):
         context.world.upstreams[f'engine-{number}'].dead = True
 
@@ -255,7 +257,7 @@
         assert name in {event for event, _ in host.events}
 
 
-@given('membership host "{name}" loses all news for {seconds:d} seconds')
+@given('membership host "{name}" loses all updates for {seconds:d} seconds')
 def step_loses(context, name, seconds):
     fleet = context.world.hosts[name].fleet
     takers = dict(fleet.hub.takers)
@@ -266,18 +268,18 @@
 @given('no membership host compares sums')
 def step_no_sums(context):
     for host in context.world.hosts.values():
-        host.hub.takers[Beat] = host.fleet.relay.heard
+        host.hub.takers[Beat] = host.fleet.relay.on_beat
 
 
-@then('each side thinks that the membership hosts of the other are gone')
+@then('each side considers the membership hosts of the other gone')
 def step_gone(context):
     for host in context.world.hosts.values():
-        domains = {one.domain for one in host.fleet.hosts.live.values()}
+        domains = {record.domain for record in host.fleet.hosts.live.values()}
         reached = 'b' if host.domain == 'b' else 'acd'
         assert domains == set(reached), (host.name, domains)
 
 
-@then('all membership hosts think that all are live within {seconds:d} seconds')
+@then('all membership hosts consider all live within {seconds:d} seconds')
 def step_all_live(context, seconds):
     world = context.world
 
@@ -290,7 +292,7 @@
     assert world.run_until(all_live, seconds) is not None
 
 
-@when('membership host "{name}" leaves and comes back with a lower boot number')
+@when('membership host "{name}" leaves and restarts with a lower boot number')
 def step_lower_boot(context, name):
     world = context.world
     boot = world.hosts[name].hub.hello.boot
@@ -299,14 +301,14 @@
     assert host.hub.hello.boot < boot
 
 
-def _news(random, kind):
-    news = []
-    # A host's incarnation is its order; an upstream's may come back under
-    # another order.
+def _random_records(random, kind):
+    records = []
+    # A host's incarnation equals its order; an upstream's incarnation may
+    # return with another order.
     incarnations = 'ab' if kind == UPSTREAM else ' '
     for _ in range(random.randrange(2, 7)):
         order = random.randrange(1, 4)
-        news.append(
+        records.append(
             Record(
                 kind,
                 'e1',
@@ -321,35 +323,35 @@
                 listed_leaving=random.randrange(2) == 0,
             ),
         )
-    return news
+    return records
 
 
-@then('in {trials:d} membership trials every order of news ends the same')
+@then('in {trials:d} membership trials every order of updates ends the same')
 def step_merge(context, trials):
     context.trials = []
     for seed in range(trials):
         random = Random(seed)
         kind = random.choice((HOST, UPSTREAM))
-        news = _news(random, kind)
-        context.trials.append(news)
+        records = _random_records(random, kind)
+        context.trials.append(records)
         ends = set()
         for _ in range(8):
-            random.shuffle(news)
+            random.shuffle(records)
             table = Table()
-            for record in news + news[:2]:
+            for record in records + records[:2]:
                 table.offer(record)
             ends.add(table.record(kind, 'e1'))
-            places = [(one.order, one.incarnation) for one in news]
+            keys = [(record.order, record.incarnation) for record in records]
             end = table.record(kind, 'e1')
-            assert (end.order, end.incarnation) == max(places)
+            assert (end.order, end.incarnation) == max(keys)
         assert len(ends) == 1, ends
 
 
-@then('a membership record that has left never comes back in any of them')
+@then('a leaving membership record never becomes live again in any of them')
 def step_sticky(context):
-    for news in context.trials:
+    for records in context.trials:
         table = Table()
-        for record in news:
+        for record in records:
             before = table.record(record.kind, 'e1')
             table.offer(record)
             after = table.record(record.kind, 'e1')
@@ -357,17 +359,18 @@
             if record.kind == HOST:
                 same = before.order == after.order
             if before.leaving and same:
-                assert after.leaving, news
+                assert after.leaving, records
 
 
-@then('polls a membership host and second are at most these')
+@then('the polls per membership host and second are at most these')
 def step_polls(context):
     for row in context.table:
         hosts = int(row['hosts'])
         world = started_fleet(hosts, 4, int(row['upstreams']))
-        before = sum(one.asked for one in world.upstreams.values())
+        upstreams = world.upstreams.values()
+        before = sum(upstream.asked for upstream in upstreams)
         world.run(10)
-        asked = sum(one.asked for one in world.upstreams.values()) - before
-        assert asked / 10 / hosts <= float(row['most']), (row, asked)
-        assert asked / 10 >= int(row['upstreams']) * 0.9
+        polls = sum(upstream.asked for upstream in upstreams) - before
+        assert polls / 10 / hosts <= float(row['most']), (row, polls)
+        assert polls / 10 >= int(row['upstreams']) * 0.9
         assert len(world.hosts['a-0'].table.of_kind(HOST)) == hosts
--- a/pollenstile/fleet/__init__.py
+++ b/pollenstile/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration in force and membership of upstreams."""
+"""Configuration in force, and membership of entry hosts and upstreams."""
 
 from pollenstile.fleet._apply import (
     Accepted,
@@ -15,10 +15,10 @@
 from pollenstile.fleet._hosts import Hosts, is_live
 from pollenstile.fleet._inforce import InForce
 from pollenstile.fleet._loads import http_load_reader
-from pollenstile.fleet._platformnews import (
+from pollenstile.fleet._platform_reader import (
     CONFIG_KIND,
     CONFIG_NAME,
-    PlatformNews,
+    PlatformReader,
 )
 from pollenstile.fleet._record import (
     HOST,
--- a/pollenstile/fleet/_apply.py
+++ b/pollenstile/fleet/_apply.py
@@ -1,8 +1,8 @@
-"""Applying a reviewed manifest, and who has it in force."""
+"""Conditional writes of a reviewed manifest, and the hosts that lack it."""
 
 from dataclasses import dataclass
 
-from pollenstile.fleet._platformnews import CONFIG_KIND, CONFIG_NAME
+from pollenstile.fleet._platform_reader import CONFIG_KIND, CONFIG_NAME
 from pollenstile.platform import (
     Absent,
     Conflict,
@@ -16,26 +16,26 @@
 
 MARK_FIELD = 'apply'
 HISTORY_FIELD = 'history'
-_MOST_TRIES = 6
-_MOST_HISTORY = 16
+_MAX_TRIES = 6
+_MAX_HISTORY = 16
 
 
 @dataclass(slots=True, frozen=True)
 class Accepted:
-    """The manifest is accepted as this version."""
+    """The manifest was written as this version."""
 
     version: int
 
 
 @dataclass(slots=True, frozen=True)
 class RaceLost:
-    """Another version stands there; nothing of this one is in force.
+    """The store has another version; this manifest was not written.
 
     Parameters
     ==========
 
     version : int
-        The one that stands there.
+        The version in the store.
     """
 
     version: int
@@ -43,13 +43,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Replaced:
-    """The manifest was accepted, and another has replaced it since.
+    """The manifest was written, and another one has replaced it since.
 
     Parameters
     ==========
 
     version : int
-        The one that stands there now.
+        The version in the store now.
     """
 
     version: int
@@ -57,13 +57,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Unsettled:
-    """It is not known what became of the write.
+    """The outcome of the write is unknown.
 
     Parameters
     ==========
 
     step, peer, reason : str
-        Where and why.
+        The call that failed, the peer, and the reason.
     """
 
     step: str
@@ -73,13 +73,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Current:
-    """What stands in the store; version 0 and no text when nothing does.
+    """The manifest in the store; version 0 and no text when there is none.
 
     Parameters
     ==========
 
     version : int
-        Its version.
+        Version of the object.
     text : str
         The manifest's document.
     history : tuple of str
@@ -92,7 +92,7 @@
 
 
 async def current_config(store):
-    """Return ``Current``, or ``Unavailable``."""
+    """Read the manifest; return ``Current`` or ``Unavailable``."""
     found = await store.get(CONFIG_KIND, CONFIG_NAME)
     if isinstance(found, Absent):
         return Current(0, '')
@@ -109,14 +109,14 @@
 
 
 async def applied(store, text, reviewed, apply_id, pause=unpaused):
-    """Write a manifest over the version that it was reviewed against.
+    """Write a manifest if the version it was reviewed against is current.
 
     Explanation
     ===========
 
-    Of two racing writers that name the same version one wins. When the
-    answer is lost the object is read back; the mark in it tells whose write
-    stands there.
+    Of two racing writers that name the same version one succeeds. When the
+    answer is lost the object is read back; its mark identifies the write that
+    the store contains.
 
     Parameters
     ==========
@@ -128,7 +128,7 @@
     reviewed : int
         The version that the change was reviewed against; 0 for none.
     apply_id : str
-        Never used for another write.
+        Mark of this write; never used for another one.
     pause : function
         See :func:`~pollenstile.platform.settled_put`.
 
@@ -142,7 +142,7 @@
         return Unsettled(current.step, current.peer, current.reason)
     if current.version != reviewed:
         return RaceLost(current.version)
-    history = [*current.history, apply_id][-_MOST_HISTORY:]
+    history = [*current.history, apply_id][-_MAX_HISTORY:]
     outcome = await settled_put(
         store,
         CONFIG_KIND,
@@ -151,27 +151,27 @@
         reviewed,
         field_mark(MARK_FIELD),
         pause,
-        _MOST_TRIES,
+        _MAX_TRIES,
     )
     if isinstance(outcome, Written):
         return Accepted(outcome.version)
     if isinstance(outcome, Conflict):
         return RaceLost(outcome.version)
     if isinstance(outcome, Superseded):
-        return await _superseded(store, apply_id, outcome)
+        return await _settle_superseded(store, apply_id, outcome)
     return Unsettled(outcome.step, outcome.peer, outcome.reason)
 
 
-async def _superseded(store, apply_id, outcome):
-    # The answer was lost and another version stands there. Either ours lost
-    # the race, or it was in force and the next writer has replaced it; that
-    # writer read ours first and keeps its mark in the history.
+async def _settle_superseded(store, apply_id, outcome):
+    # The answer was lost and the store has another version. Either this write
+    # lost the race, or the next writer has replaced it; that writer read this
+    # version first and keeps its mark in the history.
     current = await current_config(store)
     if not isinstance(current, Current):
         return Unsettled(current.step, current.peer, current.reason)
     if apply_id in current.history:
         return Replaced(current.version)
-    if current.history and len(current.history) < _MOST_HISTORY:
+    if current.history and len(current.history) < _MAX_HISTORY:
         return RaceLost(current.version)
     return Unsettled('put', 'object API', 'the history does not tell')
 
@@ -183,9 +183,9 @@
     ==========
 
     document : dict
-        What an entry host's ``/fleet`` answers.
+        Answer of an entry host to ``/fleet``.
     version : int
-        The one that is waited for.
+        The awaited version.
 
     Examples
     ========
--- a/pollenstile/fleet/_census.py
+++ b/pollenstile/fleet/_census.py
@@ -1,12 +1,12 @@
-"""Which host has which version in force, asked of the whole fleet at once.
+"""Query of the version in force at every host of the fleet.
 
 Explanation
 ===========
 
-The question goes from link to link. Who hears it first passes it on and
-answers when all of these have answered, or when its time is over; who hears
-it again answers at once with nothing. So a question costs two messages a
-link and nothing when nobody asks.
+The query is flooded over the links. A host that receives it for the first time
+forwards it to its other peers, and answers when these have answered or when
+the time budget is over; a host that receives it again answers at once with an
+empty list. A query costs two messages a link, and there is no cost without one.
 
 References
 ==========
@@ -22,26 +22,26 @@
 from pollenstile.peer import BadMessageError, Unanswered, decoded, schema
 
 SUBJECT = 'status'
-_MOST_QUERIES = 256
+_MAX_QUERIES = 256
 _MS = 1000
-# What a hop keeps for itself of the time that it was given.
-_HOP_SHARE = 0.8
+# Share of its time budget that each hop passes on to the next one.
+_HOP_BUDGET_SHARE = 0.8
 _BITS = 64
 
 
 @dataclass(slots=True, frozen=True)
 class HostStatus:
-    """One entry host's answer.
+    """Status of one entry host.
 
     Parameters
     ==========
 
     host, domain : str
-        Who.
+        Name and domain of the host.
     version : int
-        Its version in force.
+        Version in force at the host.
     leaving : bool
-        Whether it is leaving.
+        Whether the host is leaving.
     """
 
     host: str
@@ -51,94 +51,94 @@
 
 
 class Census:
-    """Asks and answers.
+    """Collects the statuses of all hosts and answers queries of peers.
 
     Parameters
     ==========
 
     hub : Hub
         Links to peers.
-    own : function
-        Returns the own :class:`HostStatus`.
+    own_status : function
+        Returns the :class:`HostStatus` of this host.
     """
 
-    __slots__ = ('hub', 'own', 'queries')
+    __slots__ = ('hub', 'own_status', 'queries')
 
-    def __init__(self, hub, own):
+    def __init__(self, hub, own_status):
         self.hub = hub
-        self.own = own
+        self.own_status = own_status
         self.queries = OrderedDict()
-        hub.requests.subjects[SUBJECT] = self._asked
+        hub.requests.subjects[SUBJECT] = self._answer_query
 
-    def taken(self, seconds):
-        """Return a Deferred of a HostStatus of each host that answers."""
+    def collect(self, seconds):
+        """Return a Deferred of the HostStatus of each host that answers."""
         query = f'{self.hub.hello.host}/{self.hub.random.getrandbits(_BITS)}'
-        self._note(query)
-        return self._gathered(query, seconds, '')
+        self._remember(query)
+        return self._collect_from_peers(query, seconds, '')
 
-    def _asked(self, host, body):
-        query, seconds = decoded(schema.StatusAsk, body, _question)
+    def _answer_query(self, host, body):
+        query, seconds = decoded(schema.StatusAsk, body, _decode_query)
         if query in self.queries:
-            return _encoded([])
-        self._note(query)
-        answer = self._gathered(query, seconds, host)
-        return answer.addCallback(_encoded)
+            return _encode_statuses([])
+        self._remember(query)
+        answer = self._collect_from_peers(query, seconds, host)
+        return answer.addCallback(_encode_statuses)
 
-    def _note(self, query):
+    def _remember(self, query):
         self.queries[query] = True
-        while len(self.queries) > _MOST_QUERIES:
+        while len(self.queries) > _MAX_QUERIES:
             self.queries.popitem(last=False)
 
-    def _gathered(self, query, seconds, but):
+    def _collect_from_peers(self, query, seconds, excluded):
         body = schema.StatusAsk.new_message(
             query=query,
-            budgetMs=int(seconds * _HOP_SHARE * _MS),
+            budgetMs=int(seconds * _HOP_BUDGET_SHARE * _MS),
         ).to_bytes()
-        asked = []
+        calls = []
         for host in self.hub.links:
-            if host != but:
-                asked.append(self.hub.ask(host, SUBJECT, body, seconds))
-        return gatherResults(asked).addCallback(self._united)
+            if host != excluded:
+                calls.append(self.hub.ask(host, SUBJECT, body, seconds))
+        return gatherResults(calls).addCallback(self._merge_answers)
 
-    def _united(self, answers):
-        found = {self.own().host: self.own()}
+    def _merge_answers(self, answers):
+        statuses = {self.own_status().host: self.own_status()}
         for answer in answers:
             if isinstance(answer, Unanswered):
                 continue
-            for status in _statuses(answer):
-                found[status.host] = status
-        return list(found.values())
+            for status in _decode_statuses(answer):
+                statuses[status.host] = status
+        return list(statuses.values())
 
 
-def _question(reader):
+def _decode_query(reader):
     return reader.query, reader.budgetMs / _MS
 
 
-def _encoded(statuses):
+def _encode_statuses(statuses):
     hosts = []
-    for one in statuses:
+    for status in statuses:
         hosts.append(
             {
-                'host': one.host,
-                'domain': one.domain,
-                'version': one.version,
-                'leaving': one.leaving,
+                'host': status.host,
+                'domain': status.domain,
+                'version': status.version,
+                'leaving': status.leaving,
             },
         )
     return schema.StatusAnswer.new_message(hosts=hosts).to_bytes()
 
 
-def _statuses(answer):
+def _decode_statuses(answer):
     try:
-        return decoded(schema.StatusAnswer, answer, _read)
+        return decoded(schema.StatusAnswer, answer, _build_statuses)
     except BadMessageError:
         return []
 
 
-def _read(reader):
-    found = []
-    for one in reader.hosts:
-        found.append(
-            HostStatus(one.host, one.domain, one.version, one.leaving),
+def _build_statuses(reader):
+    statuses = []
+    for row in reader.hosts:
+        statuses.append(
+            HostStatus(row.host, row.domain, row.version, row.leaving),
         )
-    return found
+    return statuses
--- a/pollenstile/fleet/_fleet.py
+++ b/pollenstile/fleet/_fleet.py
@@ -1,8 +1,8 @@
-"""One host's part in the fleet, put together."""
+"""Assembly of one host's configuration, membership and peer components."""
 
 from pollenstile.fleet._census import Census, HostStatus
 from pollenstile.fleet._hosts import Hosts
-from pollenstile.fleet._platformnews import PlatformNews
+from pollenstile.fleet._platform_reader import PlatformReader
 from pollenstile.fleet._record import HOST, by_domain
 from pollenstile.fleet._relay import Relay
 from pollenstile.fleet._sharing import Sharing
@@ -11,7 +11,7 @@
 from pollenstile.fleet._watchers import Watchers
 from pollenstile.peer import Beat, neighbours
 
-_TICK = 0.5
+_TICK_SECONDS = 0.5
 _PROBE_SECONDS = 5.0
 
 
@@ -24,11 +24,11 @@
     hub : Hub
         Links to peers; not started.
     in_force : InForce
-        The configuration.
+        The configuration in force.
     tracker : Tracker
-        What routing reads.
+        State of upstreams for routing.
     store : Store or None
-        The object API, paced.
+        The object API, rate limited.
     read_hosts : function or None
         Reads the platform's host list.
     read_load : function
@@ -38,6 +38,7 @@
     """
 
     __slots__ = (
+        'assigned_live',
         'census',
         'hosts',
         'hub',
@@ -45,7 +46,6 @@
         'news',
         'probe_at',
         'relay',
-        'seen',
         'sharing',
         'table',
         'timer',
@@ -78,7 +78,7 @@
         self.relay = Relay(hub, in_force, log)
         self.census = Census(hub, self._own_status)
         self.watchers = Watchers(self.upstreams, read_load, hub.random)
-        self.news = PlatformNews(
+        self.news = PlatformReader(
             store,
             read_hosts,
             in_force,
@@ -87,20 +87,20 @@
         )
         self.timer = None
         self.probe_at = 0.0
-        self.seen = None
+        self.assigned_live = None
         hub.beat = self._beat
-        hub.takers[Beat] = self._heard
-        in_force.listeners.append(self._configured)
+        hub.takers[Beat] = self._on_beat
+        in_force.listeners.append(self._on_snapshot)
 
     def start(self):
-        """Take part from now on."""
+        """Announce this host and start all loops."""
         self.hosts.announce()
         self.hub.start()
         self.watchers.start()
         self._tick()
 
     def leave(self):
-        """Tell the peers that this host is leaving; links stay."""
+        """Announce to the peers that this host is leaving; links stay open."""
         self.hosts.leaving = True
         self.hosts.announce()
         self.hub.beat_now()
@@ -115,18 +115,18 @@
         self.hub.stop()
 
     def ask(self, host, subject, body, timeout):
-        """Ask a host something; see :meth:`pollenstile.peer.Hub.ask`."""
+        """Send a request to a host; see :meth:`pollenstile.peer.Hub.ask`."""
         address = self.table.record(HOST, host).address
         return self.hub.ask(host, subject, body, timeout, address)
 
     def answer(self, subject, function):
-        """Answer what peers ask under a subject.
+        """Register the handler of a subject of peer requests.
 
         Parameters
         ==========
 
         subject : str
-            As the peers name it; ``'config'`` and ``'status'`` are taken.
+            Subject of the requests; ``'config'`` and ``'status'`` are reserved.
         function : function
             Takes the peer's name and the body; returns bytes or a Deferred
             of them.
@@ -134,12 +134,12 @@
         self.hub.requests.subjects[subject] = function
 
     def document(self, seconds):
-        """Return a Deferred of what operators ask for, of the whole fleet."""
-        taken = self.census.taken(seconds)
-        return taken.addCallback(self._document)
+        """Return a Deferred of the fleet's status document for operators."""
+        statuses = self.census.collect(seconds)
+        return statuses.addCallback(self._document)
 
     def _document(self, statuses):
-        versions = {one.host: one.version for one in statuses}
+        versions = {status.host: status.version for status in statuses}
         hosts = []
         for record in self.table.of_kind(HOST):
             hosts.append(
@@ -155,7 +155,7 @@
         return {
             'asked': self.hub.hello.host,
             'version': self.in_force.version,
-            'hosts': sorted(hosts, key=lambda one: one['host']),
+            'hosts': sorted(hosts, key=lambda row: row['host']),
             'upstreams': self.upstreams.document(),
         }
 
@@ -166,18 +166,18 @@
             self.hosts.leaving,
         )
 
-    def _heard(self, link, beat):
-        self.relay.heard(link, beat)
-        self.sharing.heard(link, beat)
+    def _on_beat(self, link, beat):
+        self.relay.on_beat(link, beat)
+        self.sharing.on_beat(link, beat)
 
     def _admits(self, record):
         if record.kind == HOST:
             return self.hosts.admits(record)
         return self.upstreams.admits(record)
 
-    def _configured(self, snapshot):
-        self.upstreams.configured(snapshot)
-        self.seen = None
+    def _on_snapshot(self, snapshot):
+        self.upstreams.apply_snapshot(snapshot)
+        self.assigned_live = None
 
     def _own_status(self):
         hello = self.hub.hello
@@ -190,21 +190,21 @@
 
     def _tick(self):
         now = self.hub.clock.seconds()
-        self.hosts.doubt_unreached()
+        self.hosts.witness_unreached()
         self.hosts.refresh()
-        if self.hosts.live is not self.seen:
-            self.seen = self.hosts.live
-            self._assign()
+        if self.hosts.live is not self.assigned_live:
+            self.assigned_live = self.hosts.live
+            self._assign_neighbours()
         self.upstreams.bar_down()
         self.news.tick()
         if now >= self.probe_at:
             self.probe_at = now + _PROBE_SECONDS
-            self.hosts.forget_gone(now)
-            self._probe()
-        pause = _TICK * self.hub.random.uniform(0.8, 1.2)
+            self.hosts.remove_gone(now)
+            self._probe_absent()
+        pause = _TICK_SECONDS * self.hub.random.uniform(0.8, 1.2)
         self.timer = self.hub.clock.callLater(pause, self._tick)
 
-    def _assign(self):
+    def _assign_neighbours(self):
         hello = self.hub.hello
         live = self.hosts.live
         chosen = neighbours(hello.host, hello.domain, by_domain(live.values()))
@@ -214,15 +214,17 @@
         self.hub.dialer.wanted = wanted
         self.watchers.assign()
 
-    def _probe(self):
-        # After a partition each side thinks that the other's hosts are gone
-        # and links to none of them. One try every few seconds, at a host
-        # that is gone or at an address known from the start, joins them.
-        absent = {one.name: one.address for one in self.hosts.absent()}
+    def _probe_absent(self):
+        # After a partition each side considers the hosts of the other side gone
+        # and links to none of them. One dial every few seconds to a host that
+        # is gone or to a seed address joins the sides again.
+        absent = {record.name: record.address for record in self.hosts.absent()}
         for address in self.hub.dialer.seeds:
             absent.setdefault(address, address)
-        known = {one.address for one in self.hosts.live.values()}
-        addresses = [one for one in absent.values() if one not in known]
+        live = {record.address for record in self.hosts.live.values()}
+        addresses = [
+            address for address in absent.values() if address not in live
+        ]
         if addresses:
             address = self.hub.random.choice(sorted(addresses))
             self.hub.dialer.dial(address)
--- a/pollenstile/fleet/_hosts.py
+++ b/pollenstile/fleet/_hosts.py
@@ -1,4 +1,4 @@
-"""Which entry hosts are live."""
+"""Membership of entry hosts: which of them are live."""
 
 from dataclasses import replace
 
@@ -11,10 +11,10 @@
 )
 
 _FORGET_SECONDS = 600.0
-# A link that breaks is dialed again at once; only if that fails too is the
-# peer thought to be gone.
-_DOUBT_SECONDS = 2.0
-_DOUBT_DIALS = 3
+# A broken link is dialed again at once; the peer is reported as unreachable
+# only if that fails too.
+_WITNESS_DELAY_SECONDS = 2.0
+_WITNESS_DIALS = 3
 
 
 def is_live(record, host, needed):
@@ -24,11 +24,11 @@
     ==========
 
     record : Record
-        Of the host in question.
+        Record of the host.
     host : str
-        Who asks; its own observation is enough for itself.
+        The host that decides; its own observation is sufficient for itself.
     needed : int
-        Witnesses that make others believe a failure.
+        Number of witnesses needed for the other hosts.
 
     Examples
     ========
@@ -43,8 +43,8 @@
     return len(record.witnesses) < needed
 
 
-def _record_of(hello, *, leaving=False):
-    """Return the record of a host that says who it is."""
+def _record_from_hello(hello, *, leaving=False):
+    """Return the record of the host that sent a hello."""
     return Record(
         HOST,
         hello.host,
@@ -57,7 +57,7 @@
 
 
 class Hosts:
-    """The entry hosts, from links, peers' news and the own start.
+    """Entry hosts known from links, records of peers and the own start.
 
     Parameters
     ==========
@@ -68,6 +68,18 @@
         The records.
     log : function
         Writes events.
+
+    Attributes
+    ==========
+
+    live : dict
+        Records of the live hosts, by name.
+    leaving : bool
+        Whether this host is leaving.
+    gone_since : dict
+        Time at which each host was first found gone, by name.
+    stale : bool
+        Whether a record has changed since ``live`` was computed.
     """
 
     __slots__ = (
@@ -88,21 +100,23 @@
         self.leaving = False
         self.gone_since = {}
         self.stale = True
-        hub.ups.append(self._met)
-        hub.downs.append(self._lost)
-        table.listeners.append(self._changed)
+        hub.ups.append(self._link_opened)
+        hub.downs.append(self._link_closed)
+        table.listeners.append(self._on_record)
 
     @property
     def name(self):
-        """The own name."""
+        """Name of this host."""
         return self.hub.hello.host
 
     def announce(self):
-        """Put the own record into the table."""
-        self.table.offer(_record_of(self.hub.hello, leaving=self.leaving))
+        """Put the record of this host into the table."""
+        self.table.offer(
+            _record_from_hello(self.hub.hello, leaving=self.leaving)
+        )
 
     def refresh(self):
-        """Work out who is live again, if anything has changed."""
+        """Recompute the live hosts if any record has changed."""
         if not self.stale:
             return
         self.stale = False
@@ -112,41 +126,45 @@
         for record in records:
             if is_live(record, self.name, needed):
                 live[record.name] = record
-        self._tell(live)
+        self._log_changes(live)
         self.live = live
 
-    def doubt_unreached(self):
-        """Witness against hosts that are wanted but were never reached."""
+    def witness_unreached(self):
+        """Add this host as a witness of wanted hosts that it can't dial."""
         dialer = self.hub.dialer
         for host, address in dialer.wanted.items():
-            if dialer.failures(address) >= _DOUBT_DIALS:
-                self._doubt(host)
+            if dialer.failures(address) >= _WITNESS_DIALS:
+                self._witness_unlinked(host)
 
     def names_in(self, domain):
         """Return the names of the live hosts of a domain."""
-        return [one.name for one in self.live.values() if one.domain == domain]
+        return [
+            record.name
+            for record in self.live.values()
+            if record.domain == domain
+        ]
 
-    def near(self, domain):
-        """Return the live hosts that look after a domain's upstreams.
+    def responsible_for(self, domain):
+        """Return the live hosts that poll a domain's upstreams.
 
         Explanation
         ===========
 
-        Those of the domain. When it has none, upstreams there can still be
-        called from others, so all hosts look after them.
+        These are the hosts of the domain. When it has none, its upstreams can
+        still be called from other domains, so all hosts are responsible.
         """
         return self.names_in(domain) or list(self.live)
 
     def absent(self):
-        """Return records of hosts that were known but are not live."""
-        found = []
+        """Return records of known hosts that are neither live nor leaving."""
+        records = []
         for record in self.table.of_kind(HOST):
             if record.name not in self.live and not record.leaving:
-                found.append(record)
-        return found
+                records.append(record)
+        return records
 
-    def forget_gone(self, now):
-        """Forget hosts that have been gone for long."""
+    def remove_gone(self, now):
+        """Remove the records of hosts that have been gone for ten minutes."""
         for record in self.table.of_kind(HOST):
             if record.name in self.live or record.name == self.name:
                 self.gone_since.pop(record.name, None)
@@ -158,17 +176,17 @@
                 self.stale = True
 
     def admits(self, record):
-        """Return whether a peer's record of an unknown host is taken.
+        """Return whether a peer's record of an unknown host is accepted.
 
         Explanation
         ===========
 
-        Hosts forget one that is gone at different times; who has forgotten
-        it must not learn it again from who has not.
+        Hosts remove the record of a host that is gone at different times; one
+        that has removed it must not accept it again from one that has not.
         """
         return not record.leaving and len(record.witnesses) < 2
 
-    def _tell(self, live):
+    def _log_changes(self, live):
         for name in sorted(self.live.keys() - live.keys()):
             record = self.table.record(HOST, name)
             self.log(
@@ -181,7 +199,7 @@
         for name in sorted(live.keys() - self.live.keys()):
             self.log(events.HOST_BACK, peer=name, domain=live[name].domain)
 
-    def _changed(self, before, after, source):
+    def _on_record(self, before, after, source):
         if after.kind != HOST:
             return
         self.stale = True
@@ -189,8 +207,8 @@
             self._refute(after)
 
     def _refute(self, record):
-        # A host whose record says that it is gone, or that belongs to an
-        # earlier process with a clock ahead of this one's, knows better.
+        # Corrects a record that reports this live host as gone, or that belongs
+        # to an earlier process whose clock was ahead of this one's.
         hello = self.hub.hello
         if record.order > hello.boot:
             self.hub.hello = replace(hello, boot=record.order + 1)
@@ -198,18 +216,20 @@
         elif record.witnesses:
             self.table.offer(with_witnesses_only(record, ()))
 
-    def _met(self, link):
+    def _link_opened(self, link):
         peer = link.session.peer
-        self.table.offer(_record_of(peer))
+        self.table.offer(_record_from_hello(peer))
         record = self.table.record(HOST, peer.host)
         kept = set(record.witnesses) - {self.name}
         self.table.offer(with_witnesses_only(record, kept))
 
-    def _lost(self, host, link):
+    def _link_closed(self, host, link):
         if not self.hub.stopped:
-            self.hub.clock.callLater(_DOUBT_SECONDS, self._doubt, host)
+            self.hub.clock.callLater(
+                _WITNESS_DELAY_SECONDS, self._witness_unlinked, host
+            )
 
-    def _doubt(self, host):
+    def _witness_unlinked(self, host):
         if self.hub.stopped or host in self.hub.links:
             return
         known = (HOST, host) in self.table.records
--- a/pollenstile/fleet/_inforce.py
+++ b/pollenstile/fleet/_inforce.py
@@ -6,20 +6,32 @@
 
 
 class InForce:
-    """The highest valid version that this host has seen.
+    """The highest valid version that this host has received.
 
     Explanation
     ===========
 
-    Versions come from reads, watches and peers, late and in any order. A
-    version is taken only if it is higher than the one in force and validates;
-    nothing takes the host back, however old news arrives.
+    Versions arrive from reads, watches and peers, late and in any order. A
+    version is accepted only if it is higher than the one in force and
+    validates, so that late updates never restore an older version.
 
     Parameters
     ==========
 
     log : function
         Writes events.
+
+    Attributes
+    ==========
+
+    snapshot : Snapshot or None
+        The version in force.
+    text : str
+        The manifest's document.
+    refused : int
+        Highest version that did not validate.
+    listeners : list of function
+        Called with each new snapshot.
     """
 
     __slots__ = ('listeners', 'log', 'refused', 'snapshot', 'text')
@@ -33,11 +45,11 @@
 
     @property
     def version(self):
-        """The version in force, 0 before there is one."""
+        """The version in force; 0 before there is one."""
         return self.snapshot.version if self.snapshot else 0
 
     def offer(self, version, text, source):
-        """Take a version if it is higher and valid; return whether it was.
+        """Accept a version if it is higher and valid; return whether it was.
 
         Parameters
         ==========
@@ -47,7 +59,7 @@
         text : str
             The manifest's document.
         source : str
-            Where it came from, for the log.
+            Origin of the version, for the log.
         """
         if version <= max(self.version, self.refused):
             return False
--- a/pollenstile/fleet/_loads.py
+++ b/pollenstile/fleet/_loads.py
@@ -1,4 +1,4 @@
-"""Asking an upstream for its load, over HTTP."""
+"""Load polls of upstreams over HTTP."""
 
 import msgspec
 from twisted.internet.defer import Deferred
@@ -6,26 +6,26 @@
 
 from pollenstile.upstream import Load
 
-_ANSWER_SECONDS = 1.0
+_TIMEOUT_SECONDS = 1.0
 _IDLE_SECONDS = 30.0
 _OK = 200
 
 
 def http_load_reader(reactor):
-    """Return a function that asks an upstream ``GET /v1/load``.
+    """Return a function that sends ``GET /v1/load`` to an upstream.
 
     Explanation
     ===========
 
     Connections are kept between polls. After a failure all idle ones are
-    closed: where something on the way has lost track of them, the next poll
-    goes over a new one, before the upstream counts as missed.
+    closed: if a middlebox has dropped their state, the next poll uses a new
+    connection, before the upstream counts as missed.
     """
     pool = HTTPConnectionPool(reactor, persistent=True)
     pool.retryAutomatically = False
     pool.maxPersistentPerHost = 1
     pool.cachedConnectionTimeout = _IDLE_SECONDS
-    agent = Agent(reactor, connectTimeout=_ANSWER_SECONDS, pool=pool)
+    agent = Agent(reactor, connectTimeout=_TIMEOUT_SECONDS, pool=pool)
 
     async def read(upstream):
         uri = f'http://{upstream.address}/v1/load'.encode()
@@ -37,12 +37,12 @@
 
     def read_load(name, upstream):
         answer = Deferred.fromCoroutine(read(upstream))
-        answer.addTimeout(_ANSWER_SECONDS, reactor)
-        answer.addErrback(_nothing, pool)
+        answer.addTimeout(_TIMEOUT_SECONDS, reactor)
+        answer.addErrback(_close_idle, pool)
         return answer
 
     return read_load
 
 
-def _nothing(failure, pool):
+def _close_idle(failure, pool):
     pool.closeCachedConnections()
--- a/pollenstile/fleet/_platformnews.py
+++ b/pollenstile/fleet/_platform_reader.py
@@ -1,4 +1,4 @@
-"""News from the platform: the configuration and the host list."""
+"""Reads of the configuration and the host list from the platform."""
 
 from twisted.internet.defer import Deferred, maybeDeferred
 
@@ -9,25 +9,25 @@
 CONFIG_KIND = 'config'
 CONFIG_NAME = 'manifest'
 
-_WATCHING = 3
-_LISTING = 2
-# A manifest for 1,400 teams has 250 KB. Read once a minute it alone would take
-# twice what a host may spend on control.
+_WATCHING_HOSTS = 3
+_LISTING_HOSTS = 2
+# A manifest for 1,400 teams has 250 KB. Reading it once a minute would by
+# itself take twice the bandwidth that a host may use for control.
 _READ_SECONDS = 600.0
 _TIMING = WatchTiming(list_every=600.0)
 _LIST_SECONDS = 3.0
-_UNWATCH_SECONDS = 15.0
+_STOP_WATCH_SECONDS = 15.0
 
 
-async def config_read(store, in_force):
-    """Read the configuration once and offer it to the host."""
+async def read_config(store, in_force):
+    """Read the configuration once and offer it to this host."""
     found = await store.get(CONFIG_KIND, CONFIG_NAME)
     if isinstance(found, Found):
-        offered(in_force, found.version, found.value)
+        offer_config(in_force, found.version, found.value)
 
 
-def offered(in_force, version, value):
-    """Offer an object's value to a host; return whether it was taken."""
+def offer_config(in_force, version, value):
+    """Offer an object's value to this host; return whether it was accepted."""
     text = value.get('text') if isinstance(value, dict) else None
     if isinstance(text, str):
         return in_force.offer(version, text, 'platform')
@@ -35,17 +35,18 @@
     return False
 
 
-class PlatformNews:
-    """Reads what the platform tells, as little as the fleet needs.
+class PlatformReader:
+    """Reads the platform with as few calls as the fleet needs.
 
     Explanation
     ===========
 
-    The platform counts each call, a waiting watch as one, and its rates grow
-    more slowly than the fleet. So three hosts of each domain watch the
-    configuration, by rendezvous over the live ones, and two read the host
-    list; the others learn from peers and look for themselves every ten minutes.
-    A host that sees no others watches itself.
+    The platform counts each call, including a waiting watch, and its rate
+    limits grow more slowly than the fleet. Three hosts of each domain, chosen
+    by rendezvous hashing over the live ones, watch the configuration, and two
+    read the host list; the others receive updates from peers and read the
+    configuration themselves every ten minutes. A host that knows no other live
+    hosts watches it too.
 
     Parameters
     ==========
@@ -55,9 +56,9 @@
     read_hosts : function or None
         Returns a Deferred of ``HostList`` or ``Unavailable``.
     in_force : InForce
-        Takes configurations.
+        Receives configurations.
     upstreams : Upstreams
-        Takes the host list.
+        Receives the host list.
     random : random.Random
         Source of the jitter.
     """
@@ -92,47 +93,52 @@
         self.reading = False
 
     def stop(self):
-        """Read nothing more."""
+        """Stop the watch."""
         if self.watch is not None:
             self.watch.stop()
             self.watch = None
 
     def tick(self):
-        """Watch or read what is due; called often."""
+        """Start the watch or the reads that are due; called often."""
         now = self.clock.seconds()
         hosts = self.upstreams.hosts
         own = hosts.live.get(hosts.name)
         names = hosts.names_in(own.domain) if own else [hosts.name]
         if self.store is not None:
-            self._config(hosts.name in ranked('config', names, _WATCHING), now)
-        listing = hosts.name in ranked('hosts', names, _LISTING)
-        if self.read_hosts is not None and listing and now >= self.list_at:
+            self._update_config(
+                hosts.name in ranked('config', names, _WATCHING_HOSTS), now
+            )
+        is_listing = hosts.name in ranked('hosts', names, _LISTING_HOSTS)
+        if self.read_hosts is not None and is_listing and now >= self.list_at:
             self.list_at = now + _LIST_SECONDS * self.random.uniform(0.8, 1.2)
             call = maybeDeferred(self.read_hosts)
-            call.addCallback(self._listed)
+            call.addCallback(self._on_hosts)
 
-    def _config(self, chosen, now):
+    def _update_config(self, chosen, now):
         if chosen or self.in_force.snapshot is None:
             self.chosen_at = now
             if self.watch is None:
                 self.watch = self._watch()
             return
-        # The choice may come back at once while the fleet is restarted.
-        if self.watch is not None and now - self.chosen_at > _UNWATCH_SECONDS:
+        # This host may be chosen again soon while the fleet is restarted.
+        if (
+            self.watch is not None
+            and now - self.chosen_at > _STOP_WATCH_SECONDS
+        ):
             self.stop()
-            self._read_later(now)
+            self._schedule_read(now)
         if self.watch is None and now >= self.read_at:
-            self._read_later(now)
-            Deferred.fromCoroutine(config_read(self.store, self.in_force))
+            self._schedule_read(now)
+            Deferred.fromCoroutine(read_config(self.store, self.in_force))
 
-    def _read_later(self, now):
+    def _schedule_read(self, now):
         self.read_at = now + _READ_SECONDS * self.random.uniform(0.5, 1.5)
 
     def _watch(self):
         return watch(
             self.store,
             CONFIG_KIND,
-            self._changed,
+            self._on_change,
             self.clock,
             self.random,
             self.log,
@@ -140,11 +146,11 @@
             timing=_TIMING,
         )
 
-    def _changed(self, change):
+    def _on_change(self, change):
         if change.name == CONFIG_NAME:
-            offered(self.in_force, change.version, change.value)
+            offer_config(self.in_force, change.version, change.value)
 
-    def _listed(self, outcome):
+    def _on_hosts(self, outcome):
         if not isinstance(outcome, HostList):
             self.log(
                 events.HOSTS_UNREAD,
@@ -154,4 +160,4 @@
             )
             return
         for entry in outcome.hosts:
-            self.upstreams.listed(entry)
+            self.upstreams.record_listed(entry)
--- a/pollenstile/fleet/_record.py
+++ b/pollenstile/fleet/_record.py
@@ -1,18 +1,18 @@
-"""What is known of one host or upstream, and how two such views merge.
+"""Membership records of hosts and upstreams, and their merge.
 
 Explanation
 ===========
 
-Views meet in any order, late and more than once, so merging is commutative,
-associative and idempotent: all hosts end with the same record whatever the
-order of the news. Each part of a record only ever rises:
+Records arrive in any order, late and more than once, so the merge is
+commutative, associative and idempotent: all hosts end with the same record
+whatever the order of the updates. Each part of a record is monotonic:
 
-- the incarnation, by its order, then by its text;
+- the incarnation, ordered by its order, then by its text;
 - within an incarnation, *leaving* goes from false to true and never back;
-- the number of each witness of a failure: odd while it can't reach the host
-  or upstream, even when it can again, so that two witnesses who change their
-  minds at one instant don't bring each other back;
-- the host list's view, by the list's own incarnation.
+- the counter of each witness of a failure: odd while the witness can't reach
+  the host or upstream, even when it can again, so that two witnesses that
+  withdraw at the same time don't restore each other's report;
+- the state in the host list, ordered by the list's own incarnation.
 """
 
 from collections import defaultdict
@@ -20,12 +20,12 @@
 
 HOST = 1
 UPSTREAM = 2
-MOST_VIEWS = 16
+MAX_VIEWS = 16
 
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """One host or upstream.
+    """Membership record of one host or upstream.
 
     Parameters
     ==========
@@ -37,17 +37,18 @@
     order : int
         Rises with each incarnation.
     incarnation : str
-        As the process states it; empty before it was seen.
+        Incarnation reported by the process; empty while none was seen.
     leaving : bool
         Whether this incarnation gets no new work.
     views : tuple of tuple
-        Host and number of each that ever could not reach it, sorted.
+        Name and counter of each host that ever failed to reach this one,
+        sorted.
     domain, address : str
-        Of hosts.
+        Domain and address; of hosts only.
     listed : int
-        Its incarnation in the platform's host list; 0 when not listed.
+        Incarnation in the platform's host list; 0 when not listed.
     listed_leaving : bool
-        Whether the list says of that incarnation that it is leaving.
+        Whether the host list shows that incarnation as leaving.
     """
 
     kind: int
@@ -63,12 +64,12 @@
 
     @property
     def witnesses(self):
-        """The hosts that can't reach it now, sorted."""
+        """Hosts that can't reach this host or upstream now, sorted."""
         return tuple(host for host, number in self.views if number % 2)
 
 
 def merged(one, other):
-    """Return the record that two views of the same name make.
+    """Return the merge of two records of the same name.
 
     Examples
     ========
@@ -96,56 +97,58 @@
     return record.listed == listed and record.listed_leaving
 
 
-def _place(record):
+def _incarnation_key(record):
     return record.order, record.incarnation
 
 
 def _newest(one, other):
-    if _place(one) != _place(other):
-        return max(one, other, key=_place)
-    # Domain and address go with the incarnation and are the same in both,
-    # unless a peer is faulty; then too all hosts choose the same.
-    base = max(one, other, key=_details)
+    if _incarnation_key(one) != _incarnation_key(other):
+        return max(one, other, key=_incarnation_key)
+    # Domain and address belong to the incarnation and are the same in both
+    # records unless a peer is faulty; the choice is then still deterministic.
+    base = max(one, other, key=_address_key)
     views = dict(one.views)
     for host, number in other.views:
         views[host] = max(number, views.get(host, 0))
     return replace(
         base,
         leaving=one.leaving or other.leaving,
-        views=_kept(views),
+        views=_limit_views(views),
     )
 
 
-def _details(record):
+def _address_key(record):
     return record.domain, record.address
 
 
-def _kept(views):
-    """Return views in order; of very many the ones that changed most."""
-    ordered = sorted(views.items(), key=_number, reverse=True)
-    return tuple(sorted(ordered[:MOST_VIEWS]))
+def _limit_views(views):
+    """Return the views in order, limited to those that changed most often."""
+    ordered = sorted(views.items(), key=_view_key, reverse=True)
+    return tuple(sorted(ordered[:MAX_VIEWS]))
 
 
-def _number(view):
+def _view_key(view):
     return view[1], view[0]
 
 
-def _changed(record, hosts):
+def _advance_views(record, hosts):
     views = dict(record.views)
     for host in hosts:
         views[host] = views.get(host, 0) + 1
-    return replace(record, views=_kept(views))
+    return replace(record, views=_limit_views(views))
 
 
 def with_witness(record, host):
     """Return the record with one more host that can't reach it."""
-    return record if host in record.witnesses else _changed(record, [host])
+    return (
+        record if host in record.witnesses else _advance_views(record, [host])
+    )
 
 
 def with_witnesses_only(record, hosts):
     """Return the record without witnesses that are not among ``hosts``."""
     gone = [name for name in record.witnesses if name not in hosts]
-    return _changed(record, gone) if gone else record
+    return _advance_views(record, gone) if gone else record
 
 
 def by_domain(records):
--- a/pollenstile/fleet/_relay.py
+++ b/pollenstile/fleet/_relay.py
@@ -1,4 +1,4 @@
-"""The configuration, from peer to peer."""
+"""Distribution of the configuration from peer to peer."""
 
 from twisted.internet.defer import Deferred
 
@@ -17,20 +17,20 @@
 )
 
 SUBJECT = 'config'
-_ASK_SECONDS = 1.0
+_TIMEOUT_SECONDS = 1.0
 _RETRY_SECONDS = 0.2
 
 
 class Relay:
-    """Learns the configuration from peers and hands it over to them.
+    """Fetches the configuration from peers and sends it to them.
 
     Explanation
     ===========
 
-    Each heartbeat carries the version in force. A host that hears of a
-    higher one asks for its content, of one peer at a time, and names what it
-    has, so that a small change costs few bytes. Nothing is taken that
-    :class:`InForce` would not take from the platform.
+    Each heartbeat carries the version in force. A host that receives a higher
+    one requests its text, from one peer at a time, with the digest of its own
+    text, so that a small change costs few bytes. Each version is validated by
+    :class:`InForce` in the same way as one from the platform.
 
     Parameters
     ==========
@@ -44,115 +44,118 @@
     """
 
     __slots__ = (
-        'asking',
         'hub',
         'in_force',
-        'kept',
+        'is_asking',
         'log',
-        'waiting',
+        'recent_texts',
+        'retry_timer',
     )
 
     def __init__(self, hub, in_force, log):
         self.hub = hub
         self.in_force = in_force
         self.log = log
-        self.asking = False
-        self.waiting = None
-        self.kept = RecentTexts()
-        hub.requests.subjects[SUBJECT] = self.content
-        in_force.listeners.append(self._keep)
-
-    def heard(self, link, beat):
-        """Note a peer's version; ask for its content if it is higher."""
-        if self.asking or beat.version <= self._known():
+        self.is_asking = False
+        self.retry_timer = None
+        self.recent_texts = RecentTexts()
+        hub.requests.subjects[SUBJECT] = self.answer_request
+        in_force.listeners.append(self._on_snapshot)
+
+    def on_beat(self, link, beat):
+        """Request the text of a peer's version if it is higher."""
+        if self.is_asking or beat.version <= self._highest_known():
             return
-        self.asking = True
-        Deferred.fromCoroutine(self._learn(link, beat.version))
+        self.is_asking = True
+        Deferred.fromCoroutine(self._fetch(link, beat.version))
 
-    def content(self, host, body):
-        """Return the content in force, for a peer that asks."""
-        asked = decoded(schema.ConfigAsk, body, _asked)
+    def answer_request(self, host, body):
+        """Return the encoded configuration in force for a peer's request."""
+        request = decoded(schema.ConfigAsk, body, _decode_request)
         snapshot = self.in_force.snapshot
         if snapshot is None:
             return schema.ConfigContent.new_message().to_bytes()
         return schema.ConfigContent.new_message(
             version=snapshot.version,
-            **patch_fields(self.kept.patch_from(asked[1])),
+            **patch_fields(self.recent_texts.patch_from(request[1])),
         ).to_bytes()
 
-    def _known(self):
+    def _highest_known(self):
         return max(self.in_force.version, self.in_force.refused)
 
-    def _keep(self, snapshot):
+    def _on_snapshot(self, snapshot):
         text = self.in_force.text
-        self.kept.keep(text_digest(text), text)
+        self.recent_texts.keep(text_digest(text), text)
         self.hub.beat_now()
 
-    async def _learn(self, link, version):
+    async def _fetch(self, link, version):
         try:
-            await self._learn_from(link, version)
+            await self._fetch_from(link, version)
         finally:
-            self.asking = False
-        self._look_again()
+            self.is_asking = False
+        self._retry()
 
-    async def _learn_from(self, link, version):
-        body = self._question(self.in_force.text)
+    async def _fetch_from(self, link, version):
+        body = self._encode_request(self.in_force.text)
         host = link.host
-        answer = await self.hub.ask(host, SUBJECT, body, _ASK_SECONDS)
+        answer = await self.hub.ask(host, SUBJECT, body, _TIMEOUT_SECONDS)
         if isinstance(answer, Unanswered):
-            self._pause()
+            self._schedule_retry()
             return
-        found = self._text_of(answer)
-        if found is None:
+        config = self._decode_text(answer)
+        if config is None:
             self.log(
                 events.CONFIG_GARBLED,
                 level='warning',
                 peer=host,
                 version=version,
             )
-            self._pause()
+            self._schedule_retry()
             return
-        if not self.in_force.offer(found[0], found[1], f'peer {host}'):
-            self._pause()
+        if not self.in_force.offer(config[0], config[1], f'peer {host}'):
+            self._schedule_retry()
 
-    def _question(self, text):
+    def _encode_request(self, text):
         return schema.ConfigAsk.new_message(
             version=self.in_force.version,
             digest=text_digest(text) if text else b'',
         ).to_bytes()
 
-    def _text_of(self, answer):
+    def _decode_text(self, answer):
         try:
-            version, patch = decoded(schema.ConfigContent, answer, _content)
+            version, patch = decoded(
+                schema.ConfigContent, answer, _decode_content
+            )
         except BadMessageError:
             return None
         text = patched(self.in_force.text, patch)
         return None if text is None else (version, text)
 
-    def _pause(self):
-        # A peer that does not answer, or answers wrong, must not be asked
-        # again in a loop; the next beat or this pause leads to another.
-        if self.waiting is None or not self.waiting.active():
-            self.waiting = self.hub.clock.callLater(
+    def _schedule_retry(self):
+        # A peer that does not answer, or answers incorrectly, must not be asked
+        # again in a tight loop; the next heartbeat or this timer selects a peer
+        # again.
+        if self.retry_timer is None or not self.retry_timer.active():
+            self.retry_timer = self.hub.clock.callLater(
                 _RETRY_SECONDS * self.hub.random.uniform(1, 2),
-                self._look_again,
+                self._retry,
             )
 
-    def _look_again(self):
-        if self.waiting is not None and self.waiting.active():
+    def _retry(self):
+        if self.retry_timer is not None and self.retry_timer.active():
             return
         ahead = []
         for link in self.hub.links.values():
-            if link.beat.version > self._known():
+            if link.beat.version > self._highest_known():
                 ahead.append(link)
-        if ahead and not self.asking and not self.hub.stopped:
+        if ahead and not self.is_asking and not self.hub.stopped:
             link = self.hub.random.choice(ahead)
-            self.heard(link, Beat(version=link.beat.version))
+            self.on_beat(link, Beat(version=link.beat.version))
 
 
-def _asked(reader):
+def _decode_request(reader):
     return reader.version, bytes(reader.digest)
 
 
-def _content(reader):
+def _decode_content(reader):
     return reader.version, patch_from(reader)
--- a/pollenstile/fleet/_sharing.py
+++ b/pollenstile/fleet/_sharing.py
@@ -1,52 +1,52 @@
-"""Membership records, from peer to peer."""
+"""Replication of membership records between peers."""
 
 from pollenstile.fleet._record import HOST, UPSTREAM, Record
 from pollenstile.fleet._table import BUCKETS
 from pollenstile.peer import News, Sums
 
-# News of one instant go in one message.
-_GATHER_SECONDS = 0.02
-# After a message was lost, tables differ until sums are compared; a host
-# compares with one peer this often at most.
+# Changes within this time are sent in one message.
+_BATCH_SECONDS = 0.02
+# After a message was lost, tables differ until their sums are compared; this is
+# the minimum time between two comparisons with one peer.
 _COMPARE_SECONDS = 2.0
-_QUIET_SECONDS = 0.5
-_PAGE = 200
+_SETTLE_SECONDS = 0.5
+_PAGE_RECORDS = 200
 _KINDS = frozenset((HOST, UPSTREAM))
 _FIELDS = tuple(Record.__slots__)
-_WIRE = {'listed_leaving': 'listedLeaving'}
+_WIRE_NAMES = {'listed_leaving': 'listedLeaving'}
 
 
-def wire_record(record):
+def encode_record(record):
     """Return a record's fields by their names in the schema."""
     fields = {}
     for name in _FIELDS:
-        fields[_WIRE.get(name, name)] = getattr(record, name)
+        fields[_WIRE_NAMES.get(name, name)] = getattr(record, name)
     fields['views'] = [
         {'host': host, 'number': number} for host, number in record.views
     ]
     return fields
 
 
-def record_from_wire(fields):
+def decode_record(fields):
     """Return a record from the schema's fields, None for an unknown kind."""
     if fields['kind'] not in _KINDS:
         return None
-    views = [(one['host'], one['number']) for one in fields['views']]
-    found = {name: fields[_WIRE.get(name, name)] for name in _FIELDS}
-    found['views'] = tuple(sorted(views))
-    return Record(**found)
+    views = [(view['host'], view['number']) for view in fields['views']]
+    values = {name: fields[_WIRE_NAMES.get(name, name)] for name in _FIELDS}
+    values['views'] = tuple(sorted(views))
+    return Record(**values)
 
 
 class Sharing:
-    """Sends changed records on, and finds what was missed.
+    """Forwards changed records and repairs differences between tables.
 
     Explanation
     ===========
 
-    A changed record goes to all linked peers but the one it came from; who
-    knows it already sends it no further. Heartbeats carry a sum over the
-    table. When the sums of two peers stay different, they compare sums by
-    bucket and send only the records of those that differ.
+    A changed record is sent to all linked peers except the one it came from; a
+    peer that already has it does not forward it. Heartbeats carry a sum over
+    the table. When the sums of two peers stay different, they compare sums by
+    bucket and send only the records of the buckets that differ.
 
     Parameters
     ==========
@@ -56,15 +56,27 @@
     table : Table
         The records.
     admits : function
-        Whether a record that is new to this host is taken from a peer.
+        Takes a peer's record that is new to this host; returns whether to
+        accept it.
+
+    Attributes
+    ==========
+
+    pending : dict
+        Source link of each changed record that is not sent yet, by kind and
+        name; None for changes of this host or of several sources.
+    compared_at : dict
+        Time of the last comparison with each peer.
+    changed_at : float
+        Time of the last change of the table.
     """
 
     __slots__ = (
         'admits',
-        'changed',
-        'compared',
-        'fresh',
+        'changed_at',
+        'compared_at',
         'hub',
+        'pending',
         'table',
         'timer',
     )
@@ -73,81 +85,80 @@
         self.hub = hub
         self.table = table
         self.admits = admits
-        self.fresh = {}
-        self.compared = {}
-        self.changed = 0.0
+        self.pending = {}
+        self.compared_at = {}
+        self.changed_at = 0.0
         self.timer = None
-        table.listeners.append(self._changed)
-        hub.takers[News] = self._take_news
-        hub.takers[Sums] = self._take_sums
-        hub.downs.append(self._forget_link)
+        table.listeners.append(self._on_record)
+        hub.takers[News] = self._apply_records
+        hub.takers[Sums] = self._answer_sums
+        hub.downs.append(self._link_closed)
 
     def stop(self):
-        """Send nothing more."""
+        """Cancel the pending send."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
 
-    def heard(self, link, beat):
-        """Compare tables if a peer's sum is not the own one."""
+    def on_beat(self, link, beat):
+        """Compare tables if the sum of a peer differs from this host's."""
         if beat.members == self.table.total():
             return
         now = self.hub.clock.seconds()
-        if now - self.changed < _QUIET_SECONDS:
+        if now - self.changed_at < _SETTLE_SECONDS:
             return
         self._compare(link, now)
 
     def _compare(self, link, now):
-        if now - self.compared.get(link.host, -_COMPARE_SECONDS) < (
+        if now - self.compared_at.get(link.host, -_COMPARE_SECONDS) < (
             _COMPARE_SECONDS
         ):
             return
-        self.compared[link.host] = now
+        self.compared_at[link.host] = now
         link.send(Sums(list(self.table.sums)))
 
-    def _forget_link(self, host, link):
-        self.compared.pop(host, None)
+    def _link_closed(self, host, link):
+        self.compared_at.pop(host, None)
 
-    def _changed(self, before, after, source):
-        self.changed = self.hub.clock.seconds()
+    def _on_record(self, before, after, source):
+        self.changed_at = self.hub.clock.seconds()
         key = (after.kind, after.name)
-        # What came from two sides, or was changed here as well, is news to
-        # each of them.
-        other = self.fresh.get(key, source) is not source
-        self.fresh[key] = None if other else source
+        # A record that changed from several sources is sent to all of them.
+        has_other_source = self.pending.get(key, source) is not source
+        self.pending[key] = None if has_other_source else source
         if self.timer is None or not self.timer.active():
             self.timer = self.hub.clock.callLater(
-                _GATHER_SECONDS,
+                _BATCH_SECONDS,
                 self._flush,
             )
 
     def _flush(self):
-        fresh = self.fresh
-        self.fresh = {}
+        pending = self.pending
+        self.pending = {}
         for link in list(self.hub.links.values()):
-            news = []
-            for key, source in fresh.items():
+            records = []
+            for key, source in pending.items():
                 if source is not link and key in self.table.records:
-                    news.append(self.table.records[key])
-            self._send(link, news)
+                    records.append(self.table.records[key])
+            self._send(link, records)
 
     def _send(self, link, records):
-        for start in range(0, len(records), _PAGE):
-            page = records[start : start + _PAGE]
-            link.send(News([wire_record(one) for one in page]))
+        for start in range(0, len(records), _PAGE_RECORDS):
+            page = records[start : start + _PAGE_RECORDS]
+            link.send(News([encode_record(record) for record in page]))
 
-    def _take_news(self, link, news):
-        for fields in news.members[:_PAGE]:
-            record = record_from_wire(fields)
+    def _apply_records(self, link, news):
+        for fields in news.members[:_PAGE_RECORDS]:
+            record = decode_record(fields)
             if record is None:
                 continue
             known = (record.kind, record.name) in self.table.records
             if known or self.admits(record):
                 self.table.offer(record, link)
 
-    def _take_sums(self, link, sums):
+    def _answer_sums(self, link, sums):
         if len(sums.sums) != BUCKETS:
             return
-        numbers = self.table.differing(sums.sums)
+        numbers = self.table.differing_buckets(sums.sums)
         if not numbers:
             return
         self._send(link, self.table.in_buckets(numbers))
--- a/pollenstile/fleet/_snapshot.py
+++ b/pollenstile/fleet/_snapshot.py
@@ -1,12 +1,12 @@
-"""One version of the configuration, ready for use."""
+"""One version of the configuration with an index of its key digests."""
 
 from pollenstile.manifest import manifest_digest
 
-_BUCKET = 4
+_BUCKET_CHARS = 4
 
 
 class Snapshot:
-    """A manifest in force and what is looked up in it often.
+    """A manifest in force, indexed for key lookups.
 
     Parameters
     ==========
@@ -14,7 +14,7 @@
     version : int
         The object API's version of the manifest.
     manifest : Manifest
-        Decoded and checked.
+        The decoded, validated manifest.
 
     Examples
     ========
@@ -36,9 +36,9 @@
         self.buckets = {}
         for name, team in manifest.teams.items():
             for digest in team.key_digests:
-                bucket = self.buckets.setdefault(digest[:_BUCKET], [])
+                bucket = self.buckets.setdefault(digest[:_BUCKET_CHARS], [])
                 bucket.append((digest, name))
 
     def candidates(self, digest):
-        """Return digests and teams that share a digest's first characters."""
-        return self.buckets.get(digest[:_BUCKET], [])
+        """Return the (digest, team) pairs with a digest's first characters."""
+        return self.buckets.get(digest[:_BUCKET_CHARS], [])
--- a/pollenstile/fleet/_upstreams.py
+++ b/pollenstile/fleet/_upstreams.py
@@ -1,4 +1,4 @@
-"""Which upstreams get new work."""
+"""Membership of upstreams: which of them get new work."""
 
 from dataclasses import replace
 
@@ -10,28 +10,28 @@
     with_witnesses_only,
 )
 
-_MOST_DOWN = 0.5
+_MAX_DOWN_SHARE = 0.5
 _BAR_SECONDS = 3.0
 
 
 def is_leaving(record, bound):
-    """Return whether an upstream gets no new work because it leaves.
+    """Return whether an upstream gets no new work because it is leaving.
 
     Parameters
     ==========
 
     record : Record
-        What is known of it.
+        Record of the upstream.
     bound : dict
-        Incarnation that the host list's incarnation belongs to, by that.
+        Incarnation of the process, by the incarnation in the host list.
 
     Explanation
     ===========
 
-    The host list lags: what it says of the process before must not stop the
-    one that has taken its address. The list's incarnation is bound to the one
-    that was seen when the list first showed it as live; when it was never
-    seen live, the list is believed until it shows a newer one.
+    The host list lags: its state of the previous process must not stop the one
+    that reuses the address. The incarnation in the list is bound to the one
+    that was known when the list first showed it as live; when the list never
+    showed it as live, its state applies until it shows a newer incarnation.
 
     Examples
     ========
@@ -61,7 +61,8 @@
     hosts : Hosts
         Live entry hosts.
     tracker : Tracker
-        What routing reads; told of leaving and failed upstreams.
+        State of upstreams for routing; leaving and failed ones are marked in
+        it.
     clock : IReactorTime
         Gives the time.
     log : function
@@ -72,18 +73,19 @@
 
     declared : dict
         Pool and declaration of each upstream in force, by name.
-    adopted : dict
-        When the incarnation of each was last seen to change, in seconds.
+    adopted_at : dict
+        Time in seconds at which the incarnation of each last changed, by name.
     bound : dict
-        For each, the incarnation that the host list's belongs to.
+        Incarnation of the process by the incarnation in the host list, for
+        each upstream.
     suspects : set of str
-        Upstreams that some host can't reach.
+        Upstreams that at least one host can't reach.
     down : set of str
-        Upstreams that enough hosts can't reach, and are barred.
+        Upstreams that enough hosts can't reach and that are barred.
     """
 
     __slots__ = (
-        'adopted',
+        'adopted_at',
         'believed',
         'bound',
         'clock',
@@ -103,29 +105,29 @@
         self.clock = clock
         self.log = log
         self.declared = {}
-        self.adopted = {}
+        self.adopted_at = {}
         self.bound = {}
         self.down = set()
         self.suspects = set()
         self.believed = True
-        tracker.observer = self.answered
-        table.listeners.append(self._changed)
+        tracker.observer = self.record_answer
+        table.listeners.append(self._on_record)
 
-    def configured(self, snapshot):
-        """Take the upstreams of a configuration."""
+    def apply_snapshot(self, snapshot):
+        """Apply the upstreams of a configuration."""
         declared = {}
         for pool_name, pool in snapshot.manifest.pools.items():
             for name, upstream in pool.upstreams.items():
                 declared[name] = (pool_name, upstream)
         for name in self.declared.keys() - declared.keys():
             self.table.remove(UPSTREAM, name)
-            self.adopted.pop(name, None)
+            self.adopted_at.pop(name, None)
             self.suspects.discard(name)
             self.bound.pop(name, None)
         self.declared = declared
 
     def admits(self, record):
-        """Return whether a peer's record of an unknown upstream is taken."""
+        """Return whether a peer's record of an unknown upstream is accepted."""
         return record.name in self.declared
 
     def is_leaving(self, name):
@@ -133,15 +135,15 @@
         record = self.table.record(UPSTREAM, name)
         return is_leaving(record, self.bound.get(name, {}))
 
-    def answered(self, name, load):
-        """Take the load that came with a call's answer.
+    def record_answer(self, name, load):
+        """Record the load that was sent with the answer to a call.
 
         Explanation
         ===========
 
-        An answer may be of a call sent long ago, to a process that has been
-        replaced since. It shows that its own incarnation is leaving, never
-        that this is the newest one.
+        The call may have been sent long ago, to a process that has been
+        replaced since. The answer can show that its incarnation is leaving, but
+        not that it is the newest one.
 
         Returns
         =======
@@ -154,45 +156,45 @@
             if record.incarnation == load.incarnation:
                 self.table.offer(replace(record, leaving=True))
             elif not record.order:
-                self._adopt(record, load)
+                self._set_incarnation(record, load)
         return self.is_leaving(name)
 
-    def polled(self, name, load, sent_at):
-        """Take the load that an upstream stated when it was asked for it.
+    def record_poll(self, name, load, sent_at):
+        """Record the load that an upstream returned to a poll.
 
         Parameters
         ==========
 
         name : str
-            The upstream.
+            Name of the upstream.
         load : Load
-            What it said.
+            The returned load.
         sent_at : float
-            When it was asked, in seconds.
+            Time in seconds at which the poll was sent.
         """
         record = self.table.record(UPSTREAM, name)
         if record.incarnation != load.incarnation or not record.order:
-            # What was asked before the newest incarnation was seen may have
-            # been answered by the one before it.
-            if record.order and sent_at < self.adopted.get(name, 0):
+            # A poll sent before the newest incarnation was seen may have been
+            # answered by the previous one.
+            if record.order and sent_at < self.adopted_at.get(name, 0):
                 return
-            self._adopt(record, load)
+            self._set_incarnation(record, load)
         elif load.leaving:
             self.table.offer(replace(record, leaving=True))
 
-    def reached(self, name, watchers):
-        """Note that the own host reaches an upstream."""
+    def record_reached(self, name, watchers):
+        """Record that this host reaches an upstream."""
         record = self.table.record(UPSTREAM, name)
-        kept = {one for one in watchers if one != self.hosts.name}
+        kept = {host for host in watchers if host != self.hosts.name}
         self.table.offer(with_witnesses_only(record, kept))
 
-    def missed(self, name):
-        """Note that the own host does not reach an upstream."""
+    def record_missed(self, name):
+        """Record that this host does not reach an upstream."""
         record = self.table.record(UPSTREAM, name)
         self.table.offer(with_witness(record, self.hosts.name))
 
-    def listed(self, entry):
-        """Take a line of the platform's host list."""
+    def record_listed(self, entry):
+        """Record an entry of the platform's host list."""
         if entry.name not in self.declared:
             return
         record = self.table.record(UPSTREAM, entry.name)
@@ -210,9 +212,10 @@
         Explanation
         ===========
 
-        Own calls that succeed lift the bar at once: own evidence goes first.
-        Where more than half of a pool seems down, the hosts are more likely
-        cut off than all of these broken, and nobody is barred.
+        A successful call of this host lifts the bar at once: own observations
+        take precedence. Where more than half of a pool seems down, it is more
+        likely that the hosts are cut off than that all these upstreams failed,
+        and none of them is barred.
         """
         now = self.clock.seconds()
         down = {}
@@ -222,20 +225,20 @@
                 down.setdefault(pool_name, []).append(name)
         barred = set()
         for pool_name, names in down.items():
-            if len(names) <= _MOST_DOWN * self._pool_size(pool_name):
+            if len(names) <= _MAX_DOWN_SHARE * self._pool_size(pool_name):
                 barred.update(names)
             elif not self.down.issuperset(names):
                 self.log(events.DOWN_IGNORED, pool=pool_name, down=len(names))
         self._bar_only(barred, now)
 
     def document(self):
-        """Return what operators ask for: upstreams that get no new work."""
-        found = []
+        """Return the status of upstreams that are leaving or unreachable."""
+        rows = []
         for name in sorted(self.declared):
             record = self.table.record(UPSTREAM, name)
             leaving = self.is_leaving(name)
             if leaving or record.witnesses:
-                found.append(
+                rows.append(
                     {
                         'upstream': name,
                         'incarnation': record.incarnation,
@@ -244,7 +247,7 @@
                         'witnesses': list(record.witnesses),
                     },
                 )
-        return found
+        return rows
 
     def _bar_only(self, barred, now):
         for name in barred:
@@ -270,11 +273,11 @@
         witnesses = self.table.record(UPSTREAM, name).witnesses
         if not witnesses:
             return False
-        watching = len(self.hosts.near(upstream.domain))
+        watching = len(self.hosts.responsible_for(upstream.domain))
         return len(witnesses) >= min(2, max(watching, 1))
 
-    def _adopt(self, record, load):
-        self.adopted[record.name] = self.clock.seconds()
+    def _set_incarnation(self, record, load):
+        self.adopted_at[record.name] = self.clock.seconds()
         self.table.offer(
             replace(
                 record,
@@ -285,7 +288,7 @@
             ),
         )
 
-    def _changed(self, before, after, source):
+    def _on_record(self, before, after, source):
         if after.kind != UPSTREAM:
             return
         before = before or Record(UPSTREAM, after.name)
@@ -293,12 +296,12 @@
             self.suspects.add(after.name)
         else:
             self.suspects.discard(after.name)
-        self._bind(before, after)
+        self._bind_listed(before, after)
         if (before.order, before.incarnation) != (
             after.order,
             after.incarnation,
         ):
-            self.adopted[after.name] = self.clock.seconds()
+            self.adopted_at[after.name] = self.clock.seconds()
             self.log(
                 events.UPSTREAM_NEW,
                 upstream=after.name,
@@ -314,10 +317,10 @@
             )
         state.leaving = leaving
 
-    def _bind(self, before, after):
+    def _bind_listed(self, before, after):
         if after.listed == before.listed or after.listed_leaving:
             return
         if not after.incarnation:
             return
-        # Only the newest incarnation of the list is ever asked for.
+        # Only the newest incarnation of the list is ever looked up.
         self.bound[after.name] = {after.listed: after.incarnation}
--- a/pollenstile/fleet/_watchers.py
+++ b/pollenstile/fleet/_watchers.py
@@ -1,4 +1,4 @@
-"""Asking upstreams for their state, each by a few hosts of its domain."""
+"""Load polls of upstreams, each by a few hosts of its domain."""
 
 from twisted.internet.defer import Deferred
 
@@ -7,38 +7,38 @@
 
 WATCHERS = 2
 POLL_SECONDS = 2.0
-_TICK = 0.25
-_MISSES = 2
+_TICK_SECONDS = 0.25
+_MAX_MISSES = 2
 
 
 class Poll:
-    """When an upstream is asked next, and how often it did not answer."""
+    """Due time of an upstream's next poll, and its misses in a row."""
 
-    __slots__ = ('asking', 'at', 'misses', 'watchers')
+    __slots__ = ('due_at', 'in_flight', 'misses', 'watchers')
 
     def __init__(self):
-        self.at = 0.0
-        self.asking = False
+        self.due_at = 0.0
+        self.in_flight = False
         self.misses = 0
         self.watchers = ()
 
 
 class Watchers:
-    """Polls the own share of the domain's upstreams.
+    """Polls this host's share of the domain's upstreams.
 
     Explanation
     ===========
 
-    Each upstream has two watchers, by rendezvous over the live hosts of its
-    domain, so that the work of a host stays flat while the fleet grows. The
-    polls of the two are half a period apart. Where a domain has no live hosts,
-    two of the whole fleet take its upstreams.
+    Each upstream has two watchers, chosen by rendezvous hashing over the live
+    hosts of its domain, so that the work of a host stays constant while the
+    fleet grows. The polls of the two are half a period apart. Where a domain
+    has no live hosts, two hosts of the whole fleet poll its upstreams.
 
     Parameters
     ==========
 
     upstreams : Upstreams
-        Takes what is seen.
+        Receives the results of polls.
     read_load : function
         Takes a name and an upstream; returns a Deferred of ``Load``, or of
         None when there was no answer in time.
@@ -47,10 +47,10 @@
     """
 
     __slots__ = (
+        'poll_count',
         'polls',
         'random',
         'read_load',
-        'sent',
         'stopped',
         'timer',
         'upstreams',
@@ -61,22 +61,22 @@
         self.read_load = read_load
         self.random = random
         self.polls = {}
-        self.sent = 0
+        self.poll_count = 0
         self.timer = None
         self.stopped = False
 
     def start(self):
-        """Poll from now on."""
+        """Start the polls."""
         self._tick()
 
     def stop(self):
-        """Poll no more."""
+        """Stop the polls."""
         self.stopped = True
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
 
     def assign(self):
-        """Work out the own share again."""
+        """Recompute this host's share."""
         hosts = self.upstreams.hosts
         own = hosts.live.get(hosts.name)
         shares = {}
@@ -86,24 +86,24 @@
         for name, watchers in shares.items():
             poll = self.polls.setdefault(name, Poll())
             if poll.watchers != watchers:
-                # Also when the other watcher changes, or the two would go on
-                # asking at one instant.
-                place = watchers.index(own.name)
-                poll.at = now + _first_wait(name, place, now)
+                # Also when only the other watcher changes; otherwise the two
+                # could continue to poll at the same time.
+                rank = watchers.index(own.name)
+                poll.due_at = now + _first_delay(name, rank, now)
                 poll.watchers = watchers
         for name in self.polls.keys() - shares.keys():
             self.polls.pop(name)
 
     def _shares(self, own, hosts):
         shares = {}
-        near = {}
+        responsible = {}
         for name, (_, upstream) in self.upstreams.declared.items():
             domain = upstream.domain
-            if domain not in near:
-                near[domain] = hosts.near(domain)
-            if own.name not in near[domain]:
+            if domain not in responsible:
+                responsible[domain] = hosts.responsible_for(domain)
+            if own.name not in responsible[domain]:
                 continue
-            watchers = ranked(name, near[domain], WATCHERS)
+            watchers = ranked(name, responsible[domain], WATCHERS)
             if own.name in watchers:
                 shares[name] = watchers
         return shares
@@ -112,35 +112,35 @@
         clock = self.upstreams.clock
         now = clock.seconds()
         for name, poll in list(self.polls.items()):
-            if not poll.asking and now >= poll.at:
+            if not poll.in_flight and now >= poll.due_at:
                 Deferred.fromCoroutine(self._ask(name, poll, now))
-        self.timer = clock.callLater(_TICK, self._tick)
+        self.timer = clock.callLater(_TICK_SECONDS, self._tick)
 
     async def _ask(self, name, poll, now):
-        poll.asking = True
-        poll.at = now + POLL_SECONDS
-        self.sent += 1
+        poll.in_flight = True
+        poll.due_at = now + POLL_SECONDS
+        self.poll_count += 1
         upstream = self.upstreams.declared[name][1]
         try:
             load = await self.read_load(name, upstream)
         finally:
-            poll.asking = False
+            poll.in_flight = False
         if self.stopped or self.polls.get(name) is not poll:
             return
         if load is None:
             poll.misses += 1
-            if poll.misses >= _MISSES:
-                self.upstreams.missed(name)
+            if poll.misses >= _MAX_MISSES:
+                self.upstreams.record_missed(name)
             return
         poll.misses = 0
-        self.upstreams.polled(name, load, now)
-        self.upstreams.reached(name, poll.watchers)
+        self.upstreams.record_poll(name, load, now)
+        self.upstreams.record_reached(name, poll.watchers)
         self.upstreams.tracker.reported(name, load)
 
 
-def _first_wait(name, place, now):
-    # Watchers of one upstream take turns: the second asks half a period
-    # after the first, by the clock and not by when each began.
+def _first_delay(name, rank, now):
+    # The second watcher of an upstream polls half a period after the first.
+    # Offsets are relative to the clock and not to the start of each watcher.
     offset = sum(name.encode()) % 8 * POLL_SECONDS / 8
-    offset += place * POLL_SECONDS / WATCHERS
+    offset += rank * POLL_SECONDS / WATCHERS
     return (offset - now) % POLL_SECONDS
--- a/pollenstile/fleet/events.py
+++ b/pollenstile/fleet/events.py
@@ -1,29 +1,29 @@
-"""Log events of the fleet."""
+"""Log events of configuration and membership."""
 
 from pollenstile.ops.events import define
 
 CONFIG_IN_FORCE = define(
     4001,
     'config-in-force',
-    'This host serves under this version from now on.',
+    'This version of the configuration is now in force at this host.',
 )
 CONFIG_INVALID = define(
     4002,
     'config-invalid',
-    'A version does not validate; the one before stays in force.',
-    'Apply a version that validates; see who wrote this one.',
+    'A version does not validate; the previous one stays in force.',
+    'Apply a version that validates; find out who wrote this one.',
 )
 CONFIG_GARBLED = define(
     4003,
     'config-garbled',
-    'A peer handed over a configuration whose digest is wrong.',
-    'Often from one peer: restart it.',
+    'A peer sent a configuration that does not match its digest.',
+    'If most of these come from one peer, restart it.',
 )
 CONFIG_MALFORMED = define(
     4004,
     'config-malformed',
-    'The configuration object is gone, or is not one that apply writes.',
-    'Apply the manifest again; hosts keep what they have.',
+    'The configuration object is missing or was not written by apply.',
+    'Apply the manifest again; hosts keep the version in force.',
 )
 UPSTREAM_LEAVING = define(
     4005,
@@ -39,7 +39,7 @@
     4007,
     'upstream-down',
     'Several hosts can not reach an upstream; it gets no new work.',
-    'See whether it runs; the line names the hosts that can not reach it.',
+    'Check whether it runs; the line names the hosts that can not reach it.',
 )
 UPSTREAM_BACK = define(
     4008,
@@ -49,16 +49,16 @@
 DOWN_IGNORED = define(
     4009,
     'down-ignored',
-    'So much of a pool seems down that the witnesses are not believed.',
-    'See whether the hosts are cut off from the upstreams.',
+    'Too much of a pool is reported down; the reports are ignored.',
+    'Check whether the hosts are cut off from the upstreams.',
 )
 HOST_DOWN = define(
     4010,
     'host-down',
     'Peers can not reach an entry host.',
-    'See whether it runs.',
+    'Check whether it runs.',
 )
-HOST_BACK = define(4011, 'host-back', 'An entry host is back.')
+HOST_BACK = define(4011, 'host-back', 'An entry host is reachable again.')
 HOSTS_UNREAD = define(
     4012,
     'hosts-unread',
--- a/pollenstile/relay/_follower.py
+++ b/pollenstile/relay/_follower.py
@@ -320,7 +320,7 @@
         if self.source != update.source:
             self.source = update.source
             self.numbers = {}
-        for kind_update in update.news:
+        for kind_update in update.kind_updates:
             self.numbers[kind_update.kind] = kind_update.number
             self.kind_handlers[kind_update.kind](kind_update)
 
--- a/pollenstile/relay/_messages.py
+++ b/pollenstile/relay/_messages.py
@@ -95,7 +95,7 @@
         Revision of the verified configuration.
     config : Found or None
         The configuration, if the requester's is older.
-    news : tuple of KindUpdate
+    kind_updates : tuple of KindUpdate
         Changes of each kind.
     patch : Patch or None
         Replaces the configuration where the source knows the requester's text.
@@ -109,7 +109,7 @@
     aged: float = 0.0
     config_revision: int = 0
     config: Found | None = None
-    news: tuple[KindUpdate, ...] = ()
+    kind_updates: tuple[KindUpdate, ...] = ()
     patch: Patch | None = None
     seen: int = 0
 
@@ -156,7 +156,10 @@
         agedMs=int(update.aged * _MS) + 1,
         configRevision=update.config_revision,
         config=config,
-        news=[_kind_update_fields(kind_update) for kind_update in update.news],
+        news=[
+            _kind_update_fields(kind_update)
+            for kind_update in update.kind_updates
+        ],
         seen=update.seen,
     )
     if update.patch is not None:
--- a/pollenstile/relay/_source.py
+++ b/pollenstile/relay/_source.py
@@ -241,7 +241,7 @@
             aged=now - self.configuration.proven_at - (now - arrived_at),
             config_revision=revision,
             config=self.configuration.found if is_older and not patch else None,
-            news=kind_updates,
+            kind_updates=kind_updates,
             patch=patch,
             seen=self.configuration.told_seen(),
         )
