--- a/features/builders/fleetfaults.py
+++ b/features/builders/fleetfaults.py
@@ -97,7 +97,7 @@
             dead = self.world.upstreams[name].dead
             if now - left_at > _LEAVING_LIMIT_SECONDS and not dead:
                 late = self.world.givers(name)
-                self.late.extend((host, name, now) for host in late)
+                self.late.extend((giver, name, now) for giver in late)
 
 
 def _apply(run):
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -84,14 +84,13 @@
 @given('the fleet hosts of domain "{domain}" send corrupt configurations')
 def step_garble(context, domain):
     for host in _of_domain(context, domain):
-        answer_request = host.fleet.relay.answer_request
-        host.fleet.answer('config', _garble(answer_request))
+        answer = host.fleet.relay.answer_request
+        host.fleet.answer('config', _garble(answer))
 
 
-def _garble(answer_request):
+def _garble(answer):
     def garbled(name, body):
-        encoded = answer_request(name, body)
-        with schema.ConfigContent.from_bytes(encoded) as reader:
+        with schema.ConfigContent.from_bytes(answer(name, body)) as reader:
             fields = reader.to_dict()
         fields['prefix'] += 1
         return schema.ConfigContent.new_message(**fields).to_bytes()
--- a/features/steps/lag_steps.py
+++ b/features/steps/lag_steps.py
@@ -39,8 +39,8 @@
 @when('the store refuses its readers, and {seconds:g} seconds pass')
 def when_readers_refused(context, seconds):
     context.no_store_answers = {name: Counter() for name in context.world.hosts}
-    for name, host in context.world.hosts.items():
-        relay = host.daemon.parts.relay
+    for name, relay_host in context.world.hosts.items():
+        relay = relay_host.daemon.parts.relay
         relay.follower.ask = _count_no_store(
             relay.follower.ask, context.no_store_answers[name]
         )
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -341,7 +341,7 @@
             for record in records + records[:2]:
                 table.offer(record)
             ends.add(table.record(kind, 'e1'))
-            keys = [(record.order, record.incarnation) for record in records]
+            keys = [(found.order, found.incarnation) for found in records]
             end = table.record(kind, 'e1')
             assert (end.order, end.incarnation) == max(keys)
         assert len(ends) == 1, ends
@@ -367,10 +367,12 @@
     for row in context.table:
         hosts = int(row['hosts'])
         world = started_fleet(hosts, 4, int(row['upstreams']))
-        upstreams = world.upstreams.values()
-        before = sum(upstream.asked for upstream in upstreams)
+        before = sum(upstream.asked for upstream in world.upstreams.values())
         world.run(10)
-        polls = sum(upstream.asked for upstream in upstreams) - before
+        polls = (
+            sum(upstream.asked for upstream in world.upstreams.values())
+            - before
+        )
         assert polls / 10 / hosts <= float(row['most']), (row, polls)
         assert polls / 10 >= int(row['upstreams']) * 0.9
         assert len(world.hosts['a-0'].table.of_kind(HOST)) == hosts
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -147,7 +147,7 @@
 @when('"{name}" receives malformed bytes instead of an update')
 def when_bytes(context, name):
     follower = context.fleet.hosts[name].follower
-    follower.ask = lambda *_: succeed(b'\x00\x01no update')
+    follower.ask = lambda *_: succeed(b'\x00\x01no word')
 
 
 @then('"{names}" called the store {count:d} times in them')
--- a/pollenstile/fleet/_fleet.py
+++ b/pollenstile/fleet/_fleet.py
@@ -223,7 +223,7 @@
             absent.setdefault(address, address)
         live = {record.address for record in self.hosts.live.values()}
         addresses = [
-            address for address in absent.values() if address not in live
+            candidate for candidate in absent.values() if candidate not in live
         ]
         if addresses:
             address = self.hub.random.choice(sorted(addresses))
--- a/pollenstile/relay/_source.py
+++ b/pollenstile/relay/_source.py
@@ -176,8 +176,11 @@
         if update is not None:
             done.callback(encode_update(update))
             return done
-        held_until = self.clock.seconds() + request.hold
-        self.held[done] = (request, arrived_at, held_until)
+        self.held[done] = (
+            request,
+            arrived_at,
+            self.clock.seconds() + request.hold,
+        )
         self._check_held(done)
         return done
 
