--- a/features/builders/fleet.py
+++ b/features/builders/fleet.py
@@ -7,7 +7,7 @@
     fleet_manifest,
     started_world,
 )
-from pollenstile.fleet import HOST, Record, applied, by_domain
+from pollenstile.fleet import HOST, Record, apply_manifest, by_domain
 from pollenstile.peer import neighbours
 from pollenstile.platform import pauses
 
@@ -29,7 +29,7 @@
     """Start to apply a changed manifest; return a list for its outcome."""
     outcomes = []
     pause = pauses(world.clock, world.random, 0.2, 2.0)
-    call = applied(
+    call = apply_manifest(
         world.store,
         next_text(world, name),
         reviewed,
--- a/features/builders/relay.py
+++ b/features/builders/relay.py
@@ -164,7 +164,7 @@
             fleet.log,
         )
         self.follower.word_seconds = _UPDATE_VALIDITY_SECONDS
-        self.follower.place = lambda: list(fleet.hosts).index(name)
+        self.follower.rank = lambda: list(fleet.hosts).index(name)
         self.configuration.loop.covered = self.follower.is_following
         self.configuration.loop.followed = self.source.is_followed
         self.configuration.loop.is_answering = self.calls.store.is_answering
@@ -173,7 +173,7 @@
             clock,
             self.follower,
             (KIND, DRAINED),
-            late=(DRAINED,),
+            deferred_kinds=(DRAINED,),
         )
         relayed.is_away = self.configuration.loop.is_failing
         self.relayed = relayed
@@ -218,7 +218,7 @@
         Seconds that a message takes in one direction.
     links_at : float
         Time, on the clock, before which no host has links.
-    words : list of int
+    update_sizes : list of int
         Bytes of each update that a reader has sent.
     drains : bool
         Whether hosts also watch the drained domains.
@@ -234,7 +234,7 @@
         self.delay = 0.002
         self.logged = []
         self.links_at = 0.0
-        self.words = []
+        self.update_sizes = []
         self.write('config', 'main', 1)
         self.write(KIND, 'a', {'state': 'ready'})
         self.hosts = {}
@@ -291,7 +291,7 @@
     def _deliver_answer(self, update, host, answer):
         if host.frozen:
             return
-        self.words.append(len(update))
+        self.update_sizes.append(len(update))
         carried = host.link.carry(len(update))
         carried.addCallback(
             lambda _: self.clock.callLater(self.delay, _fire, answer, update)
--- a/pollenstile/forward/_assembly.py
+++ b/pollenstile/forward/_assembly.py
@@ -25,7 +25,7 @@
     Sharing,
 )
 from pollenstile.relay import (
-    ASK,
+    RELAY_SUBJECT,
     Follower,
     Readers,
     RelayStore,
@@ -194,7 +194,7 @@
     configuration = core.configuration
     ident = f'{settings.host}/{hub.hello.boot}'
     source = Source(ident, clock, suspend_clock, configuration)
-    hub.requests.subjects[ASK] = source.answer
+    hub.requests.subjects[RELAY_SUBJECT] = source.answer
     readers = Readers(hub, settings.host, settings.domain, settings.capacity)
     follower = Follower(
         clock,
@@ -204,15 +204,15 @@
         readers.current,
         core.log,
     )
-    follower.place = readers.place
+    follower.rank = readers.rank
     follower.word_seconds = word_seconds(settings)
     relayed = RelayStore(
         store,
         clock,
         follower,
         (UPSTREAMS, HOSTS, DRAINED, QUARANTINED),
-        early=HOSTS,
-        late=(DRAINED, QUARANTINED),
+        immediate_kind=HOSTS,
+        deferred_kinds=(DRAINED, QUARANTINED),
     )
 
     def covered():
@@ -226,10 +226,10 @@
     loop = configuration.loop
 
     def is_away():
-        return loop.is_failing() or loop.read_at < follower.direct_at
+        return loop.is_failing() or loop.read_at < follower.direct_since
 
     relayed.is_away = is_away
-    follower.on_direct.append(loop.wake)
+    follower.direct_listeners.append(loop.wake)
     loop.covered = covered
     loop.is_answering = store.is_answering
     loop.followed = source.is_followed
--- a/pollenstile/relay/__init__.py
+++ b/pollenstile/relay/__init__.py
@@ -8,5 +8,5 @@
     RelayUpdate,
 )
 from pollenstile.relay._reader import Readers, select_reader
-from pollenstile.relay._source import ASK, Source
+from pollenstile.relay._source import RELAY_SUBJECT, Source
 from pollenstile.relay._store import RelayStore
--- a/pollenstile/relay/_follower.py
+++ b/pollenstile/relay/_follower.py
@@ -16,7 +16,7 @@
     decode_update,
 )
 from pollenstile.relay._skipping import SkippedReaders
-from pollenstile.relay._source import ASK
+from pollenstile.relay._source import RELAY_SUBJECT
 
 # Seconds for which a reader holds a request while nothing has changed, and for
 # which its answer may be late. Their sum is the time to detect a frozen or
@@ -78,17 +78,17 @@
         Incarnation of that host.
     skipped : SkippedReaders
         Readers that failed.
-    direct_at : float
+    direct_since : float
         Time, on the suspend clock, at which this host last began to read the
         store itself.
-    on_direct : list of function
+    direct_listeners : list of function
         Called when this host begins to read the store itself.
     reader_lacks_store : bool
         Whether the last reader that failed had no store itself.
     read_turn_at : float
         Time, on the clock, at which this host reads the store while no reader
         has it; 0 while a reader answers.
-    place : function
+    rank : function
         Returns the rank of this host in the domain's order.
     needs_full_config : bool
         Whether the next request is for the full configuration.
@@ -109,7 +109,8 @@
         'ask',
         'clock',
         'configuration',
-        'direct_at',
+        'direct_listeners',
+        'direct_since',
         'expires_at',
         'expiry_timer',
         'following',
@@ -118,8 +119,7 @@
         'needs_full_config',
         'no_store_answers',
         'numbers',
-        'on_direct',
-        'place',
+        'rank',
         'read_turn_at',
         'reader',
         'reader_lacks_store',
@@ -149,13 +149,13 @@
         self.source = ''
         self.numbers = {}
         self.kind_handlers = {}
-        self.on_direct = []
-        self.direct_at = -1000.0
+        self.direct_listeners = []
+        self.direct_since = -1000.0
         self.skipped = SkippedReaders(clock)
         self.no_store_answers = 0
         self.reader_lacks_store = False
         self.read_turn_at = 0.0
-        self.place = _first_rank
+        self.rank = _first_rank
         self.needs_full_config = False
         self.word_seconds = _UPDATE_VALIDITY_SECONDS
         self.expires_at = 0.0
@@ -200,7 +200,7 @@
             return True
         now = self.clock.seconds()
         if not self.read_turn_at:
-            rank = max(0, self.place() - self.skipped.count())
+            rank = max(0, self.rank() - self.skipped.count())
             wait = _RANK_DELAY_SECONDS * rank
             self.read_turn_at = now + wait
             self.log(
@@ -227,7 +227,7 @@
         request = RelayRequest(self.source, revision, cursors, _HOLD_SECONDS)
         answer = await self.ask(
             host,
-            ASK,
+            RELAY_SUBJECT,
             encode_request(request),
             _HOLD_SECONDS + _LATE_SECONDS,
         )
@@ -345,8 +345,8 @@
             age_ms=self.configuration.age_ms(),
         )
         self.following = ''
-        self.direct_at = self.suspend_clock()
-        for listener in self.on_direct:
+        self.direct_since = self.suspend_clock()
+        for listener in self.direct_listeners:
             listener()
 
 
--- a/pollenstile/relay/_reader.py
+++ b/pollenstile/relay/_reader.py
@@ -62,7 +62,7 @@
 
         return select_reader(self.order, self.host, is_available)
 
-    def place(self):
+    def rank(self):
         """Return how many hosts precede this one in the order."""
         return self.order.index(self.host)
 
--- a/pollenstile/relay/_source.py
+++ b/pollenstile/relay/_source.py
@@ -12,7 +12,7 @@
     encode_update,
 )
 
-ASK = 'store-word'
+RELAY_SUBJECT = 'store-word'
 # Seconds since this host's own read of the configuration after which it reports
 # that it has no store. A follower then reads the store itself: 1.2 s, one round
 # of its own watch and the network delay are under the 2 s within which a host
--- a/pollenstile/relay/_store.py
+++ b/pollenstile/relay/_store.py
@@ -136,9 +136,9 @@
         Receives the updates of readers.
     kinds : tuple of str
         Kinds whose changes readers send.
-    early : str
+    immediate_kind : str
         The kind that is needed to find a reader; it is watched from the start.
-    late : tuple of str
+    deferred_kinds : tuple of str
         Kinds that a host can start without: their first list waits for a
         reader's update, so that a start makes no call of the store for them.
 
@@ -154,12 +154,12 @@
 
     __slots__ = (
         'clock',
-        'early',
+        'deferred_kinds',
         'feeds',
         'follower',
+        'immediate_kind',
         'is_away',
         'join_deadline',
-        'late',
         'store',
     )
 
@@ -169,20 +169,20 @@
         clock,
         follower,
         kinds,
-        early='',
-        late=(),
+        immediate_kind='',
+        deferred_kinds=(),
     ):
         self.store = store
         self.clock = clock
-        self.early = early
-        self.late = late
+        self.immediate_kind = immediate_kind
+        self.deferred_kinds = deferred_kinds
         self.is_away = _never
         self.join_deadline = clock.seconds() + _JOIN_TIMEOUT_SECONDS
         self.follower = follower
         self.feeds = {kind: _Feed() for kind in kinds}
         for kind, feed in self.feeds.items():
             follower.kind_handlers[kind] = feed.apply_update
-        follower.on_direct.append(self._reset_feeds)
+        follower.direct_listeners.append(self._reset_feeds)
 
     def is_joining(self):
         """Return whether this host still waits for a reader after its start."""
@@ -203,7 +203,7 @@
     async def listed(self, kind, prefix='', after='', limit=PAGE_LIMIT):
         """Return all objects from the reader's updates, or a store page."""
         feed = self.feeds.get(kind)
-        if kind in self.late and self._awaits_reader(kind):
+        if kind in self.deferred_kinds and self._awaits_reader(kind):
             await self._update_or_join_deadline(feed)
         while self._is_relayed(feed):
             if feed.known:
@@ -264,7 +264,7 @@
         return self.clock.seconds() - feed.last_call_at >= _AWAY_CALL_SECONDS
 
     def _awaits_reader(self, kind):
-        waits = kind != self.early and not self.follower.following
+        waits = kind != self.immediate_kind and not self.follower.following
         return waits and self.is_joining()
 
     def _update_or_join_deadline(self, feed):
