--- a/features/builders/relay.py
+++ b/features/builders/relay.py
@@ -165,8 +165,8 @@
         )
         self.follower.word_seconds = _UPDATE_VALIDITY_SECONDS
         self.follower.rank = lambda: list(fleet.hosts).index(name)
-        self.configuration.loop.covered = self.follower.is_following
-        self.configuration.loop.followed = self.source.is_followed
+        self.configuration.loop.can_skip_reads = self.follower.is_following
+        self.configuration.loop.has_followers = self.source.is_followed
         self.configuration.loop.is_answering = self.calls.store.is_answering
         relayed = RelayStore(
             self.calls,
--- a/features/builders/stagework.py
+++ b/features/builders/stagework.py
@@ -7,7 +7,7 @@
 from pollenstile.stagework import (
     Group,
     GroupDone,
-    Made,
+    Result,
     Owner,
     Piece,
     Plan,
@@ -34,7 +34,7 @@
         count,
         result_bytes=size,
         due=due,
-        ends=fields.pop('ends', 20.0),
+        deadline=fields.pop('ends', 20.0),
         is_first=not fields.get('inputs'),
         **fields,
     )
@@ -104,7 +104,7 @@
         worker, pieces, done = self.calls[place]
         if outcome is None:
             outcome = [
-                Made(f'{worker.address}/{place}.{number}')
+                Result(f'{worker.address}/{place}.{number}')
                 for number, _ in enumerate(pieces)
             ]
         done.callback(outcome)
@@ -135,7 +135,7 @@
         self.outcomes[request] = outcome
 
 
-class AskedClient:
+class RecordingClient:
     """A stage client that notes the groups it is asked for.
 
     Parameters
@@ -164,7 +164,7 @@
         """Return that nothing is crowded."""
         return False
 
-    is_long = is_crowded
+    is_queue_long = is_crowded
 
     def limits_of(self, service):
         """Return the same for all."""
--- a/features/steps/arrivals_steps.py
+++ b/features/steps/arrivals_steps.py
@@ -6,7 +6,7 @@
 from features.builders.stagework import (
     LIMITS,
     SERVICE,
-    AskedClient,
+    RecordingClient,
     Queue,
     group,
     pieces_of,
@@ -96,7 +96,7 @@
 def given_chain(context, seconds):
     steps = (StageStep(SERVICE), StageStep(SERVICE, (0,)))
     plan = Plan('r', 'key', steps, (1, 1), (4.0, _LATEST), 20.0, 0)
-    context.client = AskedClient()
+    context.client = RecordingClient()
     Deferred.fromCoroutine(Chain(context.client, plan).handles())
     done = GroupDone(('10.0.0.1:1/a',), waited=seconds)
     context.client.waiting[0].callback(('host', done))
@@ -114,7 +114,7 @@
         StageStep(SERVICE, (2,)),
     )
     plan = Plan('r', 'key', steps, (1,) * 4, (_LATEST,) * 4, 20.0, 0)
-    context.client = AskedClient()
+    context.client = RecordingClient()
     Deferred.fromCoroutine(Chain(context.client, plan).handles())
     for place in range(2):
         done = GroupDone((f'10.0.0.1:1/{place}',), waited=seconds)
@@ -135,16 +135,16 @@
 
 
 @given('first arrivals of {count:d} callers that leave after {ends:g} seconds')
-def given_arrivals(context, count, ends):
+def given_arrivals(context, count, deadline):
     context.arrivals = Arrivals()
     for number in range(count):
-        one = group(f'r{number}', key=f'k{number}', ends=ends)
+        one = group(f'r{number}', key=f'k{number}', deadline=deadline)
         context.arrivals.waited(one, 0.0)
 
 
 @when('{later:g} seconds later another caller comes')
 def when_another(context, later):
-    one = group('another', key='another', ends=later + 6.0)
+    one = group('another', key='another', deadline=later + 6.0)
     assert context.arrivals.waited(one, later) == 0
 
 
--- a/features/steps/askers_steps.py
+++ b/features/steps/askers_steps.py
@@ -125,7 +125,7 @@
     order = context.owner.client.ownership.order(context.service)
     now = context.fleet.clock.seconds()
     one = group(
-        'r', step=1, due=now + 2, ends=now + 8, inputs=tuple(context.kept)
+        'r', step=1, due=now + 2, deadline=now + 8, inputs=tuple(context.kept)
     )
     body = group_bytes(replace(one, service=context.service), now)
     context.owner.hub.requests.subjects[ASK](order[1], body)
@@ -191,7 +191,7 @@
     clock = context.fleet.clock
     began = clock.seconds()
     context.told = []
-    work = Deferred.fromCoroutine(client.refreshed((service,)))
+    work = Deferred.fromCoroutine(client.refresh_backlogs((service,)))
     work.addCallback(
         lambda _: context.told.append(
             (clock.seconds() - began, client.seconds(service, 1))
--- a/features/steps/large_configuration_steps.py
+++ b/features/steps/large_configuration_steps.py
@@ -96,7 +96,7 @@
 @then('"{name}" has read the whole again, and trusts keys by that alone')
 def then_whole(context, name):
     assert context.fleet.store.calls['list'] >= 1
-    assert context.fleet.hosts[name].configuration.is_proven()
+    assert context.fleet.hosts[name].configuration.is_verified()
 
 
 @then("the links carried at most {most:g} MB of the store's answers each")
--- a/features/steps/passing_steps.py
+++ b/features/steps/passing_steps.py
@@ -102,7 +102,7 @@
     asker = context.apart[0]
     context.asked = context.apart[1]
     now = fleet.clock.seconds()
-    one = replace(group('r', due=now + 2, ends=now + 5), service=service)
+    one = replace(group('r', due=now + 2, deadline=now + 5), service=service)
     body = group_bytes(replace(one, passed_on=True), now)
     answer = context.asked.hub.requests.subjects[ASK](asker.name, body)
     context.answered = []
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -177,7 +177,7 @@
 def when_bound(context, value):
     _written({'bounds.revoke_ms': value})
     for _ in range(3):
-        context.watched.look(context.taken.append, _noted(context.lines))
+        context.watched.poll(context.taken.append, _noted(context.lines))
 
 
 def _noted(lines):
@@ -337,8 +337,8 @@
 
 @given('a batch of a first piece and of one with inputs')
 def given_batch(context):
-    first = group('r1', key='k1', ends=2.0)
-    second = group('r2', inputs=('10.0.0.1:1/a',), step=2, ends=3.0)
+    first = group('r1', key='k1', deadline=2.0)
+    second = group('r2', inputs=('10.0.0.1:1/a',), step=2, deadline=3.0)
     context.batch = pieces_of(first, second)
 
 
--- a/features/steps/stagework_heavy_steps.py
+++ b/features/steps/stagework_heavy_steps.py
@@ -5,7 +5,7 @@
 from twisted.internet.task import Clock
 
 from features.builders.stagework import (
-    AskedClient,
+    RecordingClient,
     LIMITS,
     Queue,
     group,
@@ -18,7 +18,7 @@
     GroupDone,
     Plan,
     StageClient,
-    admitted,
+    may_join_queue,
     ahead_of,
     expected_wait,
     full_seconds,
@@ -160,7 +160,7 @@
 
 @given("a tag's chain whose first two steps are made")
 def given_chain_made(context):
-    context.client = AskedClient()
+    context.client = RecordingClient()
     chain = Chain(context.client, _PLAN)
     Deferred.fromCoroutine(chain.handles())
     for place in (0, 1):
@@ -179,7 +179,7 @@
 @then('it is not taken while a later stage is crowded')
 def then_blocked(context):
     one = group(due=context.due, later_crowded=True)
-    assert not admitted(one, context.wait, 0, full_seconds(LIMITS))
+    assert not may_join_queue(one, context.wait, 0, full_seconds(LIMITS))
 
 
 @given('its first stage worker rests for {seconds:d} seconds')
--- a/features/steps/stagework_steps.py
+++ b/features/steps/stagework_steps.py
@@ -20,10 +20,10 @@
     ChainFailed,
     GroupDone,
     GroupRefused,
-    Made,
+    Result,
     Plan,
-    admitted,
-    eligible,
+    may_join_queue,
+    eligible_pieces,
     full_seconds,
     may_start,
     owner_order,
@@ -156,7 +156,7 @@
 @when('stage call {place:d} is answered with "{reason}" for all')
 def when_answered_reason(context, place, reason):
     count = len(context.queue.calls[place][1])
-    context.queue.answer(place, [Made(reason=reason) for _ in range(count)])
+    context.queue.answer(place, [Result(reason=reason) for _ in range(count)])
 
 
 @when('stage call {place:d} is lost before it arrived')
@@ -269,17 +269,22 @@
     'a worker in "{domain}" takes none of them while one in "{near}" is free in {seconds:g}'
 )
 def then_takes_none(context, domain, near, seconds):
-    assert not eligible(context.pieces, domain, {near: seconds}, 0, 0.4, 8)
+    assert not eligible_pieces(
+        context.pieces, domain, {near: seconds}, 0, 0.4, 8
+    )
 
 
 @then('it takes them when one in "{near}" is free in {seconds:g}')
 def then_takes_late(context, near, seconds):
-    assert len(eligible(context.pieces, 'a', {near: seconds}, 0, 0.4, 8)) == 3
+    assert (
+        len(eligible_pieces(context.pieces, 'a', {near: seconds}, 0, 0.4, 8))
+        == 3
+    )
 
 
 @then('it takes them when there is none in "{near}"')
 def then_takes_all(context, near):
-    assert len(eligible(context.pieces, 'a', {}, 0, 0.4, 8)) == 3
+    assert len(eligible_pieces(context.pieces, 'a', {}, 0, 0.4, 8)) == 3
 
 
 @given('stage groups due in {first:g}, {second:g} and {third:g} seconds')
@@ -312,7 +317,7 @@
 def _taken(context, urgency, share=1.0):
     one = group(due=context.due, urgency=urgency, inputs=context.inputs)
     full = full_seconds(LIMITS)
-    return admitted(one, context.wait, 0, full, share)
+    return may_join_queue(one, context.wait, 0, full, share)
 
 
 @then('it is taken with urgency {first:d} and refused with urgency {last:d}')
@@ -379,7 +384,7 @@
     def is_crowded(self, service):
         return self.crowded
 
-    def is_long(self, service):
+    def is_queue_long(self, service):
         return self.crowded
 
     def seconds(self, service, count):
--- a/pollenstile/bench/_stagehosts.py
+++ b/pollenstile/bench/_stagehosts.py
@@ -229,7 +229,7 @@
         peers = {
             name: PeerHost(name) for name in self.names if name != host.name
         }
-        host.client.ownership.take_hosts(peers)
+        host.client.ownership.update_hosts(peers)
         host.review()
         host.hub.start()
 
--- a/pollenstile/bench/_stageworld.py
+++ b/pollenstile/bench/_stageworld.py
@@ -18,12 +18,12 @@
     CallLost,
     Chain,
     ChainFailed,
-    Made,
+    Result,
     Owner,
     Worker,
     crowded_seconds,
     long_wait,
-    plan_of,
+    build_plan,
     usual_seconds,
 )
 
@@ -88,10 +88,10 @@
         for piece in pieces:
             group = piece.group
             if not all(exists(one) for one in group.inputs):
-                made.append(Made(reason='gone'))
+                made.append(Result(reason='gone'))
                 continue
             if group.result_bytes > self.room():
-                made.append(Made(reason='room'))
+                made.append(Result(reason='room'))
                 continue
             handle = f'{self.ident}/{group.request}.{group.step}.{piece.number}'
             self.results[handle] = group.result_bytes
@@ -101,7 +101,7 @@
                 handle,
                 None,
             )
-            made.append(Made(handle))
+            made.append(Result(handle))
 
 
 class StageFleet:
@@ -218,12 +218,12 @@
         is_tight = owner.admission.is_tight()
         return is_tight or owner.wait() > crowded_seconds(limits)
 
-    def is_long(self, service):
+    def is_queue_long(self, service):
         """Return whether a queue has no place for what is late."""
         limits = self.fleet.services[service]
         return self._owner(service).wait() > long_wait(limits)
 
-    def refreshed(self, services):
+    def refresh_backlogs(self, services):
         """Ask nobody: backlogs are those of now."""
         return succeed(None)
 
@@ -338,9 +338,9 @@
 
 async def _staged(client, arrival, served):
     """Return a request's chain and the end of its stage work."""
-    await client.refreshed([one.service for one in arrival.route.steps])
+    await client.refresh_backlogs([one.service for one in arrival.route.steps])
     ready_by = served.came + served.aim - served.read
-    chain = Chain(client, plan_of(arrival, ready_by, client.seconds))
+    chain = Chain(client, build_plan(arrival, ready_by, client.seconds))
     return chain, await chain.handles()
 
 
--- a/pollenstile/bench/shared.py
+++ b/pollenstile/bench/shared.py
@@ -38,7 +38,7 @@
 from pollenstile.routes import RouteTable, StageLimits
 from pollenstile.stagework import (
     Group,
-    Made,
+    Result,
     Owner,
     StageClient,
     StageService,
@@ -89,8 +89,8 @@
             self.configuration,
             readers.current,
         )
-        self.configuration.loop.covered = self.follower.is_following
-        self.configuration.loop.followed = source.is_followed
+        self.configuration.loop.can_skip_reads = self.follower.is_following
+        self.configuration.loop.has_followers = source.is_followed
         relayed = RelayStore(fleet.store, clock, self.follower, (_KIND,))
         running = watch(
             relayed, _KIND, source.note, clock, Random(name), silent_log
@@ -150,7 +150,9 @@
     for number in range(groups):
         due = fleet.clock.seconds() + _DUE
         ident = f'r{number}'
-        group = Group(ident, _SERVICE, 0, _PIECES, key=ident, due=due, ends=due)
+        group = Group(
+            ident, _SERVICE, 0, _PIECES, key=ident, due=due, deadline=due
+        )
         asker.submit(group, None).addCallback(ended.append)
         fleet.clock.advance(_STEP)
     fleet.pass_by(2.0)
@@ -174,7 +176,7 @@
     def call(worker, pieces, seconds):
         done = Deferred()
         made = [
-            Made(f'{worker.address}/{piece.group.request}.{piece.number}')
+            Result(f'{worker.address}/{piece.group.request}.{piece.number}')
             for piece in pieces
         ]
         clock.callLater(0.05, done.callback, made)
--- a/pollenstile/forward/_cold.py
+++ b/pollenstile/forward/_cold.py
@@ -45,7 +45,7 @@
         self.peers = None
         self.shares = {}
 
-    def take_hosts(self, peers):
+    def update_hosts(self, peers):
         """Take the failure domains of the other hosts, by name."""
         self.peers = dict(peers)
         self.shares = {}
--- a/pollenstile/forward/_daemon.py
+++ b/pollenstile/forward/_daemon.py
@@ -9,7 +9,7 @@
 
 from pollenstile.forward import events
 from pollenstile.forward._assembly import built_parts, link_peers
-from pollenstile.forward._face import CallerFactory
+from pollenstile.forward._frontend import CallerFactory
 from pollenstile.forward._gauges import TIMES, add_gauges
 from pollenstile.forward._settings import word_seconds
 from pollenstile.forward._storewatches import StoreWatches
@@ -311,11 +311,11 @@
         parts = self.parts
         hosts = parts.members.hosts
         parts.core.budget.hosts = len(hosts) + 1
-        parts.stages.ownership.take_hosts(hosts)
-        parts.relay.readers.take_hosts(hosts)
+        parts.stages.ownership.update_hosts(hosts)
+        parts.relay.readers.update_hosts(hosts)
         if parts.members.known:
             domains = {name: one.domain for name, one in hosts.items()}
-            parts.core.cold.take_hosts(domains)
+            parts.core.cold.update_hosts(domains)
         table = parts.core.configuration.table
         if table is None:
             return
--- a/pollenstile/forward/_plaincodec.py
+++ b/pollenstile/forward/_plaincodec.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from pollenstile.stagework import Made
+from pollenstile.stagework import Result
 
 # Targets of a call that makes pieces, and of one that releases results.
 RUN_TARGET = b'/batch'
@@ -33,7 +33,7 @@
         return FREE_TARGET, _host(address), msgspec.json.encode(handles)
 
     def results(self, body, count):
-        """Return a list of ``Made``; None for an answer of another shape."""
+        """Return a list of ``Result``; None for an answer of another shape."""
         try:
             handles = msgspec.json.decode(body, type=list[str])
         except (msgspec.DecodeError, msgspec.ValidationError):
@@ -41,7 +41,7 @@
         if len(handles) != count:
             return None
         return [
-            Made(handle) if handle else Made(reason='gone')
+            Result(handle) if handle else Result(reason='gone')
             for handle in handles
         ]
 
--- a/pollenstile/forward/_stagecalls.py
+++ b/pollenstile/forward/_stagecalls.py
@@ -30,7 +30,7 @@
     codec : object
         With ``batch(worker, pieces, now)`` and ``release(address, handles)``,
         which return target, headers and body, and ``results(body, count)``,
-        which returns a list of :class:`~pollenstile.stagework.Made` or None.
+        which returns a list of :class:`~pollenstile.stagework.Result` or None.
     names : HeaderNames
         Of the header that says that nothing was run.
 
@@ -72,7 +72,7 @@
         self.crashes = None
         self.on_answer = None
 
-    def look_at_crashes(self, crashes, quarantine):
+    def attach_crash_detector(self, crashes, quarantine):
         """Report what was under way at upstreams that crash."""
         self.crashes = crashes
         self.on_answer = quarantine.note_answer
--- a/pollenstile/relay/_follower.py
+++ b/pollenstile/relay/_follower.py
@@ -278,7 +278,7 @@
         self.needs_full_config = update is None
         if update is None:
             return ''
-        is_accepted = self.configuration.told(update, began)
+        is_accepted = self.configuration.apply_update(update, began)
         if is_accepted and update.aged < self.word_seconds:
             self._apply_update(host, update)
             self._set_expiry(began - update.aged + self.word_seconds)
--- a/pollenstile/relay/_reader.py
+++ b/pollenstile/relay/_reader.py
@@ -35,7 +35,7 @@
         self.capacity = capacity
         self.order = [host]
 
-    def take_hosts(self, hosts):
+    def update_hosts(self, hosts):
         """Update the order from the current peers, given by name."""
         capacities = {
             name: peer.capacity
--- a/pollenstile/relay/_source.py
+++ b/pollenstile/relay/_source.py
@@ -241,12 +241,12 @@
         return RelayUpdate(
             self.ident,
             has_store=True,
-            aged=now - self.configuration.proven_at - (now - arrived_at),
+            aged=now - self.configuration.verified_at - (now - arrived_at),
             config_revision=revision,
             config=self.configuration.found if is_older and not patch else None,
             kind_updates=kind_updates,
             patch=patch,
-            seen=self.configuration.told_seen(),
+            seen=self.configuration.resumable_revision(),
         )
 
     def _kind_updates(self, request, *, is_final):
--- a/pollenstile/stagework/__init__.py
+++ b/pollenstile/stagework/__init__.py
@@ -11,13 +11,13 @@
     group_bytes,
     group_from,
 )
-from pollenstile.stagework._nearness import eligible, frees_by_domain
+from pollenstile.stagework._nearness import eligible_pieces, seconds_until_free
 from pollenstile.stagework._owner import Owner
 from pollenstile.stagework._placing import owner_order
 from pollenstile.stagework._plan import (
     Plan,
     crowded_seconds,
-    plan_of,
+    build_plan,
     usual_seconds,
     waits_for_others,
 )
@@ -28,9 +28,9 @@
     Group,
     GroupDone,
     GroupRefused,
-    Made,
+    Result,
     Piece,
     Worker,
 )
-from pollenstile.stagework._waiting import admitted, expected_wait
+from pollenstile.stagework._waiting import may_join_queue, expected_wait
 from pollenstile.stagework._workers import may_start
--- a/pollenstile/stagework/_admission.py
+++ b/pollenstile/stagework/_admission.py
@@ -4,7 +4,7 @@
 from pollenstile.stagework._batching import is_tight
 from pollenstile.stagework._calltimes import full_seconds
 from pollenstile.stagework._ranking import ahead_of
-from pollenstile.stagework._waiting import admitted, expected_wait
+from pollenstile.stagework._waiting import may_join_queue, expected_wait
 
 _MS = 1000
 
@@ -43,10 +43,10 @@
         full = full_seconds(owner.limits)
         ahead = ahead_of(group, owner.waiting, now, full)
         wait = self._wait_behind(ahead + group.count)
-        share = owner.pace.share(group.urgency)
-        taken = admitted(group, wait, now, full, share)
+        share = owner.stats.share(group.urgency)
+        taken = may_join_queue(group, wait, now, full, share)
         if group.is_first:
-            owner.pace.note_taken(group.urgency, taken=taken)
+            owner.stats.note_taken(group.urgency, taken=taken)
         if not taken:
             owner.log(
                 events.STAGE_REFUSED,
@@ -67,7 +67,7 @@
         if owner.limits is None:
             return 0
         now = owner.clock.seconds()
-        rate = owner.pace.rate(now, queued=bool(owner.waiting))
+        rate = owner.stats.rate(now, queued=bool(owner.waiting))
         return expected_wait(
             ahead,
             list(owner.workers.values()),
--- a/pollenstile/stagework/_arrivals.py
+++ b/pollenstile/stagework/_arrivals.py
@@ -13,7 +13,7 @@
 
     request: str
     first: float
-    ends: float
+    deadline: float
     waited: float = 0.0
 
 
@@ -57,19 +57,19 @@
         if not group.key:
             return 0.0
         known = self.seen.get(group.key)
-        if known is None or known.ends < now:
+        if known is None or known.deadline < now:
             self._forget(now)
-            self.seen[group.key] = _Arrival(group.request, now, group.ends)
+            self.seen[group.key] = _Arrival(group.request, now, group.deadline)
             return 0.0
         if known.request != group.request:
             known.request = group.request
             known.waited = now - known.first
-            known.ends = max(known.ends, group.ends)
+            known.deadline = max(known.deadline, group.deadline)
         return known.waited
 
     def _forget(self, now):
         while self.seen:
             key = next(iter(self.seen))
-            if self.seen[key].ends >= now and len(self.seen) < _MOST_KEYS:
+            if self.seen[key].deadline >= now and len(self.seen) < _MOST_KEYS:
                 return
             self.seen.pop(key)
--- a/pollenstile/stagework/_chain.py
+++ b/pollenstile/stagework/_chain.py
@@ -201,7 +201,7 @@
             result_bytes=step.result_bytes,
             urgency=self.plan.urgency,
             due=self.plan.latest[number] - waited,
-            ends=self.plan.ends,
+            deadline=self.plan.deadline,
             near=self._near(number, inputs),
             is_first=not self.done,
             later_crowded=self._is_later_crowded(number),
@@ -212,7 +212,7 @@
     def _is_later_crowded(self, number):
         plan = self.plan
         return any(
-            plan.counts[other] and self.client.is_long(step.service)
+            plan.counts[other] and self.client.is_queue_long(step.service)
             for other, step in enumerate(plan.steps)
             if other not in self.done and other != number
         )
--- a/pollenstile/stagework/_client.py
+++ b/pollenstile/stagework/_client.py
@@ -18,7 +18,7 @@
 )
 from pollenstile.stagework._ownership import Ownership
 from pollenstile.stagework._plan import crowded_seconds, usual_seconds
-from pollenstile.stagework._refreshing import refreshed
+from pollenstile.stagework._refreshing import refresh_backlogs
 from pollenstile.stagework._subjects import (
     ASK,
     CANCEL,
@@ -119,7 +119,7 @@
             return False
         return backlog.tight or backlog.wait > crowded_seconds(limits)
 
-    def is_long(self, service):
+    def is_queue_long(self, service):
         """Return whether a service's queue has no place for what is late."""
         limits = self.limits.get(service)
         backlog = self.backlogs.latest(service)
@@ -127,9 +127,9 @@
             return False
         return backlog.wait > long_wait(limits)
 
-    def refreshed(self, services):
+    def refresh_backlogs(self, services):
         """Ask owners anew whose last word would keep a request out."""
-        return refreshed(self, services)
+        return refresh_backlogs(self, services)
 
     def limits_of(self, service):
         """Return a service's limits, the usual ones when they are not known."""
@@ -239,7 +239,7 @@
             )
             if host in tried:
                 return host, GroupRefused(outcome.reason)
-            if self.clock.seconds() >= group.ends:
+            if self.clock.seconds() >= group.deadline:
                 return host, GroupRefused('late')
             tried.add(host)
 
@@ -256,7 +256,7 @@
         """Return a group's outcome by another host, or ``Unanswered``."""
         now = self.clock.seconds()
         body = group_bytes(group, now)
-        left = max(0, group.ends - now) + _ANSWER_MARGIN
+        left = max(0, group.deadline - now) + _ANSWER_MARGIN
         answer = await self.hub.ask(host, ASK, body, left)
         if isinstance(answer, Unanswered):
             return answer
--- a/pollenstile/stagework/_codec.py
+++ b/pollenstile/stagework/_codec.py
@@ -21,7 +21,7 @@
         resultBytes=group.result_bytes,
         urgency=group.urgency,
         dueMs=int((group.due - now) * _MS),
-        endsMs=int((group.ends - now) * _MS),
+        endsMs=int((group.deadline - now) * _MS),
         near=','.join(group.near),
         isLater=not group.is_first,
         laterCrowded=group.later_crowded,
--- a/pollenstile/stagework/_drawing.py
+++ b/pollenstile/stagework/_drawing.py
@@ -4,7 +4,7 @@
 from pollenstile.stagework._batching import apart, batch_for, spare_bytes
 from pollenstile.stagework._calltimes import call_seconds, full_seconds
 from pollenstile.stagework._flight import Flight
-from pollenstile.stagework._nearness import eligible, frees_by_domain
+from pollenstile.stagework._nearness import eligible_pieces, seconds_until_free
 from pollenstile.stagework._ranking import ranked
 from pollenstile.stagework._workers import may_start
 
@@ -80,8 +80,10 @@
         most = min(len(self.owner.waiting), limits.batch)
         work = call_seconds(limits, most) * worker.speed
         workers = self.owner.workers.values()
-        frees_in = frees_by_domain(workers, others, now, full_seconds(limits))
-        mine = eligible(
+        frees_in = seconds_until_free(
+            workers, others, now, full_seconds(limits)
+        )
+        mine = eligible_pieces(
             self.owner.waiting,
             worker.domain,
             frees_in,
@@ -105,7 +107,7 @@
             self.owner.waiting.remove(piece)
             piece.flights += 1
             self._note_begun(piece.group, now)
-        self.owner.pace.rate(now, queued=bool(self.owner.waiting))
+        self.owner.stats.rate(now, queued=bool(self.owner.waiting))
         Flight(self.owner, worker, batch).start()
 
     def _note_begun(self, group, now):
--- a/pollenstile/stagework/_nearness.py
+++ b/pollenstile/stagework/_nearness.py
@@ -9,7 +9,7 @@
 _NEAR_LATE_CALLS = 1.0
 
 
-def eligible(pieces, domain, frees_in, now, work, round_size):
+def eligible_pieces(pieces, domain, frees_in, now, work, round_size):
     """Return the pieces that a worker of a failure domain may take.
 
     Explanation
@@ -52,7 +52,7 @@
     return near + _NEAR_CALLS * work > group.due
 
 
-def frees_by_domain(workers, free, now, full):
+def seconds_until_free(workers, free, now, full):
     """Return seconds until a worker of each failure domain is free.
 
     Parameters
--- a/pollenstile/stagework/_owner.py
+++ b/pollenstile/stagework/_owner.py
@@ -41,7 +41,7 @@
         Whose upstreams draw from the queue.
     call : function
         Takes a worker, pieces and seconds left; returns a Deferred of a list
-        of :class:`Made` in their order, or of :class:`CallLost`.
+        of :class:`Result` in their order, or of :class:`CallLost`.
     free : function
         Takes an address and handles that are not needed any more; returns
         a Deferred of whether they were released.
@@ -81,7 +81,7 @@
         'jobs',
         'limits',
         'log',
-        'pace',
+        'stats',
         'quarantine',
         'releases',
         'service',
@@ -112,7 +112,7 @@
         self.jobs = {}
         self.waiting = []
         self.started = set()
-        self.pace = Pace()
+        self.stats = Pace()
         self.arrivals = Arrivals()
         self.workers = {}
         self.admission = Admission(self)
@@ -182,7 +182,7 @@
         if on_read is not None and group.inputs:
             job.on_read.append(on_read)
         self.jobs[group.ident] = job
-        left = max(0, group.ends - self.clock.seconds())
+        left = max(0, group.deadline - self.clock.seconds())
         job.timer = self.clock.callLater(left, self._refuse, job, 'late')
         self.waiting.extend(job.pieces)
         self.drawing.soon()
@@ -291,7 +291,7 @@
 
     def _keep(self, job, piece, handle):
         piece.handle = handle
-        self.pace.note_made(self.clock.seconds())
+        self.stats.record_made(self.clock.seconds())
         if piece in self.waiting:
             self.waiting.remove(piece)
         self._finish_whole(job)
--- a/pollenstile/stagework/_ownership.py
+++ b/pollenstile/stagework/_ownership.py
@@ -41,7 +41,7 @@
         self.capacity = 1.0
         self.orders = {}
 
-    def take_hosts(self, hosts):
+    def update_hosts(self, hosts):
         """Take the peers that there are now."""
         self.hosts = hosts
         self.orders = {}
--- a/pollenstile/stagework/_pace.py
+++ b/pollenstile/stagework/_pace.py
@@ -36,7 +36,7 @@
         share = self.share(urgency)
         self.shares[urgency] = share + _NEWEST_TAKEN * (taken - share)
 
-    def note_made(self, now):
+    def record_made(self, now):
         """Note that a piece was made."""
         self.made_at.append(now)
 
--- a/pollenstile/stagework/_plan.py
+++ b/pollenstile/stagework/_plan.py
@@ -46,7 +46,7 @@
     team: str = ''
 
 
-def plan_of(exchange, ready_by, seconds, near=''):
+def build_plan(exchange, ready_by, seconds, near=''):
     """Return the plan of a request's stage work.
 
     Explanation
--- a/pollenstile/stagework/_refreshing.py
+++ b/pollenstile/stagework/_refreshing.py
@@ -14,7 +14,7 @@
 _ANSWER_SECONDS = 0.1
 
 
-async def refreshed(client, services):
+async def refresh_backlogs(client, services):
     """Ask those owners again whose last word would keep a request out.
 
     Explanation
--- a/pollenstile/stagework/_types.py
+++ b/pollenstile/stagework/_types.py
@@ -57,7 +57,7 @@
     result_bytes: int = 0
     urgency: int = 0
     due: float = 0.0
-    ends: float = 0.0
+    deadline: float = 0.0
     near: tuple[str, ...] = ()
     is_first: bool = True
     later_crowded: bool = False
@@ -95,7 +95,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Made:
+class Result:
     """What became of one piece in a call.
 
     Parameters
--- a/pollenstile/stagework/_waiting.py
+++ b/pollenstile/stagework/_waiting.py
@@ -62,7 +62,7 @@
     return max(least, (flying + ahead) / rate)
 
 
-def admitted(group, wait, now, full, share=1.0):
+def may_join_queue(group, wait, now, full, share=1.0):
     """Return whether a group's pieces may wait.
 
     Explanation
@@ -92,4 +92,4 @@
     # idle first step says nothing of those after it: in a burst that
     # crowded the second one, all that was late for it was let in here.
     idle = wait <= _IDLE_CALLS * full and not group.later_crowded
-    return idle and now + wait <= group.ends
+    return idle and now + wait <= group.deadline
