--- a/features/builders/documents.py
+++ b/features/builders/documents.py
@@ -1,4 +1,4 @@
-"""Manifests with something in them replaced."""
+"""Builders of manifests with replaced values."""
 
 import copy
 
@@ -19,34 +19,35 @@
 
 
 def example():
-    """Return an example's document as plain values."""
+    """Return the example manifest as plain values."""
     with open('examples/kowalczyk.yaml', encoding='utf8') as source:
         return yaml.safe_load(source)
 
 
-def replaced(document, steps, content):
-    """Return a document with what lies at the end of some steps replaced.
+def replace_at(document, steps, content):
+    """Return a copy of a document with the value at a path replaced.
 
     Parameters
     ==========
 
     steps : list of int
-        Each chooses one of the entries that there are.
+        Path into the document; each step selects an entry, modulo their
+        number.
     """
     holder = [copy.deepcopy(document)]
-    whole = holder
-    place = 0
+    root = holder
+    key = 0
     for step in steps:
-        inner = holder[place]
+        inner = holder[key]
         if not isinstance(inner, (dict, list)) or not inner:
             break
         holder = inner
         keys = list(inner) if isinstance(inner, dict) else range(len(inner))
-        place = keys[step % len(keys)]
-    holder[place] = content
-    return whole[0]
+        key = keys[step % len(keys)]
+    holder[key] = content
+    return root[0]
 
 
-def as_text(document):
-    """Return a document's YAML."""
+def yaml_text(document):
+    """Return the YAML of a document."""
     return yaml.safe_dump(document)
--- a/features/builders/messages_next.capnp
+++ b/features/builders/messages_next.capnp
@@ -1,5 +1,5 @@
 @0xb3c1d6d2a4f07e12;
-# The schema as a release after this one may have it.
+# Possible schema of the next release, for compatibility tests.
 
 struct Hello {
   version @0 :UInt16;
--- a/features/builders/peers.py
+++ b/features/builders/peers.py
@@ -1,4 +1,4 @@
-"""Builders of peers: sessions, hubs in virtual time, and next releases."""
+"""Builders of sessions, hubs in virtual time, and the next schema."""
 
 import pathlib
 from random import Random
@@ -35,17 +35,17 @@
 
 
 def opened_sessions(key='shared'):
-    """Return two sessions after their handshake, dialer first."""
+    """Return a dialer's and a listener's session after their handshake."""
     dialer = Session(keys_from(key), hello_of('a', 1), dialing=True)
     listener = Session(keys_from(key), hello_of('b', 2), dialing=False)
-    accepted, _ = listener.take(dialer.first_bytes())
-    proof, _ = dialer.take(accepted)
-    listener.take(proof)
+    accepted, _ = listener.receive(dialer.first_bytes())
+    proof, _ = dialer.receive(accepted)
+    listener.receive(proof)
     return dialer, listener
 
 
 class PeerWorld:
-    """Hubs over virtual wires, and what they logged."""
+    """Hubs connected by virtual wires, and their log events."""
 
     __slots__ = ('clock', 'cut', 'events', 'hubs', 'wires')
 
@@ -61,7 +61,7 @@
         )
 
     def hub(self, host, key='shared', boot=1, **version):
-        """Start a hub; return it."""
+        """Start and return a hub."""
         number = len(self.hubs) + 1
         hello = hello_of(host, number, boot, **version)
         hub = Hub(
@@ -77,23 +77,23 @@
         hub.start()
         return hub
 
-    def wants(self, host, *others):
-        """Let a host keep links to others."""
+    def keep_links(self, host, *others):
+        """Make a host keep links to other hosts."""
         for other in others:
             address = self.hubs[other].hello.address
             self.hubs[host].dialer.wanted[other] = address
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the virtual clock."""
         for _ in range(round(seconds * 100)):
             self.clock.advance(0.01)
 
     def count(self, name, host=None):
-        """Return how often an event was logged."""
+        """Return the number of log events of a name, by one host or any."""
         return sum(
             1
-            for who, event, _ in self.events
-            if event == name and host in {None, who}
+            for origin, event, _ in self.events
+            if event == name and host in {None, origin}
         )
 
     def _logger(self, host):
--- a/features/builders/properties.py
+++ b/features/builders/properties.py
@@ -1,4 +1,4 @@
-"""Input of all kinds, and the readers that it is fed to."""
+"""Strategies for generated input, and runs of body readers on it."""
 
 import msgspec
 from hypothesis import settings
@@ -9,16 +9,16 @@
 from twisted.web.client import ResponseDone
 
 from pollenstile.upstream import Chunk
-from pollenstile.upstream._bodies import StreamBody, WholeBody
+from pollenstile.upstream._bodies import ReplyBody, StreamBody
 
-# The same examples in each run, and no limit on time.
+# The examples are the same in each run and have no time limit.
 FIXED = settings(
     derandomize=True,
     database=None,
     deadline=None,
     max_examples=100,
 )
-# Text as a header may carry it: the server has decoded it.
+# Header values as the server decodes them.
 HEADERS = st.text(max_size=300).map(
     lambda text: text.encode('utf8', 'ignore').decode('utf8'),
 )
@@ -27,16 +27,16 @@
 SECONDS = st.floats(min_value=0, max_value=60)
 
 
-def pieces(data, cuts):
-    """Return bytes cut at some places, in order."""
-    places = sorted({cut % (len(data) + 1) for cut in cuts})
-    starts = [0, *places]
-    ends = [*places, len(data)]
+def split_bytes(data, cuts):
+    """Return bytes split at some positions, in order."""
+    positions = sorted({cut % (len(data) + 1) for cut in cuts})
+    starts = [0, *positions]
+    ends = [*positions, len(data)]
     return [data[start:end] for start, end in zip(starts, ends, strict=True)]
 
 
 def stream_of(tokens, attempt='r1/draft/1'):
-    """Return the bytes that an engine sends for some tokens."""
+    """Return the complete stream that an engine sends for some tokens."""
     events = []
     for offset, token in enumerate(tokens):
         choices = [{'text': token, 'finish_reason': None}]
@@ -49,38 +49,40 @@
 
 
 class _Aborting(StringTransport):
-    """A transport that ends the reader's connection when told to."""
+    """Transport of a reader that may abort its connection."""
 
     def abortConnection(self):  # noqa: N802
-        """Take the reader's word; called by it."""
+        """Ignore the abort; called by the reader."""
 
 
-def fed_stream(parts, *, whole=True):
-    """Return what a reader of streams makes of some bytes."""
-    return _fed(lambda sink: StreamBody(sink, ''), parts, whole=whole)
+def read_stream(parts, *, complete=True):
+    """Return the events of a stream reader for some bytes."""
+    return _read_body(
+        lambda sink: StreamBody(sink, ''), parts, complete=complete
+    )
 
 
-def fed_reply(parts, *, whole=True):
-    """Return what a reader of replies makes of some bytes."""
-    return _fed(WholeBody, parts, whole=whole)
+def read_reply(parts, *, complete=True):
+    """Return the events of a reply reader for some bytes."""
+    return _read_body(ReplyBody, parts, complete=complete)
 
 
-def _fed(build, parts, *, whole):
+def _read_body(build, parts, *, complete):
     events = []
     body = build(events.append)
     body.makeConnection(_Aborting())
     for part in parts:
         body.dataReceived(part)
-    reason = ResponseDone() if whole else ConnectionLost()
+    reason = ResponseDone() if complete else ConnectionLost()
     body.connectionLost(Failure(reason))
     return events
 
 
 def chunks_of(events):
-    """Return the tokens among what was handed over."""
+    """Return the token events."""
     return [event for event in events if isinstance(event, Chunk)]
 
 
 def ends_of(events):
-    """Return all that is not a token."""
+    """Return the events other than tokens."""
     return [event for event in events if not isinstance(event, Chunk)]
--- a/features/steps/peer_steps.py
+++ b/features/steps/peer_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the inner protocol."""
+"""Steps for the protocol between entry hosts."""
 
 from random import Random
 
@@ -21,15 +21,14 @@
     ProtocolError,
     Session,
     Unanswered,
-    framed,
+    decode_message,
+    encode_frame,
+    encode_message,
     keys_from,
-    message_bytes,
-    message_from,
     tcp_connect,
     tcp_listen,
 )
 
-
 _OVERSIZE = b'\xff\xff\xff\xff'
 _SUBJECTS = {
     'echo': lambda host, body: body,
@@ -59,7 +58,7 @@
 
 @given('peer "{name}" keeps links to "{others}"')
 def step_keeps(context, name, others):
-    context.peers.wants(name, *_names(others))
+    context.peers.keep_links(name, *_names(others))
     context.peers.run(3)
     links = context.peers.hubs[name].links
     assert sorted(links) == _names(others), links
@@ -68,11 +67,11 @@
 
 @when('peer "{one}" dials "{other}" for {seconds:d} seconds')
 def step_dials(context, one, other, seconds):
-    context.peers.wants(one, other)
+    context.peers.keep_links(one, other)
     context.peers.run(seconds)
 
 
-@when('peers "{one}" and "{other}" dial each other at one instant')
+@when('peers "{one}" and "{other}" dial each other at the same instant')
 def step_cross_dial(context, one, other):
     near, far = context.peers.hubs[one], context.peers.hubs[other]
     near.dialer.dial(far.hello.address)
@@ -84,7 +83,7 @@
 def step_one_link(context, one, other):
     near, far = context.peers.hubs[one], context.peers.hubs[other]
     assert list(near.links) == [other] and list(far.links) == [one]
-    assert not near.others and not far.others
+    assert not near.handshaking and not far.handshaking
     dialing = near.links[other].session.dialing
     assert far.links[one].session.dialing != dialing
 
@@ -101,7 +100,7 @@
     step_no_link(context, one, other)
 
 
-def _asked(context, one, other, subject, body=b'', address=''):
+def _ask(context, one, other, subject, body=b'', address=''):
     found = []
     waiting = context.peers.hubs[one].ask(other, subject, body, 2.0, address)
     waiting.addCallback(found.append)
@@ -113,7 +112,7 @@
     'peer "{one}" asked "{other}" for "{subject}" of "{body}" gets "{answer}"'
 )
 def step_asked(context, one, other, subject, body, answer):
-    found = _asked(context, one, other, subject, body.encode())
+    found = _ask(context, one, other, subject, body.encode())
     assert found == [answer.encode()], found
 
 
@@ -124,13 +123,13 @@
 def step_asked_unlinked(context, one, other, subject, body, answer):
     step_no_link(context, one, other)
     address = context.peers.hubs[other].hello.address
-    found = _asked(context, one, other, subject, body.encode(), address)
+    found = _ask(context, one, other, subject, body.encode(), address)
     assert found == [answer.encode()], found
 
 
 @then('peer "{one}" asked "{other}" for "{subject}" gets the reason "{reason}"')
 def step_reason(context, one, other, subject, reason):
-    found = _asked(context, one, other, subject)
+    found = _ask(context, one, other, subject)
     if reason == 'timeout':
         assert not found
     context.peers.run(3)
@@ -142,7 +141,7 @@
     'gets the reason "{reason}"',
 )
 def step_reason_dying(context, one, other, subject, dead, reason):
-    found = _asked(context, one, other, subject)
+    found = _ask(context, one, other, subject)
     context.peers.hubs[dead].stop()
     context.peers.run(0.1)
     assert found == [Unanswered('ask', other, reason)], found
@@ -193,7 +192,7 @@
     random = Random(7)
     for _ in range(count):
         body = random.randbytes(random.randrange(1, 300))
-        opening = framed(body) if random.randrange(2) else body
+        opening = encode_frame(body) if random.randrange(2) else body
         opening = b''.join((opening, _OVERSIZE))
         context.strangers.append(_stranger(context.port, opening))
 
@@ -207,23 +206,23 @@
 
 @then('no stranger received a byte from the peer port')
 def step_nothing(context):
-    # A frame cut short is closed when nothing more comes, as by the hub's
-    # tick in the daemon; here the stranger gives up.
+    # In the daemon the periodic check of the hub closes connections with an
+    # incomplete frame. Here the stranger closes them.
     def settled():
-        return all(one.closed for one in context.strangers)
+        return all(stranger.closed for stranger in context.strangers)
 
     for _ in range(20):
         reactor.iterate(0.01)
-    for one in context.strangers:
-        if not one.closed:
-            one.transport.loseConnection()
+    for stranger in context.strangers:
+        if not stranger.closed:
+            stranger.transport.loseConnection()
     turned_until(settled)
-    assert not any(one.received for one in context.strangers)
+    assert not any(stranger.received for stranger in context.strangers)
 
 
 @then("every stranger's peer connection was closed")
 def step_strangers_closed(context):
-    assert all(one.closed for one in context.strangers)
+    assert all(stranger.closed for stranger in context.strangers)
 
 
 @given('a recorded peer handshake')
@@ -231,19 +230,19 @@
     dialer = Session(keys_from('shared'), hello_of('a', 1), dialing=True)
     listener = Session(keys_from('shared'), hello_of('b', 2), dialing=False)
     opening = dialer.first_bytes()
-    accepted, _ = listener.take(opening)
-    proof, _ = dialer.take(accepted)
-    listener.take(proof)
-    context.recorded = (opening, proof, dialer.sealed(Beat(version=9)))
+    accepted, _ = listener.receive(opening)
+    proof, _ = dialer.receive(accepted)
+    listener.receive(proof)
+    context.recorded = (opening, proof, dialer.seal(Beat(version=9)))
 
 
-@when('the recorded peer handshake is played to the listener again')
+@when('the recorded peer handshake is replayed to the listener')
 def step_played(context):
     listener = Session(keys_from('shared'), hello_of('b', 3), dialing=False)
     context.error = None
     try:
         for part in context.recorded:
-            listener.take(part)
+            listener.receive(part)
     except ProtocolError as error:
         context.error = str(error)
 
@@ -258,16 +257,16 @@
     sessions = opened_sessions()
     context.dialer = sessions[0]
     context.listener = sessions[1]
-    frame = context.dialer.sealed(Beat(version=1))
-    _, messages = context.listener.take(frame)
+    frame = context.dialer.seal(Beat(version=1))
+    _, messages = context.listener.receive(frame)
     assert messages == [Beat(version=1)], messages
     context.frame = frame
 
 
-def _taken(context, session, frame):
+def _receive_frame(context, session, frame):
     context.error = None
     try:
-        session.take(frame)
+        session.receive(frame)
     except ProtocolError as error:
         context.error = str(error)
 
@@ -277,14 +276,14 @@
     frame = context.frame
     session = context.listener
     if change == 'altered':
-        fresh = context.dialer.sealed(Beat(version=2))
+        fresh = context.dialer.seal(Beat(version=2))
         frame = fresh[:-20] + bytes([fresh[-20] ^ 1]) + fresh[-19:]
     if change == 'left out':
-        context.dialer.sealed(Beat(version=2))
-        frame = context.dialer.sealed(Beat(version=3))
+        context.dialer.seal(Beat(version=2))
+        frame = context.dialer.seal(Beat(version=3))
     if change == 'returned':
         session = context.dialer
-    _taken(context, session, frame)
+    _receive_frame(context, session, frame)
 
 
 @when('a peer states a frame of {size:d} bytes {time} the handshake')
@@ -292,16 +291,16 @@
     session = context.listener
     if time == 'before':
         session = Session(keys_from('k'), hello_of('c', 3), dialing=False)
-    _taken(context, session, size.to_bytes(4))
+    _receive_frame(context, session, size.to_bytes(4))
 
 
-@then('the peer session ends by "{reason}"')
+@then('the peer session ends with "{reason}"')
 def step_session_ends(context, reason):
     assert context.error == reason, context.error
 
 
 def _garbled(random):
-    content = bytearray(message_bytes(Beat(version=5)))
+    content = bytearray(encode_message(Beat(version=5)))
     kind = random.randrange(3)
     if kind == 0:
         return random.randbytes(random.randrange(200))
@@ -315,12 +314,12 @@
 def _sealed_raw(session, body):
     from pollenstile.peer import _session  # noqa: WPS433
 
-    original = _session.message_bytes
-    _session.message_bytes = lambda message: body
+    original = _session.encode_message
+    _session.encode_message = lambda message: body
     try:
-        return session.sealed(None)
+        return session.seal(None)
     finally:
-        _session.message_bytes = original
+        _session.encode_message = original
 
 
 @when('peer "{one}" sends {count:d} garbled messages to "{other}"')
@@ -364,17 +363,17 @@
     assert link is not context.first_links[other]
 
 
-@given('{count:d} peer hosts that keep a link to a peer host that is gone')
+@given('{count:d} peer hosts that keep a link to a stopped peer host')
 def step_gone(context, count):
     context.peers = PeerWorld()
     context.dialed = []
     for number in range(count):
         hub = context.peers.hub(f'h{number}')
         hub.dialer.wanted['gone'] = '10.9.9.9:82'
-        hub.dialer.connect = _counted(context, hub.dialer.connect, number)
+        hub.dialer.connect = _count_dials(context, hub.dialer.connect, number)
 
 
-def _counted(context, connect, number):
+def _count_dials(context, connect, number):
     def counted(address, receiver):
         context.dialed.append((context.peers.clock.seconds(), number))
         connect(address, receiver)
@@ -413,24 +412,24 @@
         'note': 'new',
     }
     message = NEXT_SCHEMA.Message.new_message(beat=beat)
-    context.beat = message_from(message.to_bytes())
+    context.beat = decode_message(message.to_bytes())
 
 
-@then('its known peer fields are right')
+@then('its known peer fields are correct')
 def step_known_fields(context):
     known = Beat(version=4, members=5, quarantine=7)
     assert context.beat == known, context.beat
 
 
-@then('a peer message kind of the next release is left alone')
+@then('a peer message kind of the next release is ignored')
 def step_unknown_kind(context):
     message = NEXT_SCHEMA.Message.new_message(probe={'sums': [1]})
-    assert message_from(message.to_bytes()) is None
+    assert decode_message(message.to_bytes()) is None
 
 
-@then('a peer heartbeat of this release is right in the next one')
+@then('a peer heartbeat of this release is correct in the next one')
 def step_older(context):
-    encoded = message_bytes(Beat(4, 5, leaving=True, quarantine=7))
+    encoded = encode_message(Beat(4, 5, leaving=True, quarantine=7))
     with NEXT_SCHEMA.Message.from_bytes(encoded) as reader:
         beat = reader.beat
         assert (beat.version, beat.members, beat.leaving) == (4, 5, True)
@@ -448,11 +447,11 @@
     assert reason in reasons, reasons
 
 
-def _linked(dialer, listener):
+def _can_link(dialer, listener):
     world = PeerWorld()
     world.hub('a', key=dialer)
     world.hub('b', key=listener)
-    world.wants('a', 'b')
+    world.keep_links('a', 'b')
     world.run(2)
     return 'b' in world.hubs['a'].links and 'a' in world.hubs['b'].links
 
@@ -460,16 +459,16 @@
 @then('peers with these keys open a link')
 def step_keys_link(context):
     for row in context.table:
-        assert _linked(row['dialer'], row['listener']), row
+        assert _can_link(row['dialer'], row['listener']), row
 
 
 @then('peers with these keys open no link')
 def step_keys_no_link(context):
     for row in context.table:
-        assert not _linked(row['dialer'], row['listener']), row
+        assert not _can_link(row['dialer'], row['listener']), row
 
 
-@when('peer "{name}" starts anew with a higher boot number')
+@when('peer "{name}" restarts with a higher boot number')
 def step_anew(context, name):
     old = context.peers.hubs[name]
     old.stopped = True
--- a/features/steps/properties_steps.py
+++ b/features/steps/properties_steps.py
@@ -1,4 +1,4 @@
-"""Steps that try properties on input of all kinds, by hypothesis."""
+"""Steps that check properties on generated input, with Hypothesis."""
 
 from types import SimpleNamespace
 
@@ -9,9 +9,9 @@
 from features.builders.documents import (
     STEPS,
     VALUES,
-    as_text,
     example,
-    replaced,
+    replace_at,
+    yaml_text,
 )
 from features.builders.properties import (
     CUTS,
@@ -21,9 +21,9 @@
     TOKENS,
     chunks_of,
     ends_of,
-    fed_reply,
-    fed_stream,
-    pieces,
+    read_reply,
+    read_stream,
+    split_bytes,
     stream_of,
 )
 from pollenstile.entry._caller import (
@@ -69,7 +69,7 @@
     check()
 
 
-@then('for any text an idempotency key is taken as it is or refused with 400')
+@then('for any text an idempotency key is accepted as is or refused with 400')
 def step_key(context):
     @FIXED
     @given(HEADERS | st.text('k', min_size=150, max_size=250))
@@ -111,7 +111,7 @@
     check()
 
 
-@then("for any text a caller's deadline is taken or refused with 400")
+@then("for any text a caller's deadline is accepted or refused with 400")
 def step_odd_deadline(context):
     digits = st.text(st.characters(categories=['Nd', 'No']), max_size=6)
 
@@ -133,7 +133,7 @@
         splitter = EventSplitter(100)
         line = b'data: %s\n' % (b'x' * length)
         try:
-            for piece in pieces(line, cuts):
+            for piece in split_bytes(line, cuts):
                 splitter.events(piece)
         except ValueError:
             return
@@ -152,22 +152,24 @@
     def check(parts, cuts):
         data = b'\n'.join(parts)
         assume(all(len(part) < 100 for part in data.split(b'\n')))
-        whole = EventSplitter(100).events(data)
+        unsplit = EventSplitter(100).events(data)
         splitter = EventSplitter(100)
         found = []
-        for piece in pieces(data, cuts):
+        for piece in split_bytes(data, cuts):
             found.extend(splitter.events(piece))
-        assert found == whole
+        assert found == unsplit
 
     check()
 
 
-@then('for any split of a whole stream the tokens and the reply are the same')
+@then(
+    'for any split of a complete stream the tokens and the reply are the same'
+)
 def step_stream(context):
     @FIXED
     @given(TOKENS, CUTS)
     def check(tokens, cuts):
-        events = fed_stream(pieces(stream_of(tokens), cuts))
+        events = read_stream(split_bytes(stream_of(tokens), cuts))
         assert [chunk.text for chunk in chunks_of(events)] == tokens
         offsets = [chunk.offset for chunk in chunks_of(events)]
         assert offsets == list(range(len(tokens)))
@@ -179,24 +181,24 @@
     check()
 
 
-@then('for any proper prefix of a whole stream the reader says lost')
+@then('for any proper prefix of a complete stream the reader reports lost')
 def step_prefix(context):
     @FIXED
     @given(TOKENS, st.integers(min_value=0), CUTS, st.booleans())
-    def check(tokens, length, cuts, whole):
+    def check(tokens, length, cuts, complete):
         data = stream_of(tokens)
         kept = data[: length % len(data)]
-        # The last line's end and the blank line after it carry nothing.
+        # The end of the last line and the blank line after it are optional.
         assume(b'[DONE]\n' not in kept)
-        events = fed_stream(pieces(kept, cuts), whole=whole)
+        events = read_stream(split_bytes(kept, cuts), complete=complete)
         assert len(ends_of(events)) == 1
         assert isinstance(events[-1], Lost)
 
     check()
 
 
-def _check_ends_once(feed, whole, parts):
-    events = feed(parts, whole=whole)
+def _check_ends_once(feed, complete, parts):
+    events = feed(parts, complete=complete)
     assert len(ends_of(events)) == 1, events
     assert ends_of(events) == events[-1:]
 
@@ -221,8 +223,8 @@
 def step_rubbish_stream(context):
     @FIXED
     @given(_RUBBISH, st.booleans())
-    def check(parts, whole):
-        _check_ends_once(fed_stream, whole, parts)
+    def check(parts, complete):
+        _check_ends_once(read_stream, complete, parts)
 
     check()
 
@@ -231,13 +233,13 @@
 def step_rubbish_reply(context):
     @FIXED
     @given(_RUBBISH, st.booleans())
-    def check(parts, whole):
-        _check_ends_once(fed_reply, whole, parts)
+    def check(parts, complete):
+        _check_ends_once(read_reply, complete, parts)
 
     check()
 
 
-@then('for any attempts at a stream the joined tokens are its beginning')
+@then('for any attempts at a stream the joined tokens are a prefix of it')
 def step_joined(context):
     @FIXED
     @given(
@@ -261,7 +263,7 @@
     check()
 
 
-@then("for any times a stage's budget and timeout stay within what is left")
+@then("for any times a stage's budget and timeout fit the remaining time")
 def step_budget(context):
     @FIXED
     @given(SECONDS, st.lists(SECONDS, max_size=6), SECONDS, st.integers(0, 5))
@@ -323,20 +325,20 @@
 @then('any text is a manifest or has mistakes')
 def step_any_text(context):
     @FIXED
-    @given(st.text(max_size=200) | VALUES.map(as_text))
+    @given(st.text(max_size=200) | VALUES.map(yaml_text))
     def check(text):
         _check_manifest(text)
 
     check()
 
 
-@then('an example with anything in it replaced is a manifest or has mistakes')
+@then('an example with any value replaced is a manifest or has mistakes')
 def step_replaced(context):
     document = example()
 
     @FIXED
     @given(STEPS, VALUES)
     def check(steps, content):
-        _check_manifest(as_text(replaced(document, steps, content)))
+        _check_manifest(yaml_text(replace_at(document, steps, content)))
 
     check()
--- a/pollenstile/outcomes.py
+++ b/pollenstile/outcomes.py
@@ -1,17 +1,17 @@
-"""How a request ends: tagged outcomes."""
+"""Tagged outcomes of a request."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(slots=True, frozen=True)
 class Answered:
-    """The whole answer.
+    """The request has a complete answer.
 
     Parameters
     ==========
 
     output : object
-        The last stage's result, of JSON's types.
+        Result of the last stage, as JSON values.
     cost : dict
         Cost by stage, in the manifest's unit.
     """
@@ -23,19 +23,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Refused:
-    """Not run: no stage of it was started.
+    """The request was refused before any stage was started.
 
     Parameters
     ==========
 
     status : int
-        HTTP status to tell the caller.
+        HTTP status to return to the caller.
     reason : str
-        Why, in a few words.
+        Short reason for the refusal.
     step, peer : str
-        Where it arose.
+        Stage and peer that refused.
     retry_after : float
-        Seconds after which asking again makes sense; 0 for never.
+        Seconds after which the caller may retry; 0 if it should not.
     """
 
     status: int
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Failed:
-    """Some stage ran, and there is no complete answer; safe to ask again."""
+    """Some stage ran without a complete answer; a retry is safe."""
 
     reason: str
     step: str
@@ -59,21 +59,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Unknown:
-    """A non-idempotent stage may have run; its answer is not known.
+    """A non-idempotent stage may have run; its result is unknown.
 
     Parameters
     ==========
 
     reason : str
-        Why, in a few words.
+        Short reason.
     step, peer : str
-        Where it arose.
+        Stage and peer where the result was lost.
     cost : dict
         Cost by stage, in the manifest's unit.
     retry_after : float
-        Seconds after which the answer may be known; 0 for never.
+        Seconds after which the result may be known; 0 for never.
     status : int
-        HTTP status to tell the caller; 0 for the usual one.
+        HTTP status to return to the caller; 0 for the default one.
     """
 
     reason: str
--- a/pollenstile/peer/__init__.py
+++ b/pollenstile/peer/__init__.py
@@ -1,11 +1,11 @@
-"""The inner protocol between entry hosts."""
+"""Protocol between entry hosts: links, heartbeats and requests."""
 
 from pollenstile.peer._frames import (
     FRAME_LIMIT,
-    OPENING_LIMIT,
-    Frames,
+    HANDSHAKE_FRAME_LIMIT,
+    FrameBuffer,
     OversizeError,
-    framed,
+    encode_frame,
 )
 from pollenstile.peer._hub import Hub
 from pollenstile.peer._link import BEAT_PERIOD, SILENCE_LIMIT, Link
@@ -17,9 +17,9 @@
     Hello,
     News,
     Sums,
+    decode_message,
     decoded,
-    message_bytes,
-    message_from,
+    encode_message,
 )
 from pollenstile.peer._neighbours import neighbours
 from pollenstile.peer._patch import (
@@ -31,7 +31,7 @@
     patched,
     text_digest,
 )
-from pollenstile.peer._rendezvous import place_in_ring, ranked
+from pollenstile.peer._rendezvous import next_in_ring, ranked
 from pollenstile.peer._requests import Unanswered
 from pollenstile.peer._schema import SCHEMA_PATH, loaded_schema, schema
 from pollenstile.peer._session import (
--- a/pollenstile/peer/_dialer.py
+++ b/pollenstile/peer/_dialer.py
@@ -1,40 +1,51 @@
-"""Which addresses are dialed, and when again."""
+"""Outgoing connections to peers, with backoff after failures."""
 
 from pollenstile.peer._receiver import Receiver
 
-_FIRST_PAUSE = 0.5
-_LONGEST_PAUSE = 8.0
+_INITIAL_BACKOFF_SECONDS = 0.5
+_MAX_BACKOFF_SECONDS = 8.0
 
 
-class Dial:
-    """Tries to reach one address."""
+class DialState:
+    """State of the connection attempts to one address.
 
-    __slots__ = ('at', 'failures', 'receiver')
+    Attributes
+    ==========
+
+    next_attempt_at : float
+        Time on the clock before which the address is not dialed again.
+    failures : int
+        Attempts since the peer at the address last answered, at most 10.
+    receiver : Receiver or None
+        Receiver of the current attempt or connection.
+    """
+
+    __slots__ = ('failures', 'next_attempt_at', 'receiver')
 
     def __init__(self):
-        self.at = 0.0
+        self.next_attempt_at = 0.0
         self.failures = 0
         self.receiver = None
 
 
 class Dialer:
-    """Opens a hub's connections.
+    """Opens the outgoing connections of a hub.
 
     Parameters
     ==========
 
     hub : Hub
-        Takes the connections.
+        Owner of the connections.
     connect : function
-        Takes an address and a receiver, opens a connection.
+        Opens a connection, from an address and a receiver.
 
     Attributes
     ==========
 
     wanted : dict
-        Addresses of the hosts to keep a link to, by host.
+        Addresses of the hosts to keep a link to, by host name.
     seeds : tuple of str
-        Addresses to dial while there is no link at all.
+        Addresses to dial while the hub has no link.
     """
 
     __slots__ = ('connect', 'dials', 'hub', 'seeds', 'wanted')
@@ -47,7 +58,7 @@
         self.seeds = ()
 
     def dial_due(self, now):
-        """Dial who is wanted, not linked, and due."""
+        """Dial the wanted hosts that have no link and whose backoff is over."""
         links = self.hub.links
         addresses = [
             address
@@ -58,40 +69,44 @@
             addresses.extend(self.seeds)
         for address in addresses:
             dial = self.dials.get(address)
-            if dial is None or now >= dial.at:
+            if dial is None or now >= dial.next_attempt_at:
                 self.dial(address)
 
     def dial(self, address):
-        """Dial an address now, unless a connection to it is being made."""
+        """Dial an address now, unless it has an attempt or connection."""
         if address == self.hub.hello.address:
             return
-        dial = self.dials.setdefault(address, Dial())
+        dial = self.dials.setdefault(address, DialState())
         if dial.receiver is not None:
             return
-        # All peers of a host that came back would dial it at one instant;
-        # full jitter spreads them, and a higher bound after each failure
-        # keeps a host that is gone from being dialed often.
-        bound = min(_LONGEST_PAUSE, _FIRST_PAUSE * 2**dial.failures)
+        # Full jitter prevents all peers of a host that has returned from
+        # dialing it at the same instant. The exponential bound limits how
+        # often a host that is gone is dialed.
+        bound = min(
+            _MAX_BACKOFF_SECONDS, _INITIAL_BACKOFF_SECONDS * 2**dial.failures
+        )
         dial.failures = min(dial.failures + 1, 10)
-        dial.at = self.hub.clock.seconds() + self.hub.random.uniform(0, bound)
+        dial.next_attempt_at = (
+            self.hub.clock.seconds() + self.hub.random.uniform(0, bound)
+        )
         dial.receiver = Receiver(self.hub, address, dialing=True)
         self.connect(address, dial.receiver)
 
     def failures(self, address):
-        """Return how often an address was dialed since it answered."""
-        return self.dials.get(address, Dial()).failures
+        """Return how often an address was dialed since it last answered."""
+        return self.dials.get(address, DialState()).failures
 
-    def reached(self, address):
-        """Note that the peer at an address answers."""
-        self.dials.get(address, Dial()).failures = 0
+    def reset_failures(self, address):
+        """Reset the failures of an address whose peer has answered."""
+        self.dials.get(address, DialState()).failures = 0
 
-    def ended(self, receiver):
-        """Note that a connection, or the try to open it, has ended."""
+    def connection_ended(self, receiver):
+        """Record that a connection or the attempt to open it has ended."""
         address = receiver.address
-        dial = self.dials.get(address, Dial())
+        dial = self.dials.get(address, DialState())
         if dial.receiver is not receiver:
             return
         dial.receiver = None
-        # Addresses come and go with the hosts; nothing is kept of them.
+        # Drop unwanted addresses: they change as hosts join and leave.
         if address not in self.seeds and address not in self.wanted.values():
             self.dials.pop(address)
--- a/pollenstile/peer/_frames.py
+++ b/pollenstile/peer/_frames.py
@@ -1,47 +1,47 @@
-"""Frames: a length in four bytes, then that many bytes."""
+"""Framing of messages: a length of four bytes, then the content."""
 
 import struct
 
-_HEAD = struct.Struct('>I')
+_LENGTH = struct.Struct('>I')
 
-# Before a peer has proven that it knows the key it may send only this much.
-OPENING_LIMIT = 1024
-# A manifest has a megabyte at most; a frame has room for it and its envelope.
+# Largest frame in bytes before a peer has proven that it knows the key.
+HANDSHAKE_FRAME_LIMIT = 1024
+# Largest frame in bytes: a manifest of up to a megabyte and its envelope.
 FRAME_LIMIT = 1200000
 
 
 class OversizeError(Exception):
-    """A frame states more than the limit; nothing of it is kept."""
+    """A frame announces a length above the limit."""
 
 
-def framed(body):
-    """Return bytes with their length in front.
+def encode_frame(body):
+    """Return a frame: the bytes prefixed with their length.
 
     Examples
     ========
 
-    >>> from pollenstile.peer import framed
-    >>> list(framed(b'ab'))
+    >>> from pollenstile.peer import encode_frame
+    >>> list(encode_frame(b'ab'))
     [0, 0, 0, 2, 97, 98]
     """
-    return _HEAD.pack(len(body)) + body
+    return _LENGTH.pack(len(body)) + body
 
 
-class Frames:
-    """Bytes received that are not a whole frame yet.
+class FrameBuffer:
+    """Buffer of received bytes that yields complete frames.
 
     Parameters
     ==========
 
     limit : int
-        Largest frame, in bytes; may be changed between frames.
+        Largest accepted frame in bytes; may be changed between frames.
 
     Examples
     ========
 
-    >>> from pollenstile.peer import Frames, framed
-    >>> frames = Frames(10)
-    >>> frames.feed(framed(b'ab')[:5])
+    >>> from pollenstile.peer import FrameBuffer, encode_frame
+    >>> frames = FrameBuffer(10)
+    >>> frames.feed(encode_frame(b'ab')[:5])
     >>> frames.next_frame()
     >>> frames.feed(b'b')
     >>> frames.next_frame()
@@ -55,26 +55,26 @@
         self.received = bytearray()
 
     def feed(self, received):
-        """Keep bytes as they came."""
+        """Append received bytes."""
         self.received += received
 
     def next_frame(self):
-        """Return the next whole frame, or None.
+        """Return the next complete frame, or None.
 
         Raises
         ======
 
         OversizeError
-            When the frame at hand states more than the limit.
+            When the next frame announces a length above the limit.
         """
-        if len(self.received) < _HEAD.size:
+        if len(self.received) < _LENGTH.size:
             return None
-        size = int.from_bytes(self.received[: _HEAD.size])
+        size = int.from_bytes(self.received[: _LENGTH.size])
         if size > self.limit:
             raise OversizeError(f'{size} bytes')
-        end = _HEAD.size + size
+        end = _LENGTH.size + size
         if len(self.received) < end:
             return None
-        frame = bytes(self.received[_HEAD.size : end])
+        frame = bytes(self.received[_LENGTH.size : end])
         self.received = self.received[end:]
         return frame
--- a/pollenstile/peer/_hub.py
+++ b/pollenstile/peer/_hub.py
@@ -1,4 +1,4 @@
-"""All of a host's connections to peers."""
+"""Connections of a host to its peers, and dispatch of their messages."""
 
 from dataclasses import replace
 
@@ -10,52 +10,53 @@
 from pollenstile.peer._requests import Requests, Unanswered
 from pollenstile.peer._session import NONCE_BYTES, ProtocolError, Session
 
-_TICK = 0.5
+_TICK_SECONDS = 0.5
 _IDLE_SECONDS = 30.0
 _NONCE_BITS = NONCE_BYTES * 8
 
 
 class Hub:
-    """Links by host, and what is done with their messages.
+    """Keeps the links to peers and dispatches their messages.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        Measures beats and silence.
+        Clock for heartbeats and silence.
     random : random.Random
-        Nonces and jitter.
+        Source of nonces and jitter.
     hello : Hello
-        The own one.
+        Hello of this host.
     keys : tuple of bytes
         See :class:`Session`.
     connect : function
-        Takes an address and a receiver, opens a connection. The receiver has
+        Opens a connection, from an address and a receiver. The receiver has
         ``opened(wire)``, ``received(bytes)`` and ``lost()``; the wire has
         ``write(bytes)`` and ``close()``.
     log : function
-        Writes events.
+        Writes log events.
 
     Attributes
     ==========
 
     links : dict
-        Open links by host.
-    others : list of Link
-        Connections in their handshake.
+        Open links by host name.
+    handshaking : list of Link
+        Connections whose handshake is not complete.
     dialer : Dialer
-        Who is dialed.
+        Opens outgoing connections.
     requests : Requests
-        What is asked.
+        Requests sent to and received from peers.
     takers : dict
-        Functions of link and message, by type of message.
+        Functions that take a link and a message, by message type.
     ups, downs : list of function
-        Called with a new link; with the host and the link that it lost.
+        Called with a new link; called with the host name and the link that
+        was lost.
     beat : function
-        Returns the own heartbeat.
+        Returns the heartbeat of this host.
     tick, beat_period, silence_limit : float
-        Seconds between looks at the links, between heartbeats, and without a
-        byte until a link counts as silent.
+        Seconds between checks of the links, between heartbeats, and without
+        received bytes until a link counts as silent.
     """
 
     __slots__ = (
@@ -64,11 +65,11 @@
         'clock',
         'dialer',
         'downs',
+        'handshaking',
         'hello',
         'keys',
         'links',
         'log',
-        'others',
         'random',
         'received',
         'requests',
@@ -88,12 +89,12 @@
         self.keys = keys
         self.log = log
         self.links = {}
-        self.others = []
+        self.handshaking = []
         self.takers = {}
         self.ups = []
         self.downs = []
         self.beat = Beat
-        self.tick = _TICK
+        self.tick = _TICK_SECONDS
         self.beat_period = BEAT_PERIOD
         self.silence_limit = SILENCE_LIMIT
         self.timer = None
@@ -104,11 +105,11 @@
         self.requests = Requests(self)
 
     def start(self):
-        """Dial, beat and watch for silence from now on."""
+        """Start dialing, sending heartbeats and checking for silence."""
         self._tick()
 
     def stop(self):
-        """Close all connections."""
+        """Close all connections and stop the timer."""
         self.stopped = True
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
@@ -116,19 +117,19 @@
             self.drop(link, 'stopped')
 
     def all_links(self):
-        """Return every connection, in handshake too."""
-        return [*self.links.values(), *self.others]
+        """Return all connections, including those in their handshake."""
+        return [*self.links.values(), *self.handshaking]
 
     def accepted(self, wire, address):
-        """Return the receiver of a connection that a peer opened."""
+        """Return the receiver for a connection that a peer opened."""
         receiver = Receiver(self, address, dialing=False)
         receiver.opened(wire)
         return receiver
 
     def beat_now(self):
-        """Send a heartbeat at once, for news that can't wait."""
+        """Send a heartbeat to all peers now, for an urgent change."""
         for link in list(self.links.values()):
-            self._beat(link)
+            self._send_beat(link)
 
     def ask(self, host, subject, body, timeout, address=''):
         """Send a request to a host.
@@ -137,38 +138,39 @@
         ==========
 
         host : str
-            The peer's name.
+            Name of the peer.
         subject : str
-            What is asked; the peer's ``requests.subjects`` has it.
+            Subject of the request, a key of the peer's ``requests.subjects``.
         body : bytes
-            As the subject has it.
+            Body in the encoding of the subject.
         timeout : float
-            Seconds for the answer, the connection included.
+            Seconds until the answer, including the time to connect.
         address : str
-            Dialed when there is no link; the request waits for it.
+            Address to dial when there is no link; the request is sent when
+            the link is open.
 
         Returns
         =======
 
         Deferred
-            Of bytes, or of :class:`Unanswered`.
+            Fires with the answer's bytes or with :class:`Unanswered`.
         """
         if self.stopped:
             address = ''
         return self.requests.ask(host, subject, body, timeout, address)
 
-    def fresh_session(self, *, dialing):
-        """Return a session with a nonce of its own."""
+    def new_session(self, *, dialing):
+        """Return a session with a new nonce."""
         nonce = self.random.getrandbits(_NONCE_BITS).to_bytes(NONCE_BYTES)
         hello = replace(self.hello, nonce=nonce)
         return Session(self.keys, hello, dialing=dialing)
 
-    def take(self, link, received):
-        """Handle bytes that a link received."""
+    def receive(self, link, received):
+        """Handle bytes received on a link."""
         self.received += len(received)
         was_open = link.is_open
         try:
-            messages = link.take(received, self.clock.seconds())
+            messages = link.receive(received, self.clock.seconds())
         except ProtocolError as error:
             self.log(
                 events.PEER_REFUSED,
@@ -179,22 +181,22 @@
             self.drop(link, str(error))
             return
         if link.is_open and not was_open:
-            self._met(link)
+            self._link_opened(link)
         for message in messages:
             if not link.closed:
                 self._deliver(link, message)
 
     def drop(self, link, reason):
-        """Close a link and forget it."""
+        """Close a link and remove it."""
         if link.closed:
             return
         host = link.host
         link.closed = True
         link.wire.close()
         self.sent += link.sent
-        if link in self.others:
-            self.others.remove(link)
-        self.dialer.ended(link.receiver)
+        if link in self.handshaking:
+            self.handshaking.remove(link)
+        self.dialer.connection_ended(link.receiver)
         for waiting in list(link.waiting.values()):
             if not waiting.called:
                 waiting.callback(Unanswered('ask', host, 'lost'))
@@ -206,7 +208,7 @@
             down(host, link)
 
     def bytes_sent(self):
-        """Return all bytes sent to peers so far."""
+        """Return the number of bytes sent to peers so far."""
         return self.sent + sum(link.sent for link in self.all_links())
 
     def _tick(self):
@@ -217,8 +219,8 @@
                 self.drop(link, 'silent')
             elif self._is_idle(link, now):
                 self.drop(link, 'idle')
-            elif link.is_open and now - link.beaten >= self.beat_period:
-                self._beat(link)
+            elif link.is_open and now - link.last_beat_sent >= self.beat_period:
+                self._send_beat(link)
         self.dialer.dial_due(now)
         pause = self.tick * self.random.uniform(0.8, 1.2)
         self.timer = self.clock.callLater(pause, self._tick)
@@ -227,48 +229,48 @@
         if not link.is_open or not link.session.dialing:
             return False
         unwanted = link.host not in self.dialer.wanted
-        return unwanted and now - link.used > _IDLE_SECONDS
+        return unwanted and now - link.last_used > _IDLE_SECONDS
 
-    def _beat(self, link):
-        link.beaten = self.clock.seconds()
+    def _send_beat(self, link):
+        link.last_beat_sent = self.clock.seconds()
         link.send(self.beat())
 
-    def _met(self, link):
-        self.others.remove(link)
-        before = self.links.get(link.host)
-        if before is not None and not self._is_better(link, before):
+    def _link_opened(self, link):
+        self.handshaking.remove(link)
+        existing = self.links.get(link.host)
+        if existing is not None and not self._should_replace(link, existing):
             self.drop(link, 'double')
             return
         self.links[link.host] = link
-        if before is not None:
-            self.drop(before, 'double')
-        self.dialer.reached(link.address)
+        if existing is not None:
+            self.drop(existing, 'double')
+        self.dialer.reset_failures(link.address)
         self.log(events.PEER_OPENED, peer=link.host, address=link.address)
-        self._beat(link)
+        self._send_beat(link)
         for up in list(self.ups):
             up(link)
 
-    def _is_better(self, link, before):
-        # A peer that dials again has lost the connection before, or is a new
-        # process at the same name. Two hosts that dial each other at one time
-        # must keep the same one of the two connections.
+    def _should_replace(self, link, existing):
+        # A peer that dials again has lost its earlier connection or is a new
+        # process with the same name. Two hosts that dial each other at the
+        # same time must both keep the same connection.
         boot = link.session.peer.boot
-        if boot != before.session.peer.boot:
-            return boot > before.session.peer.boot
-        if link.session.dialing == before.session.dialing:
+        if boot != existing.session.peer.boot:
+            return boot > existing.session.peer.boot
+        if link.session.dialing == existing.session.dialing:
             return True
         return link.session.dialing == (self.hello.host < link.host)
 
     def _deliver(self, link, message):
         if isinstance(message, Beat):
             link.beat = message
-        taker = self.takers.get(type(message))
-        if taker is None:
+        handler = self.takers.get(type(message))
+        if handler is None:
             return
         try:
-            taker(link, message)
+            handler(link, message)
         except Exception as error:
-            # One message that its taker can't bear must not end the link.
+            # A message whose handler fails must not close the link.
             self.log(
                 events.PEER_HANDLER_FAILED,
                 level='error',
--- a/pollenstile/peer/_link.py
+++ b/pollenstile/peer/_link.py
@@ -1,54 +1,58 @@
-"""One connection to a peer: session, heartbeat, silence."""
+"""A connection to a peer, with its heartbeats and silence detection."""
 
 from pollenstile.peer._messages import Beat
 from pollenstile.peer._session import State
 
-# A beat comes every other second; a path that forgot the connection swallows
-# them, and after two lost beats and a half the connection counts as silent.
-# Both are a hub's defaults; a host whose peers wait for its answers within a
-# second or two sets shorter ones.
+# Defaults of a hub, in seconds. When the network path has lost the connection
+# state, heartbeats are dropped silently; after two and a half missed heartbeats
+# the connection counts as silent. A host whose peers wait for its answers
+# within a second or two sets shorter values.
 BEAT_PERIOD = 2.0
 SILENCE_LIMIT = 5.0
-# A stranger may hold a connection that says nothing only this long.
-OPENING_SECONDS = 3.0
+# Seconds without received bytes after which a connection in its handshake
+# counts as silent, which limits connections held open by strangers.
+HANDSHAKE_SECONDS = 3.0
 
 
 class Link:
-    """A connection and when it was last heard.
+    """A connection to a peer and the times of its last traffic.
 
     Parameters
     ==========
 
     session : Session
-        Handshake and seals.
+        Handshake and authentication of frames.
     wire : object
-        With ``write(bytes)`` and ``close()``.
+        Transport with ``write(bytes)`` and ``close()``.
     receiver : Receiver
-        Whose bytes these are; knows the address.
+        Receiver of the connection's bytes; has the address.
     now : float
-        Seconds on the clock.
+        Current time on the clock, in seconds.
 
     Attributes
     ==========
 
     heard, beaten : float
-        When the last bytes came and the last beat went.
+        Times when the last bytes were received and the last heartbeat was
+        sent.
+    last_used : float
+        Time of the last request in either direction.
     beat : Beat
-        The peer's last one.
+        Last heartbeat of the peer.
     waiting : dict
-        Deferreds of requests without an answer, by number.
+        Deferreds of unanswered requests, by request number.
     """
 
     __slots__ = (
         'beat',
-        'beaten',
         'closed',
-        'heard',
+        'last_beat_sent',
+        'last_received',
+        'last_used',
         'received',
         'receiver',
         'sent',
         'session',
-        'used',
         'waiting',
         'wire',
     )
@@ -57,9 +61,9 @@
         self.session = session
         self.wire = wire
         self.receiver = receiver
-        self.heard = now
-        self.beaten = now
-        self.used = now
+        self.last_received = now
+        self.last_beat_sent = now
+        self.last_used = now
         self.beat = Beat()
         self.waiting = {}
         self.closed = False
@@ -68,47 +72,47 @@
 
     @property
     def address(self):
-        """What was dialed, or where it came from."""
+        """Address that was dialed or that the connection was accepted from."""
         return self.receiver.address
 
     @property
     def is_open(self):
-        """Whether the peer has proven to know the key."""
+        """Whether the handshake is complete and the link is not closed."""
         return self.session.state == State.OPEN and not self.closed
 
     @property
     def host(self):
-        """The peer's name, empty before it is proven."""
+        """Name of the peer; empty until the handshake is complete."""
         opened = self.session.state == State.OPEN
         return self.session.peer.host if opened else ''
 
     def write(self, content):
-        """Send bytes."""
+        """Send bytes, unless the link is closed."""
         if content and not self.closed:
             self.sent += len(content)
             self.wire.write(content)
 
     def send(self, message):
-        """Send a message."""
+        """Send a message if the link is open."""
         if self.is_open:
-            self.write(self.session.sealed(message))
+            self.write(self.session.seal(message))
 
-    def take(self, received, now):
-        """Return messages from bytes received, after answering a handshake.
+    def receive(self, received, now):
+        """Return the messages in received bytes; reply to handshake frames.
 
         Raises
         ======
 
         ProtocolError
-            When the connection has to be closed.
+            When the connection must be closed.
         """
         self.received += len(received)
-        reply, messages = self.session.take(received)
+        reply, messages = self.session.receive(received)
         self.write(reply)
-        self.heard = now
+        self.last_received = now
         return messages
 
     def is_silent(self, now, silence_limit=SILENCE_LIMIT):
-        """Return whether nothing came for too long."""
-        limit = silence_limit if self.is_open else OPENING_SECONDS
-        return now - self.heard > limit
+        """Return whether no bytes were received within the limit."""
+        limit = silence_limit if self.is_open else HANDSHAKE_SECONDS
+        return now - self.last_received > limit
--- a/pollenstile/peer/_messages.py
+++ b/pollenstile/peer/_messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between entry hosts, and their encoding."""
+"""Messages between entry hosts and their encoding."""
 
 from dataclasses import dataclass, field
 
@@ -8,26 +8,26 @@
 
 
 class BadMessageError(Exception):
-    """Bytes are no message of the protocol."""
+    """Received bytes are not a valid message of the protocol."""
 
 
 @dataclass(slots=True, frozen=True)
 class Hello:
-    """Who opens a connection.
+    """Identity of a host, sent when a connection is opened.
 
     Parameters
     ==========
 
     version, least : int
-        Newest and oldest protocol version that the host speaks.
+        Newest and oldest protocol versions that the host supports.
     host, domain : str
-        Its name and failure domain.
+        Name and failure domain of the host.
     address : str
-        ``IP:PORT`` where it listens for peers.
+        ``IP:PORT`` on which it listens for peers.
     boot : int
-        Its incarnation; higher after each start.
+        Incarnation of the host; increases with each start.
     nonce : bytes
-        Random, never used again.
+        Random bytes, used once.
     """
 
     version: int
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Beat:
-    """A heartbeat.
+    """A heartbeat with a summary of the state of the host.
 
     Parameters
     ==========
@@ -49,11 +49,11 @@
     version : int
         Version of the configuration in force.
     members : int
-        Sum over the membership records; differs when these differ.
+        Sum over the membership records, which detects differences.
     leaving : bool
-        Whether the host is leaving.
+        Whether the host is leaving the fleet.
     quarantine : int
-        Digest of the requests that it keeps from upstreams.
+        Digest of the requests that it quarantines.
     """
 
     version: int = 0
@@ -64,21 +64,21 @@
 
 @dataclass(slots=True, frozen=True)
 class News:
-    """Membership records that the peer may not have."""
+    """Membership records that the peer may lack."""
 
     members: list = field(default_factory=list)
 
 
 @dataclass(slots=True, frozen=True)
 class Sums:
-    """Sums of the membership records, one for each bucket."""
+    """Sums over the membership records, one for each bucket."""
 
     sums: list = field(default_factory=list)
 
 
 @dataclass(slots=True, frozen=True)
 class Ask:
-    """A request; the answer carries the same number."""
+    """A request; its answer has the same number."""
 
     number: int
     subject: str
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """An answer; ``taken`` is false when the host knows no such subject."""
+    """An answer; ``taken`` is false if the subject is unknown or failed."""
 
     number: int
     taken: bool
@@ -101,42 +101,43 @@
     Ask: tuple(Ask.__dataclass_fields__),
     Answer: tuple(Answer.__dataclass_fields__),
 }
-_NAMES = {Beat: 'beat', Ask: 'ask', Answer: 'answer'}
+_UNION_NAMES = {Beat: 'beat', Ask: 'ask', Answer: 'answer'}
 
 
-def _values(one):
-    return {name: getattr(one, name) for name in _FIELDS[type(one)]}
+def _field_values(message):
+    return {name: getattr(message, name) for name in _FIELDS[type(message)]}
 
 
-def hello_bytes(hello):
-    """Return a hello's encoding."""
-    return schema.Hello.new_message(**_values(hello)).to_bytes()
+def encode_hello(hello):
+    """Return the encoding of a hello."""
+    return schema.Hello.new_message(**_field_values(hello)).to_bytes()
 
 
-def hello_from(encoded):
-    """Return a hello; raise BadMessageError otherwise."""
-    return decoded(schema.Hello, encoded, _hello)
+def decode_hello(encoded):
+    """Return the decoded hello; raise BadMessageError if invalid."""
+    return decoded(schema.Hello, encoded, _build_hello)
 
 
-def _hello(reader):
-    return _built(Hello, reader)
+def _build_hello(reader):
+    return _build(Hello, reader)
 
 
-def _built(kind, reader):
+def _build(kind, reader):
     return kind(*[getattr(reader, name) for name in _FIELDS[kind]])
 
 
 def decoded(struct, encoded, build):
-    """Return what ``build`` makes of an encoded struct.
+    """Decode a struct and return the result of ``build`` on its reader.
 
     Raises
     ======
 
     BadMessageError
-        When the bytes hold no such struct.
+        When the bytes are not a valid encoding of the struct.
     """
-    # The decoder raises for truncated, cyclic and oversize input, and text
-    # that is not UTF-8 when it is read; nothing of a bad message is used.
+    # The decoder raises for truncated, cyclic and oversize input, and for text
+    # that is not UTF-8 when the text is read. An invalid message is dropped
+    # as a whole.
     try:
         with struct.from_bytes(encoded) as reader:
             return build(reader)
@@ -144,44 +145,44 @@
         raise BadMessageError(str(error)[:100]) from None
 
 
-def message_bytes(message):
-    """Return a message's encoding."""
-    name = _NAMES.get(type(message))
+def encode_message(message):
+    """Return the encoding of a message."""
+    name = _UNION_NAMES.get(type(message))
     if name is not None:
-        return _encoded(**{name: _values(message)})
+        return _encode_union(**{name: _field_values(message)})
     if isinstance(message, Sums):
-        return _encoded(sums={'sums': message.sums})
-    return _encoded(news={'members': message.members})
+        return _encode_union(sums={'sums': message.sums})
+    return _encode_union(news={'members': message.members})
 
 
-def _encoded(**union):
+def _encode_union(**union):
     return schema.Message.new_message(**union).to_bytes()
 
 
-def message_from(encoded):
-    """Return a message, or None for a kind that this release doesn't know.
+def decode_message(encoded):
+    """Return the decoded message, or None for a kind unknown to this release.
 
     Raises
     ======
 
     BadMessageError
-        When the bytes hold no message.
+        When the bytes are not a valid message.
 
     Examples
     ========
 
-    >>> from pollenstile.peer import Beat, message_bytes, message_from
-    >>> message_from(message_bytes(Beat(version=7)))
+    >>> from pollenstile.peer import Beat, encode_message, decode_message
+    >>> decode_message(encode_message(Beat(version=7)))
     Beat(version=7, members=0, leaving=False, quarantine=0)
     """
-    return decoded(schema.Message, encoded, _message)
+    return decoded(schema.Message, encoded, _build_message)
 
 
-def _message(reader):
+def _build_message(reader):
     try:
         which = reader.which()
     except capnp.KjException:
-        # A newer release may send kinds that this one has never heard of.
+        # A newer release may send kinds of messages unknown to this one.
         return None
     which = str(which)
     part = getattr(reader, which)
@@ -189,4 +190,4 @@
         return Sums(list(part.sums))
     if which == 'news':
         return News([member.to_dict() for member in part.members])
-    return _built(_KINDS[which], part)
+    return _build(_KINDS[which], part)
--- a/pollenstile/peer/_neighbours.py
+++ b/pollenstile/peer/_neighbours.py
@@ -1,31 +1,34 @@
-"""Which peers a host keeps a link to."""
+"""Selection of the peers to which a host keeps links."""
 
-from pollenstile.peer._rendezvous import place_in_ring, ranked
+from pollenstile.peer._rendezvous import next_in_ring, ranked
 
-_ALL_WITHIN = 4
-_CHOSEN = 2
-_GATEWAYS = 3
+_MAX_FULL_MESH = 4
+_RENDEZVOUS_LINKS = 2
+_LINKS_PER_DOMAIN_PAIR = 3
 
 
 def neighbours(host, domain, domains):
-    """Return the hosts that a host keeps a link to.
+    """Return the hosts to which a host keeps links.
 
     Explanation
     ===========
 
-    In the own domain: the next host of a ring, which connects the domain,
-    and two by rendezvous, which make the ways short and survive failures; in
-    a small domain all. Between two domains: three links, from the first three
-    hosts of each by rendezvous on the pair. So the links of a host stay
-    bounded as the fleet grows, and each pair of domains has its own ways.
+    Within its domain a host links to the next host in a ring, which connects
+    the domain, and to two hosts chosen by rendezvous hashing, which shorten
+    paths and tolerate failures. In a small domain it links to all hosts.
+
+    Two domains are connected by three links, between the first three hosts of
+    each by rendezvous hashing on the pair of domains. The number of links of a
+    host therefore stays bounded as the fleet grows, and each pair of domains
+    has direct links.
 
     Parameters
     ==========
 
     host, domain : str
-        The own.
+        Name and failure domain of the host.
     domains : dict
-        Names of the live hosts of each domain.
+        Names of the live hosts, by domain.
 
     Returns
     =======
@@ -40,26 +43,30 @@
     >>> sorted(neighbours('a', 'clark', fleet))
     ['b', 'c']
     """
-    own = [name for name in domains.get(domain, ()) if name != host]
-    found = set(own)
-    if len(own) > _ALL_WITHIN:
-        found = {place_in_ring(host, own)}
-        found.update(ranked(f'link/{host}', own, _CHOSEN))
-    for other, names in domains.items():
-        if other != domain:
-            found.update(_across(host, [host, *own], domain, names, other))
-    return found
+    own_hosts = [name for name in domains.get(domain, ()) if name != host]
+    chosen = set(own_hosts)
+    if len(own_hosts) > _MAX_FULL_MESH:
+        chosen = {next_in_ring(host, own_hosts)}
+        chosen.update(ranked(f'link/{host}', own_hosts, _RENDEZVOUS_LINKS))
+    for other_domain, other_hosts in domains.items():
+        if other_domain != domain:
+            chosen.update(
+                _links_between_domains(
+                    host, [host, *own_hosts], domain, other_hosts, other_domain
+                )
+            )
+    return chosen
 
 
-def _across(host, own, domain, names, other):
-    pair = '/'.join(sorted([domain, other]))
-    near = ranked(pair, own, _GATEWAYS)
-    far = ranked(pair, names, _GATEWAYS)
+def _links_between_domains(host, own_hosts, domain, other_hosts, other_domain):
+    pair = '/'.join(sorted([domain, other_domain]))
+    near = ranked(pair, own_hosts, _LINKS_PER_DOMAIN_PAIR)
+    far = ranked(pair, other_hosts, _LINKS_PER_DOMAIN_PAIR)
     if not far:
         return []
     width = max(len(near), len(far))
-    found = []
-    for place in range(width):
-        if near[place % len(near)] == host:
-            found.append(far[place % len(far)])
-    return found
+    chosen = []
+    for position in range(width):
+        if near[position % len(near)] == host:
+            chosen.append(far[position % len(far)])
+    return chosen
--- a/pollenstile/peer/_patch.py
+++ b/pollenstile/peer/_patch.py
@@ -1,12 +1,12 @@
-"""Handing over a text in few bytes to a peer that has another version.
+"""Delta encoding of a text for a peer that has another version of it.
 
 Explanation
 ===========
 
-A change of a configuration touches a few places of a long text: its version,
-a route, a key. What both texts have in common at their ends is left out, and
-between them the rows that the peer has are named, not sent. The digest of the
-whole tells whether the result is right; the whole is sent otherwise.
+A configuration change affects a few parts of a long text: its version, a
+route, a key. The common prefix and suffix of both texts are not sent, and
+between them rows that the peer has are referenced by offset. The digest of the
+new text verifies the result; if it does not match, the full text is sent.
 """
 
 import hashlib
@@ -17,45 +17,45 @@
 import msgspec
 
 _DIGEST_BYTES = 16
-# Texts that a host keeps for its peers.
-_KEPT = 6
-# The store holds values up to a megabyte; a text that unpacks to more is
-# none of its values, whoever sends it.
-MOST_TEXT = 1000000
-# Between the rows of a list of objects in JSON.
+# Number of recent texts from which a host can send patches.
+_MAX_TEXTS = 6
+# The store holds values of up to a megabyte, so a text that decompresses to
+# more can't be one of them.
+MAX_TEXT_BYTES = 1000000
+# Separator of rows in a JSON list of objects.
 _ROW_END = b'},'
 
 
-class Kept(msgspec.Struct, array_like=True, tag=0):
-    """Bytes that the old text has."""
+class CopyRange(msgspec.Struct, array_like=True, tag=0):
+    """Copies a range of bytes of the old text."""
 
     start: int
     length: int
 
 
-class Added(msgspec.Struct, array_like=True, tag=1):
-    """Bytes that the old text does not have."""
+class InsertBytes(msgspec.Struct, array_like=True, tag=1):
+    """Inserts bytes that the old text does not have."""
 
     content: bytes
 
 
-_edits = msgspec.msgpack.Decoder(list[Kept | Added])
+_edits = msgspec.msgpack.Decoder(list[CopyRange | InsertBytes])
 
 
 @dataclass(slots=True, frozen=True)
 class Patch:
-    """What turns a text into another one.
+    """A delta that turns one text into another.
 
     Parameters
     ==========
 
     prefix, suffix : int
-        Bytes kept from the start and the end of the old text.
+        Numbers of bytes kept from the start and the end of the old text.
     middle : bytes
-        What comes between them: edits of the old text's bytes there,
-        compressed.
+        Compressed edits that build the bytes between prefix and suffix from
+        those of the old text.
     digest : bytes
-        Of the new text.
+        Digest of the new text.
     """
 
     prefix: int
@@ -65,7 +65,7 @@
 
 
 def patch_fields(patch):
-    """Return a patch as the fields of the messages that carry one."""
+    """Return the message fields that carry a patch."""
     return {
         'prefix': patch.prefix,
         'suffix': patch.suffix,
@@ -75,7 +75,7 @@
 
 
 def patch_from(reader):
-    """Return the patch that a message carries."""
+    """Return the patch carried by a message."""
     return Patch(
         reader.prefix,
         reader.suffix,
@@ -85,22 +85,23 @@
 
 
 class RecentTexts:
-    """The latest texts of a host, and patches to the newest.
+    """Keeps the recent texts of a host and caches patches to the newest.
 
     Explanation
     ===========
 
-    Several peers ask at one time from the same text, so each patch is made
-    once. A few texts are kept: a peer that missed some of them, in a storm of
-    changes, is still told by a patch.
+    Several peers request a patch from the same text at the same time, so each
+    patch is built once. Several texts are kept so that a peer that missed some
+    of them during a burst of changes can still be updated by a patch.
 
     Attributes
     ==========
 
     texts : OrderedDict
-        By what peers name them; the newest is the last.
+        Texts by the name that peers use for them, newest last.
     patches : dict
-        To the newest, by the text that they start from; None for no text.
+        Patches to the newest text, by the name of the text that they apply
+        to; None for the empty text.
     """
 
     __slots__ = ('patches', 'texts')
@@ -110,15 +111,15 @@
         self.patches = {}
 
     def keep(self, name, text):
-        """Keep a text; it is the newest."""
+        """Add a text as the newest one."""
         self.patches.clear()
         self.texts[name] = text
         self.texts.move_to_end(name)
-        while len(self.texts) > _KEPT:
+        while len(self.texts) > _MAX_TEXTS:
             self.texts.popitem(last=False)
 
     def patch_from(self, name):
-        """Return the patch to the newest text, from none if one is unknown."""
+        """Return the patch to the newest text from a named or empty text."""
         known = name if name in self.texts else None
         patch = self.patches.get(known)
         if patch is None:
@@ -129,13 +130,13 @@
 
 
 def text_digest(text):
-    """Return 16 bytes that tell texts apart."""
+    """Return the digest of a text, 16 bytes long."""
     encoded = text.encode()
     return hashlib.blake2b(encoded, digest_size=_DIGEST_BYTES).digest()
 
 
 def patch_between(old, new):
-    """Return the patch from one text to another.
+    """Return the patch that turns one text into another.
 
     Examples
     ========
@@ -151,8 +152,8 @@
     """
     before = old.encode()
     after = new.encode()
-    prefix = _common_length(before, after)
-    suffix = _common_end(before[prefix:], after[prefix:])
+    prefix = _common_prefix_length(before, after)
+    suffix = _common_suffix_length(before[prefix:], after[prefix:])
     edits = _edits_between(
         before[prefix : len(before) - suffix],
         after[prefix : len(after) - suffix],
@@ -161,29 +162,29 @@
     return Patch(prefix, suffix, packed, text_digest(new))
 
 
-def _common_length(one, other):
-    """Return how many first bytes are the same."""
-    return _most(
+def _common_prefix_length(one, other):
+    """Return the length of the common prefix."""
+    return _largest_size(
         min(len(one), len(other)),
         lambda size: one[:size] == other[:size],
     )
 
 
-def _common_end(one, other):
-    """Return how many last bytes are the same."""
-    return _most(
+def _common_suffix_length(one, other):
+    """Return the length of the common suffix."""
+    return _largest_size(
         min(len(one), len(other)),
         lambda size: one[len(one) - size :] == other[len(other) - size :],
     )
 
 
-def _most(limit, holds):
-    """Return the largest size for which something holds, by bisection."""
+def _largest_size(limit, is_common):
+    """Return the largest size that meets a condition, by bisection."""
     low = 0
     high = limit
     while low < high:
         middle = (low + high + 1) // 2
-        if holds(middle):
+        if is_common(middle):
             low = middle
         else:
             high = middle - 1
@@ -191,53 +192,54 @@
 
 
 def _edits_between(old, new):
-    """Return edits that keep the rows which both have.
+    """Return edits that copy the rows which both texts have.
 
     Explanation
     ===========
 
-    A row that the old text has is kept with all that follows it there; so a
-    change of a row in 1,750 takes three steps, not 1,750.
+    A row found in the old text is copied together with all equal bytes that
+    follow it there, so a change of one row among 1,750 takes three edits
+    instead of 1,750.
     """
-    places = _row_places(old)
+    offsets = _row_offsets(old)
     edits = []
-    place = 0
-    while place < len(new):
-        row = new[place : _row_end(new, place)]
-        start = places.get(row)
+    offset = 0
+    while offset < len(new):
+        row = new[offset : _row_end(new, offset)]
+        start = offsets.get(row)
         if start is None:
-            edits.append(Added(row))
-            place += len(row)
+            edits.append(InsertBytes(row))
+            offset += len(row)
             continue
-        length = _common_length(old[start:], new[place:])
-        edits.append(Kept(start, length))
-        place += length
+        length = _common_prefix_length(old[start:], new[offset:])
+        edits.append(CopyRange(start, length))
+        offset += length
     return edits
 
 
-def _row_places(text):
-    """Return where each row begins, by its bytes."""
-    places = {}
-    place = 0
-    while place < len(text):
-        end = _row_end(text, place)
-        places.setdefault(text[place:end], place)
-        place = end
-    return places
+def _row_offsets(text):
+    """Return the offset of the first occurrence of each row, by its bytes."""
+    offsets = {}
+    offset = 0
+    while offset < len(text):
+        end = _row_end(text, offset)
+        offsets.setdefault(text[offset:end], offset)
+        offset = end
+    return offsets
 
 
-def _row_end(text, place):
-    end = text.find(_ROW_END, place)
+def _row_end(text, offset):
+    end = text.find(_ROW_END, offset)
     return len(text) if end < 0 else end + len(_ROW_END)
 
 
 def patched(old, patch):
-    """Return the new text, or None when the patch does not fit the old one."""
+    """Return the patched text, or None if the patch is for another text."""
     before = old.encode()
     if patch.prefix + patch.suffix > len(before):
         return None
     end = len(before) - patch.suffix
-    middle = _edited(before[patch.prefix : end], _unpacked(patch.middle))
+    middle = _apply_edits(before[patch.prefix : end], _decompress(patch.middle))
     if middle is None:
         return None
     try:
@@ -247,8 +249,8 @@
     return text if text_digest(text) == patch.digest else None
 
 
-def _edited(old, packed):
-    """Return the bytes that edits make; None when they don't fit."""
+def _apply_edits(old, packed):
+    """Return the bytes built by edits; None if invalid or too large."""
     try:
         edits = _edits.decode(packed)
     except msgspec.DecodeError:
@@ -256,25 +258,29 @@
     parts = []
     size = 0
     for edit in edits:
-        part = edit.content if isinstance(edit, Added) else _kept(old, edit)
+        part = (
+            edit.content
+            if isinstance(edit, InsertBytes)
+            else _copied_bytes(old, edit)
+        )
         size += len(part)
-        if size > MOST_TEXT:
+        if size > MAX_TEXT_BYTES:
             return None
         parts.append(part)
     return b''.join(parts)
 
 
-def _kept(old, edit):
+def _copied_bytes(old, edit):
     if edit.start < 0 or edit.length < 0:
         return b''
     return old[edit.start : edit.start + edit.length]
 
 
-def _unpacked(packed):
-    """Return what was compressed; nothing when it is not, or too much."""
+def _decompress(packed):
+    """Return decompressed bytes; empty if invalid or too large."""
     unpacker = zlib.decompressobj()
     try:
-        unpacked = unpacker.decompress(packed, 2 * MOST_TEXT)
+        unpacked = unpacker.decompress(packed, 2 * MAX_TEXT_BYTES)
     except zlib.error:
         return b''
     return unpacked if unpacker.eof else b''
--- a/pollenstile/peer/_receiver.py
+++ b/pollenstile/peer/_receiver.py
@@ -1,20 +1,20 @@
-"""Takes one connection's bytes for a hub."""
+"""Receiver of the events of one connection, on behalf of a hub."""
 
 from pollenstile.peer._link import Link
 
 
 class Receiver:
-    """One connection, from the try to open it to its end.
+    """Handles one connection from the attempt to open it until its end.
 
     Parameters
     ==========
 
     hub : Hub
-        Whose connection it is.
+        Hub that owns the connection.
     address : str
-        What is dialed, or where it came from.
+        Address that is dialed or that the connection was accepted from.
     dialing : bool
-        Whether this side opens it.
+        Whether this side opens the connection.
     """
 
     __slots__ = ('address', 'dialing', 'hub', 'link')
@@ -26,24 +26,24 @@
         self.link = None
 
     def opened(self, wire):
-        """Begin the handshake over a wire that is open."""
+        """Start the handshake on an open transport."""
         if self.hub.stopped:
             wire.close()
             return
-        session = self.hub.fresh_session(dialing=self.dialing)
+        session = self.hub.new_session(dialing=self.dialing)
         self.link = Link(session, wire, self, self.hub.clock.seconds())
-        self.hub.others.append(self.link)
+        self.hub.handshaking.append(self.link)
         if self.dialing:
             self.link.write(session.first_bytes())
 
     def received(self, content):
-        """Hand bytes over."""
+        """Pass received bytes to the hub."""
         if self.link is not None and not self.link.closed:
-            self.hub.take(self.link, content)
+            self.hub.receive(self.link, content)
 
     def lost(self):
-        """Note that the connection, or the try to open it, has ended."""
+        """Record that the connection or the attempt to open it has ended."""
         if self.link is None:
-            self.hub.dialer.ended(self)
+            self.hub.dialer.connection_ended(self)
             return
         self.hub.drop(self.link, 'lost')
--- a/pollenstile/peer/_rendezvous.py
+++ b/pollenstile/peer/_rendezvous.py
@@ -1,11 +1,11 @@
-"""Deterministic choice that hosts agree on without talking.
+"""Rendezvous hashing: deterministic choice without coordination.
 
 Explanation
 ===========
 
 Each host ranks the candidates by a hash of the subject and the candidate.
-Hosts that know the same candidates choose the same ones, and when a candidate
-comes or goes only the subjects that it ranks first for move.
+Hosts that know the same candidates choose the same ones. When a candidate is
+added or removed, only the subjects for which it ranks first are reassigned.
 
 References
 ==========
@@ -15,16 +15,16 @@
 
 import hashlib
 
-_BYTES = 8
+_SCORE_BYTES = 8
 
 
 def _score(subject, candidate):
     text = f'{subject}\x00{candidate}'.encode()
-    return hashlib.blake2b(text, digest_size=_BYTES).digest()
+    return hashlib.blake2b(text, digest_size=_SCORE_BYTES).digest()
 
 
 def ranked(subject, candidates, most):
-    """Return the first ``most`` candidates of a subject, best first.
+    """Return the ``most`` highest-ranked candidates of a subject, in order.
 
     Examples
     ========
@@ -36,27 +36,27 @@
     """
     ordered = sorted(
         candidates,
-        key=lambda one: (_score(subject, one), one),
+        key=lambda name: (_score(subject, name), name),
         reverse=True,
     )
     return ordered[:most]
 
 
-def place_in_ring(host, hosts):
-    """Return the host that follows in the ring of a set of hosts.
+def next_in_ring(host, hosts):
+    """Return the successor of a host in the ring of a set of hosts.
 
     Explanation
     ===========
 
-    The ring is ordered by hash. Together all of its links connect the set.
+    The ring is ordered by hash. Links to the successors connect all hosts.
 
     Examples
     ========
 
-    >>> from pollenstile.peer import place_in_ring
+    >>> from pollenstile.peer import next_in_ring
     >>> hosts = ['a', 'b', 'c']
-    >>> sorted(place_in_ring(host, hosts) for host in hosts) == hosts
+    >>> sorted(next_in_ring(host, hosts) for host in hosts) == hosts
     True
     """
-    ring = sorted({host, *hosts}, key=lambda one: _score('ring', one))
+    ring = sorted({host, *hosts}, key=lambda name: _score('ring', name))
     return ring[(ring.index(host) + 1) % len(ring)]
--- a/pollenstile/peer/_requests.py
+++ b/pollenstile/peer/_requests.py
@@ -1,4 +1,4 @@
-"""Requests to peers and their answers."""
+"""Requests between peers and their answers."""
 
 import itertools
 from dataclasses import dataclass
@@ -13,14 +13,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Unanswered:
-    """A request to a peer got no answer.
+    """A request to a peer received no answer.
 
     Parameters
     ==========
 
     step, peer, reason : str
-        Where and why; ``'timeout'``, ``'lost'``, ``'no route'``,
-        ``'unknown subject'``.
+        Step, name of the peer, and reason: ``'timeout'``, ``'lost'``,
+        ``'no route'`` or ``'unknown subject'``.
     """
 
     step: str
@@ -29,20 +29,20 @@
 
 
 class Requests:
-    """What a hub's host has asked and can be asked.
+    """Sends requests to peers and answers those of peers.
 
     Parameters
     ==========
 
     hub : Hub
-        Links to peers.
+        Hub with the links to peers.
 
     Attributes
     ==========
 
     subjects : dict
-        Functions that answer: take the peer's name and the body, return the
-        answer's bytes or a Deferred of them.
+        Request handlers by subject. They take the name of the peer and the
+        body, and return the bytes of the answer or a Deferred of them.
     """
 
     __slots__ = ('hub', 'numbers', 'subjects')
@@ -51,8 +51,8 @@
         self.hub = hub
         self.subjects = {}
         self.numbers = itertools.count(1)
-        hub.takers[Ask] = self._answer
-        hub.takers[Answer] = self._answered
+        hub.takers[Ask] = self._handle_request
+        hub.takers[Answer] = self._handle_answer
 
     def ask(self, host, subject, body, timeout, address=''):
         """Send a request to a host; see :meth:`Hub.ask`."""
@@ -75,27 +75,27 @@
     def _send(self, link, subject, body, answer):
         number = next(self.numbers)
         link.waiting[number] = answer
-        link.used = self.hub.clock.seconds()
-        answer.addBoth(_forgotten, link, number)
+        link.last_used = self.hub.clock.seconds()
+        answer.addBoth(_remove_waiting, link, number)
         link.send(Ask(number, subject, body))
 
     def _send_later(self, host, subject, body, answer):
         ups = self.hub.ups
 
-        def met(link):
-            if link.host == host and met in ups:
-                ups.remove(met)
+        def link_opened(link):
+            if link.host == host and link_opened in ups:
+                ups.remove(link_opened)
                 self._send(link, subject, body, answer)
 
-        def ended(result):
-            if met in ups:
-                ups.remove(met)
+        def request_ended(result):
+            if link_opened in ups:
+                ups.remove(link_opened)
             return result
 
-        ups.append(met)
-        answer.addBoth(ended)
+        ups.append(link_opened)
+        answer.addBoth(request_ended)
 
-    def _answered(self, link, message):
+    def _handle_answer(self, link, message):
         waiting = link.waiting.pop(message.number, None)
         if waiting is None or waiting.called:
             return
@@ -104,10 +104,10 @@
             return
         waiting.callback(Unanswered(_STEP, link.host, 'unknown subject'))
 
-    def _answer(self, link, message):
-        link.used = self.hub.clock.seconds()
-        subject = self.subjects.get(message.subject, _unknown)
-        if subject is _unknown:
+    def _handle_request(self, link, message):
+        link.last_used = self.hub.clock.seconds()
+        subject = self.subjects.get(message.subject, _unknown_subject)
+        if subject is _unknown_subject:
             self.hub.log(
                 events.PEER_UNKNOWN_SUBJECT,
                 peer=link.host,
@@ -116,10 +116,10 @@
             link.send(Answer(message.number, taken=False))
             return
         body = maybeDeferred(subject, link.host, message.body)
-        body.addCallback(_told, link, message.number)
-        body.addErrback(self._failed, link, message.number)
+        body.addCallback(_send_answer, link, message.number)
+        body.addErrback(self._handle_failure, link, message.number)
 
-    def _failed(self, failure, link, number):
+    def _handle_failure(self, failure, link, number):
         self.hub.log(
             events.PEER_HANDLER_FAILED,
             level='error',
@@ -129,14 +129,14 @@
         link.send(Answer(number, taken=False))
 
 
-def _unknown(host, body):
-    """Stand for a subject that nobody answers."""
+def _unknown_subject(host, body):
+    """Mark a subject that has no handler."""
 
 
-def _forgotten(result, link, number):
+def _remove_waiting(result, link, number):
     link.waiting.pop(number, None)
     return result
 
 
-def _told(body, link, number):
+def _send_answer(body, link, number):
     link.send(Answer(number, True, body))
--- a/pollenstile/peer/_schema.py
+++ b/pollenstile/peer/_schema.py
@@ -1,4 +1,4 @@
-"""The inner protocol's schema, loaded once."""
+"""Schema of the protocol between entry hosts, loaded once."""
 
 import pathlib
 
@@ -10,5 +10,5 @@
 
 
 def loaded_schema(path):
-    """Return the schema of another file, such as a neighbouring release's."""
+    """Return a schema loaded from a file, such as that of another release."""
     return capnp.load(str(path))
--- a/pollenstile/peer/_session.py
+++ b/pollenstile/peer/_session.py
@@ -1,18 +1,20 @@
-"""The handshake and the sealing of frames, without I/O.
+"""Handshake and authentication of frames, without I/O.
 
 Explanation
 ===========
 
-Both sides show that they know the shared key, over both nonces and names:
+Both sides prove that they know the shared key. The tags are HMACs and cover
+the nonces and names in the hellos:
 
-1. The dialer sends its hello and a tag of it.
-2. The listener answers with its hello and a tag over both hellos.
+1. The dialer sends its hello and a tag over it.
+2. The listener replies with its hello and a tag over both hellos.
 3. The dialer sends a tag over both hellos; its first frame may follow.
 
-Each later frame carries a tag over its number in its direction, under a key
-derived from both hellos, so that a frame can't be forged, repeated, left out
-or moved to another connection. A listener sends nothing to whom the first tag
-shows to be a stranger, and decodes no byte that has no right tag.
+Each later frame carries a tag over its sequence number and content, under a
+key derived from both hellos for its direction. A frame therefore can't be
+forged, replayed, dropped or moved to another connection without detection. A
+listener sends nothing to a dialer whose first tag is wrong, and decodes no
+bytes before it has verified their tag.
 """
 
 import enum
@@ -21,31 +23,31 @@
 
 from pollenstile.peer._frames import (
     FRAME_LIMIT,
-    OPENING_LIMIT,
-    Frames,
+    HANDSHAKE_FRAME_LIMIT,
+    FrameBuffer,
     OversizeError,
-    framed,
+    encode_frame,
 )
 from pollenstile.peer._messages import (
     BadMessageError,
-    hello_bytes,
-    hello_from,
-    message_bytes,
-    message_from,
+    decode_hello,
+    decode_message,
+    encode_hello,
+    encode_message,
 )
 
 VERSION = 1
 LEAST_VERSION = 1
 NONCE_BYTES = 16
 
-_TAG = 32
-_SHORT_TAG = 16
-_NUMBER = 8
+_TAG_BYTES = 32
+_SHORT_TAG_BYTES = 16
+_NUMBER_BYTES = 8
 _HASH = 'sha256'
 
 
 class State(enum.Enum):
-    """How far a session has come."""
+    """State of the handshake of a session."""
 
     WAITING_HELLO = 'waiting for a hello'
     WAITING_PROOF = 'waiting for the proof'
@@ -54,7 +56,7 @@
 
 
 class ProtocolError(Exception):
-    """The other side is no peer, or broke the protocol; the reason."""
+    """The other side is not a peer or violated the protocol."""
 
 
 def _tag(key, label, *parts):
@@ -62,16 +64,16 @@
 
 
 class Session:
-    """One connection's handshake and its counters.
+    """Handshake and frame counters of one connection.
 
     Parameters
     ==========
 
     keys : tuple of bytes
-        The first is used when dialing; a listener takes any of them, so that
-        the key can be changed host by host.
+        A dialer uses the first key and a listener accepts any of them, so
+        that the key can be changed host by host.
     hello : Hello
-        The own one, with a fresh nonce.
+        Hello of this host, with a new nonce.
     dialing : bool
         Whether this side opened the connection.
 
@@ -79,9 +81,9 @@
     ==========
 
     peer : Hello or None
-        The other side, once it has proven to know the key.
+        Hello of the other side, once its tag has been verified.
     version : int
-        The protocol version that both speak.
+        Newest protocol version that both sides support.
     """
 
     __slots__ = (
@@ -90,14 +92,14 @@
         'hello',
         'key',
         'keys',
-        'opened',
-        'own',
+        'own_hello',
         'peer',
+        'receive_key',
         'received',
-        'seal_in',
-        'seal_out',
+        'send_key',
         'sent',
         'state',
+        'transcript',
         'version',
     )
 
@@ -105,53 +107,55 @@
         self.keys = keys
         self.key = keys[0]
         self.hello = hello
-        self.own = hello_bytes(hello)
+        self.own_hello = encode_hello(hello)
         self.dialing = dialing
-        self.frames = Frames(OPENING_LIMIT)
+        self.frames = FrameBuffer(HANDSHAKE_FRAME_LIMIT)
         self.state = State.WAITING_HELLO
         self.peer = None
-        self.opened = b''
+        self.transcript = b''
         self.version = 0
         self.sent = 0
         self.received = 0
-        self.seal_in = b''
-        self.seal_out = b''
+        self.receive_key = b''
+        self.send_key = b''
 
     def first_bytes(self):
-        """Return what a dialer sends at once."""
-        return framed(_tag(self.key, b'dial', self.own) + self.own)
+        """Return the opening frame that a dialer sends."""
+        return encode_frame(
+            _tag(self.key, b'dial', self.own_hello) + self.own_hello
+        )
 
-    def take(self, received):
-        """Return bytes to send and messages, from bytes received.
+    def receive(self, received):
+        """Return bytes to send and the messages in received bytes.
 
         Raises
         ======
 
         ProtocolError
-            When the connection has to be closed.
+            When the connection must be closed.
         """
         self.frames.feed(received)
         reply = b''
         messages = []
         while self.state != State.CLOSED:
-            frame = self._next()
+            frame = self._next_frame()
             if frame is None:
                 break
             if self.state == State.OPEN:
-                messages.append(self._opened_frame(frame))
+                messages.append(self._verify_frame(frame))
                 continue
             reply += self._handshake(frame)
-        return reply, [one for one in messages if one is not None]
+        return reply, [message for message in messages if message is not None]
 
-    def sealed(self, message):
-        """Return a message's frame, with its tag."""
-        body = message_bytes(message)
-        number = self.sent.to_bytes(_NUMBER)
+    def seal(self, message):
+        """Return the frame of a message, with its tag."""
+        body = encode_message(message)
+        number = self.sent.to_bytes(_NUMBER_BYTES)
         self.sent += 1
-        tag = _tag(self.seal_out, number, body)[:_SHORT_TAG]
-        return framed(tag + body)
+        tag = _tag(self.send_key, number, body)[:_SHORT_TAG_BYTES]
+        return encode_frame(tag + body)
 
-    def _next(self):
+    def _next_frame(self):
         try:
             return self.frames.next_frame()
         except OversizeError as error:
@@ -159,36 +163,36 @@
 
     def _handshake(self, frame):
         if self.state == State.WAITING_PROOF:
-            self._check(self.key, b'proof', self.opened, frame)
+            self._check_tag(self.key, b'proof', self.transcript, frame)
             self._open()
             return b''
-        tag, body = frame[:_TAG], frame[_TAG:]
+        tag, body = frame[:_TAG_BYTES], frame[_TAG_BYTES:]
         if self.dialing:
-            self._check(self.key, b'accept', self.own + body, tag)
-            self._meet(body)
-            self.opened = self.own + body
+            self._check_tag(self.key, b'accept', self.own_hello + body, tag)
+            self._accept_hello(body)
+            self.transcript = self.own_hello + body
             self._open()
-            return framed(_tag(self.key, b'proof', self.opened))
-        self.key = self._key_of(tag, body)
-        self._meet(body)
-        self.opened = body + self.own
+            return encode_frame(_tag(self.key, b'proof', self.transcript))
+        self.key = self._matching_key(tag, body)
+        self._accept_hello(body)
+        self.transcript = body + self.own_hello
         self.state = State.WAITING_PROOF
-        accepted = _tag(self.key, b'accept', self.opened)
-        return framed(accepted + self.own)
+        accepted = _tag(self.key, b'accept', self.transcript)
+        return encode_frame(accepted + self.own_hello)
 
-    def _key_of(self, tag, body):
+    def _matching_key(self, tag, body):
         for key in self.keys:
             if hmac.compare_digest(_tag(key, b'dial', body), tag):
                 return key
         raise ProtocolError('stranger')
 
-    def _check(self, key, label, signed, tag):
+    def _check_tag(self, key, label, signed, tag):
         if not hmac.compare_digest(_tag(key, label, signed), tag):
             raise ProtocolError('stranger')
 
-    def _meet(self, body):
+    def _accept_hello(self, body):
         try:
-            hello = hello_from(body)
+            hello = decode_hello(body)
         except BadMessageError as error:
             raise ProtocolError(f'bad hello: {error}') from None
         if hello.host == self.hello.host and hello.boot == self.hello.boot:
@@ -201,28 +205,28 @@
         self.peer = hello
 
     def _open(self):
-        dialer = _tag(self.key, b'dialer', self.opened)
-        listener = _tag(self.key, b'listener', self.opened)
-        self.seal_out = dialer if self.dialing else listener
-        self.seal_in = listener if self.dialing else dialer
+        dialer = _tag(self.key, b'dialer', self.transcript)
+        listener = _tag(self.key, b'listener', self.transcript)
+        self.send_key = dialer if self.dialing else listener
+        self.receive_key = listener if self.dialing else dialer
         self.frames.limit = FRAME_LIMIT
         self.state = State.OPEN
 
-    def _opened_frame(self, frame):
-        tag, body = frame[:_SHORT_TAG], frame[_SHORT_TAG:]
-        number = self.received.to_bytes(_NUMBER)
-        expected = _tag(self.seal_in, number, body)[:_SHORT_TAG]
+    def _verify_frame(self, frame):
+        tag, body = frame[:_SHORT_TAG_BYTES], frame[_SHORT_TAG_BYTES:]
+        number = self.received.to_bytes(_NUMBER_BYTES)
+        expected = _tag(self.receive_key, number, body)[:_SHORT_TAG_BYTES]
         if not hmac.compare_digest(expected, tag):
             raise ProtocolError('wrong tag')
         self.received += 1
         try:
-            return message_from(body)
+            return decode_message(body)
         except BadMessageError as error:
             raise ProtocolError(f'bad message: {error}') from None
 
 
 def keys_from(text):
-    """Return the keys of a setting, parted by commas.
+    """Return the keys of a comma-separated setting.
 
     Examples
     ========
--- a/pollenstile/peer/_tcp.py
+++ b/pollenstile/peer/_tcp.py
@@ -1,14 +1,14 @@
-"""Peers' connections over TCP, by twisted."""
+"""Connections to peers over TCP, with Twisted."""
 
 from twisted.internet.protocol import ClientFactory, Factory, Protocol
 
 _CONNECT_SECONDS = 2.0
-# Connections that strangers may hold open at one time.
-_MOST_ACCEPTED = 2000
+# Limit on connections in their handshake, which strangers can open too.
+_MAX_HANDSHAKES = 2000
 
 
 class _Connection(Protocol):
-    """Hands bytes to a receiver."""
+    """Passes the events of a connection to a receiver."""
 
     noisy = False
 
@@ -16,16 +16,16 @@
         self.receiver = receiver
 
     def connectionMade(self):
-        """Open; called by twisted."""
+        """Notify the receiver of the open connection; called by Twisted."""
         self.transport.setTcpNoDelay(True)
         self.receiver.opened(self)
 
     def dataReceived(self, content):
-        """Take bytes; called by twisted."""
+        """Pass received bytes on; called by Twisted."""
         self.receiver.received(content)
 
     def connectionLost(self, reason):
-        """End; called by twisted."""
+        """Notify the receiver of the end; called by Twisted."""
         self.receiver.lost()
 
     def write(self, content):
@@ -33,7 +33,7 @@
         self.transport.write(content)
 
     def close(self):
-        """Close at once: what a silent path holds is never sent."""
+        """Abort the connection; unsent data on a silent path is dropped."""
         self.transport.abortConnection()
 
 
@@ -44,11 +44,11 @@
         self.receiver = receiver
 
     def buildProtocol(self, address):
-        """Return the connection; called by twisted."""
+        """Return the protocol of the connection; called by Twisted."""
         return _Connection(self.receiver)
 
     def clientConnectionFailed(self, connector, reason):
-        """Note that nothing answers; called by twisted."""
+        """Notify the receiver of the failure; called by Twisted."""
         self.receiver.lost()
 
 
@@ -59,14 +59,14 @@
         self.hub = hub
 
     def buildProtocol(self, address):
-        """Return a connection or refuse one more; called by twisted."""
-        if len(self.hub.others) >= _MOST_ACCEPTED:
+        """Return a protocol, or None above the limit; called by Twisted."""
+        if len(self.hub.handshaking) >= _MAX_HANDSHAKES:
             return None
-        return _Connection(_Accepted(self.hub, f'{address.host}'))
+        return _Connection(_PendingReceiver(self.hub, f'{address.host}'))
 
 
-class _Accepted:
-    """Meets the hub once the connection stands."""
+class _PendingReceiver:
+    """Obtains a receiver from the hub when the connection is open."""
 
     __slots__ = ('address', 'hub', 'receiver')
 
@@ -86,7 +86,7 @@
 
 
 def tcp_connect(reactor):
-    """Return a hub's ``connect`` over TCP."""
+    """Return the ``connect`` function of a hub for TCP."""
 
     def connect(address, receiver):
         host, _, port = address.rpartition(':')
@@ -101,7 +101,7 @@
 
 
 def tcp_listen(reactor, address, hub):
-    """Return a listening port that hands connections to a hub.
+    """Return a listening port that passes connections to a hub.
 
     Parameters
     ==========
--- a/pollenstile/peer/_virtual.py
+++ b/pollenstile/peer/_virtual.py
@@ -3,25 +3,25 @@
 Explanation
 ===========
 
-The same hubs and sessions run over these as over TCP. Bytes arrive after a
-latency, looked at when they arrive, so that a cut holds back what is on its
-way. A cut is silent, as of a path that has lost the connection: neither side
-is told, and new connections fail.
+Hubs and sessions use these connections in the same way as TCP. Bytes are
+delivered after a latency. A cut is checked at delivery, so it also drops bytes
+in transit. A cut is silent, like a network path that has lost the connection
+state: neither side is notified, and new connections fail.
 """
 
 
 class VirtualWires:
-    """Hubs by address, and the paths between their hosts.
+    """Simulated network of hubs, by address.
 
     Parameters
     ==========
 
     clock : twisted.internet.task.Clock
-        Virtual.
+        Virtual clock.
     latency : function
-        Seconds one way, from two addresses.
+        Returns the one-way latency between two addresses in seconds.
     is_cut : function
-        Whether nothing passes between two addresses now.
+        Returns whether the path between two addresses is cut now.
     """
 
     __slots__ = ('clock', 'hubs', 'is_cut', 'latency')
@@ -33,15 +33,15 @@
         self.hubs = {}
 
     def connect_from(self, origin):
-        """Return a hub's ``connect``."""
+        """Return the ``connect`` function of the hub at an address."""
 
         def connect(address, receiver):
             wait = 2 * self.latency(origin, address)
-            self.clock.callLater(wait, self._met, origin, address, receiver)
+            self.clock.callLater(wait, self._connect, origin, address, receiver)
 
         return connect
 
-    def _met(self, origin, address, receiver):
+    def _connect(self, origin, address, receiver):
         hub = self.hubs.get(address)
         cut = self.is_cut(origin, address)
         if hub is None or hub.stopped or cut:
@@ -62,7 +62,7 @@
     __slots__ = (
         'closed',
         'far',
-        'last',
+        'last_arrival',
         'near',
         'other',
         'receiver',
@@ -76,35 +76,35 @@
         self.other = None
         self.receiver = None
         self.closed = False
-        self.last = 0.0
+        self.last_arrival = 0.0
 
     def write(self, content):
-        """Send bytes."""
-        self._later(self._arrive, content)
+        """Send bytes to the other end."""
+        self._call_in_order(self._deliver, content)
 
     def close(self):
-        """Close; the other end learns it unless the path is cut."""
+        """Close; the other end is notified unless the path is cut."""
         if not self.closed:
             self.closed = True
-            self._later(self._ended)
+            self._call_in_order(self._notify_closed)
 
-    def _later(self, action, *arguments):
-        # As in TCP, what was sent first arrives first.
+    def _call_in_order(self, action, *arguments):
+        # Bytes are delivered in the order in which they were sent, as in TCP.
         now = self.wires.clock.seconds()
         arrives = now + self.wires.latency(self.near, self.far)
-        self.last = max(self.last, arrives)
-        self.wires.clock.callLater(self.last - now, action, *arguments)
+        self.last_arrival = max(self.last_arrival, arrives)
+        self.wires.clock.callLater(self.last_arrival - now, action, *arguments)
 
-    def _arrive(self, content):
-        if self._passes():
+    def _deliver(self, content):
+        if self._can_deliver():
             self.other.receiver.received(content)
 
-    def _ended(self):
-        if self._passes():
+    def _notify_closed(self):
+        if self._can_deliver():
             self.other.closed = True
             self.other.receiver.lost()
 
-    def _passes(self):
+    def _can_deliver(self):
         if self.other.closed:
             return False
         hub = self.wires.hubs.get(self.far)
--- a/pollenstile/peer/events.py
+++ b/pollenstile/peer/events.py
@@ -1,39 +1,44 @@
-"""Log events of the inner protocol."""
+"""Log events of the protocol between entry hosts."""
 
 from pollenstile.ops.events import define
 
-PEER_OPENED = define(6001, 'peer-opened', 'A peer was met and proved the key.')
+PEER_OPENED = define(
+    6001,
+    'peer-opened',
+    'A connection to a peer was opened; the peer proved the key.',
+)
 PEER_LOST = define(
     6002,
     'peer-lost',
-    'A connection to a peer ended; it is dialed again if still wanted.',
-    'Many at one time: see whether a failure domain is cut off.',
+    'A connection to a peer ended; the peer is redialed if still wanted.',
+    'If many are lost at once, check whether a failure domain is cut off.',
 )
 PEER_SILENT = define(
     6003,
     'peer-silent',
-    'A peer sent nothing for too long; its connection was closed.',
+    'A peer sent nothing within the limit; its connection was closed.',
 )
 PEER_REFUSED = define(
     6004,
     'peer-refused',
-    'A connection was closed: no peer, or it broke the protocol.',
-    'From an own host: its peer key or release differs; else a stranger.',
+    'A connection was closed: not a peer, or a protocol violation.',
+    'If it is an entry host, compare its peer key and release; '
+    'any other sender is a stranger.',
 )
 PEER_UNKNOWN_SUBJECT = define(
     6005,
     'peer-unknown-subject',
-    'A peer asked for something that this release does not know.',
+    'A peer sent a request with a subject unknown to this release.',
 )
 PEER_HANDLER_FAILED = define(
     6006,
     'peer-handler-failed',
-    'A fault of the program ended the handling of a message.',
-    'Report it with the whole line.',
+    'The handler of a message failed because of a program fault.',
+    'Report the fault with the complete log line.',
 )
 PEERS_OFF = define(
     6007,
     'peers-off',
-    'No peer key is set; this host talks to no other entry host.',
+    'No peer key is set; this host connects to no other entry host.',
     'Set the peer key on every entry host if there is more than one.',
 )
--- a/pollenstile/peer/messages.capnp
+++ b/pollenstile/peer/messages.capnp
@@ -1,5 +1,5 @@
 @0xb3c1d6d2a4f07e11;
-# Messages between entry hosts. Rules of evolution: docs/protocols/peer.md.
+# Messages between entry hosts. Rules for changes: docs/protocols/peer.md.
 
 struct Hello {
   version @0 :UInt16;
--- a/pollenstile/upstream/__init__.py
+++ b/pollenstile/upstream/__init__.py
@@ -1,4 +1,4 @@
-"""Calls to engines, stage pools and plain services."""
+"""Clients of upstreams: engines, stage pools and plain services."""
 
 from pollenstile.upstream._http import http_transport
 from pollenstile.upstream._types import (
--- a/pollenstile/upstream/_bodies.py
+++ b/pollenstile/upstream/_bodies.py
@@ -1,4 +1,4 @@
-"""Readers of answers' bodies: whole replies and streams of tokens."""
+"""Readers of response bodies: complete replies and token streams."""
 
 from twisted.internet.protocol import Protocol
 from twisted.web.client import ResponseDone
@@ -8,12 +8,12 @@
 from pollenstile.upstream._sse import EventSplitter
 from pollenstile.upstream._types import Chunk, Load, Lost, Reply
 
-_MOST_REPLY_BYTES = 4194304
-_MOST_EVENT_BYTES = 65536
+_MAX_REPLY_BYTES = 4194304
+_MAX_EVENT_BYTES = 65536
 
 
 def load_from_wire(report):
-    """Return the load that a report states, None for none."""
+    """Return the load in a report, or None without a report."""
     if report is None:
         return None
     return Load(
@@ -25,28 +25,28 @@
 
 
 class _Body(Protocol):
-    """Reads one body; hands the sink the end of the call once."""
+    """Reads a response body and passes one final event to the sink."""
 
     def __init__(self, sink):
         self.sink = sink
         self.ended = False
 
     def end(self, event):
-        """Hand over the call's end, unless that was done already."""
+        """Pass the final event of the call to the sink, once."""
         if self.ended:
             return
         self.ended = True
         self.sink(event)
 
     def abort(self):
-        """Close the connection; nothing reaches the sink afterwards."""
+        """Abort the connection; no event is passed to the sink afterwards."""
         self.ended = True
         abort = getattr(self.transport, 'abortConnection', None)
         (abort or self.transport.loseConnection)()
 
 
-class WholeBody(_Body):
-    """Reads a stage's or a service's reply."""
+class ReplyBody(_Body):
+    """Reads the reply of a stage pool or a plain service."""
 
     def __init__(self, sink):
         super().__init__(sink)
@@ -54,18 +54,18 @@
         self.size = 0
 
     def dataReceived(self, data):
-        """Keep a part of the reply; called by twisted."""
+        """Append a part of the reply; called by Twisted."""
         self.size += len(data)
-        if self.size > _MOST_REPLY_BYTES:
+        if self.size > _MAX_REPLY_BYTES:
             self.end(Lost('reply too large'))
             self.abort()
             return
         self.received.append(data)
 
     def connectionLost(self, reason):
-        """Decode the reply when it is whole; called by twisted."""
-        # A connection that breaks in the middle shows as a reason other than
-        # the two that the client gives for a body that reached its end.
+        """Decode the reply if it is complete; called by Twisted."""
+        # The client reports one of these two reasons for a body that reached
+        # its end. Any other reason means that the connection was lost before.
         if not reason.check(ResponseDone, PotentialDataLoss):
             self.end(Lost('connection lost'))
             return
@@ -83,72 +83,72 @@
 
 
 class StreamBody(_Body):
-    """Reads an engine's tokens.
+    """Reads the token stream of an engine.
 
     Parameters
     ==========
 
     sink : function
-        Takes chunks, then the end.
+        Takes the chunks and then the final event.
     text : str
-        Text of tokens that earlier attempts brought.
+        Text of the tokens received in earlier attempts.
     """
 
     def __init__(self, sink, text):
         super().__init__(sink)
-        self.splitter = EventSplitter(_MOST_EVENT_BYTES)
-        self.parts = [text]
-        self.last = None
+        self.splitter = EventSplitter(_MAX_EVENT_BYTES)
+        self.texts = [text]
+        self.last_event = None
 
     def dataReceived(self, data):
-        """Hand over each token; called by twisted."""
+        """Pass each received token to the sink; called by Twisted."""
         try:
             events = self.splitter.events(data)
         except ValueError:
-            self._break('event too long')
+            self._fail('event too long')
             return
         for event in events:
             if self.ended:
                 return
-            self._take(event)
+            self._handle_event(event)
 
     def connectionLost(self, reason):
-        """Say that the stream broke, unless it was whole; by twisted."""
+        """Report a lost stream unless it was complete; called by Twisted."""
         self.end(Lost('stream cut off'))
 
-    def _take(self, event):
+    def _handle_event(self, event):
         if event == wire.DONE:
             self._complete()
             return
         try:
             decoded = wire.completion_event(event)
         except wire.DecodeError:
-            self._break('malformed event')
+            self._fail('malformed event')
             return
-        self.last = decoded
+        self.last_event = decoded
         for choice in decoded.choices:
             if not choice.text:
                 continue
-            self.parts.append(choice.text)
+            self.texts.append(choice.text)
             self.sink(Chunk(decoded.id, decoded.offset, choice.text))
 
     def _complete(self):
-        # A stream is whole only if the engine closed it itself: the end mark
-        # must follow an event that says how many tokens there were.
-        if self.last is None or self.last.usage is None:
-            self._break('end without usage')
+        # A stream is complete only if the engine ended it: the end marker must
+        # follow an event with the number of tokens.
+        if self.last_event is None or self.last_event.usage is None:
+            self._fail('end without usage')
             return
-        usage = self.last.usage
+        usage = self.last_event.usage
         self.end(
             Reply(
-                self.last.id,
-                ''.join(self.parts),
+                self.last_event.id,
+                ''.join(self.texts),
                 usage.completion_tokens,
                 usage.busy_ms,
-                load_from_wire(self.last.load),
+                load_from_wire(self.last_event.load),
             ),
         )
 
-    def _break(self, reason):
+    def _fail(self, reason):
         self.end(Lost(reason))
         self.abort()
--- a/pollenstile/upstream/_http.py
+++ b/pollenstile/upstream/_http.py
@@ -1,4 +1,4 @@
-"""Calls over HTTP, by twisted.web's client."""
+"""Calls to upstreams over HTTP, with the client of twisted.web."""
 
 from twisted.internet import error
 from twisted.internet.defer import CancelledError
@@ -9,7 +9,7 @@
 from pollenstile.ops.body import BytesProducer
 from pollenstile.ops.numbers import whole_number
 from pollenstile.upstream import wire
-from pollenstile.upstream._bodies import StreamBody, WholeBody
+from pollenstile.upstream._bodies import ReplyBody, StreamBody
 from pollenstile.upstream._types import Lost, NotRun, Rejected
 
 _OK = 200
@@ -23,7 +23,7 @@
 
 
 class _Exchange:
-    """One call's connection, from start to end or cancel."""
+    """HTTP exchange of one call, from its start to its end or cancellation."""
 
     __slots__ = ('body', 'cancelled', 'response', 'sink', 'text')
 
@@ -35,13 +35,14 @@
         self.response = None
 
     def cancel(self):
-        """Close the connection of a call that nobody waits for.
+        """Cancel the call and close its connection.
 
         Explanation
         ===========
 
-        A connection whose call was cut may still bring the old answer. It is
-        closed, never pooled again, so that no later call can read it.
+        The connection of a cancelled call may still deliver the answer to
+        that call. It is closed and not returned to the pool, so that no later
+        call can read that answer.
         """
         self.cancelled = True
         if self.body is not None:
@@ -51,26 +52,26 @@
             self.response.cancel()
 
     def emit(self, event):
-        """Hand an event to the sink, unless the call was cancelled."""
+        """Pass an event to the sink, unless the call was cancelled."""
         if not self.cancelled:
             self.sink(event)
 
-    def headers_came(self, response, kind):
-        """Read the body, or the refusal."""
+    def handle_headers(self, response, kind):
+        """Read the body of a success, or report the error status."""
         if response.code != _OK:
-            self.emit(_refusal(response))
+            self.emit(_classify_error(response))
             self._discard(response)
             return
         if kind == 'engine':
             self.body = StreamBody(self.emit, self.text)
         else:
-            self.body = WholeBody(self.emit)
+            self.body = ReplyBody(self.emit)
         response.deliverBody(self.body)
         if self.cancelled:
             self.body.abort()
 
-    def failed(self, failure):
-        """Tell a call that was not sent from one that may have run."""
+    def handle_failure(self, failure):
+        """Report a failed call as not run if it never connected, else lost."""
         if failure.check(CancelledError) and self.cancelled:
             return
         if failure.check(*_NEVER_CONNECTED):
@@ -79,23 +80,23 @@
         self.emit(Lost(failure.type.__name__))
 
     def _discard(self, response):
-        self.body = WholeBody(_drop_event)
+        self.body = ReplyBody(_drop_event)
         response.deliverBody(self.body)
         self.body.abort()
 
 
 def _drop_event(event):
-    """Take the event of a body that nobody reads."""
+    """Ignore the event of a discarded body."""
 
 
-def _refusal(response):
-    stated = response.headers.getRawHeaders(wire.OUTCOME_HEADER, [''])[0]
+def _classify_error(response):
+    outcome = response.headers.getRawHeaders(wire.OUTCOME_HEADER, [''])[0]
     attempt = response.headers.getRawHeaders(wire.ATTEMPT_HEADER, [''])[0]
-    if response.code in _BUSY and stated == wire.NOT_RUN:
-        waits = response.headers.getRawHeaders('retry-after', ['0'])[0]
+    if response.code in _BUSY and outcome == wire.NOT_RUN:
+        retry_after = response.headers.getRawHeaders('retry-after', ['0'])[0]
         return NotRun(
             f'busy ({response.code})',
-            whole_number(waits) or 0,
+            whole_number(retry_after) or 0,
             attempt=attempt,
         )
     if response.code in _CLIENT_ERRORS and response.code not in _BUSY:
@@ -116,7 +117,7 @@
     return headers
 
 
-def _document(call):
+def _request_document(call):
     if call.kind == 'engine':
         return wire.CompletionCall(
             model=call.model,
@@ -139,20 +140,21 @@
     Explanation
     ===========
 
-    Idempotent calls share pooled connections. A non-idempotent call gets a
-    connection of its own: a pooled one may have gone silent unnoticed, while
-    a fresh handshake proves that the path is alive. The client's automatic
-    retry is off, since it would send a call again without being asked.
+    Idempotent calls use pooled connections. Each non-idempotent call opens a
+    new connection: a pooled one may have failed silently, while a completed
+    TCP handshake proves that the path works. The automatic retry of the client
+    is disabled because it would repeat calls without a decision of the
+    pipeline.
 
     Parameters
     ==========
 
     reactor : IReactorTCP
-        Makes the connections.
+        Opens the connections.
     connect_timeout : float
-        In seconds.
+        Connection timeout in seconds.
     per_host : int
-        Idle connections kept for each upstream.
+        Maximum number of idle connections kept for each upstream.
 
     Returns
     =======
@@ -160,24 +162,24 @@
     function
         ``start(name, upstream, call, sink)``; see :mod:`pollenstile.upstream`.
     """
-    kept = HTTPConnectionPool(reactor, persistent=True)
-    kept.retryAutomatically = False
-    kept.maxPersistentPerHost = per_host
-    pooled = agent_for(reactor, kept, connect_timeout)
-    fresh = agent_for(reactor, connect_timeout=connect_timeout)
+    connection_pool = HTTPConnectionPool(reactor, persistent=True)
+    connection_pool.retryAutomatically = False
+    connection_pool.maxPersistentPerHost = per_host
+    pooled = agent_for(reactor, connection_pool, connect_timeout)
+    unpooled = agent_for(reactor, connect_timeout=connect_timeout)
 
     def start(name, upstream, call, sink):
         exchange = _Exchange(sink, call.text)
-        agent = pooled if call.idempotent else fresh
+        agent = pooled if call.idempotent else unpooled
         uri = f'http://{upstream.address}{_path(call)}'
         exchange.response = agent.request(
             b'POST',
             uri.encode(),
             _headers(call),
-            BytesProducer(wire.encoded(_document(call))),
+            BytesProducer(wire.encoded(_request_document(call))),
         )
-        exchange.response.addCallback(exchange.headers_came, call.kind)
-        exchange.response.addErrback(exchange.failed)
+        exchange.response.addCallback(exchange.handle_headers, call.kind)
+        exchange.response.addErrback(exchange.handle_failure)
         return exchange.cancel
 
     return start
--- a/pollenstile/upstream/_sse.py
+++ b/pollenstile/upstream/_sse.py
@@ -1,22 +1,22 @@
-"""Server-sent events, split from a byte stream."""
+"""Incremental parser of server-sent events."""
 
 _FIELD = b'data:'
 
 
 class EventSplitter:
-    """Bytes of an unfinished line, and the bound on them.
+    """Splits a byte stream into server-sent events.
 
     Parameters
     ==========
 
     most : int
-        Longest line, in bytes.
+        Maximum length of a line in bytes.
 
     Raises
     ======
 
     ValueError
-        From :meth:`events`, when a line is longer.
+        When :meth:`events` receives a longer line.
 
     Examples
     ========
@@ -29,21 +29,21 @@
     ([b'a'], [b'b'])
     """
 
-    __slots__ = ('most', 'rest')
+    __slots__ = ('max_line_bytes', 'remainder')
 
-    def __init__(self, most):
-        self.most = most
-        self.rest = b''
+    def __init__(self, max_line_bytes):
+        self.max_line_bytes = max_line_bytes
+        self.remainder = b''
 
     def events(self, received):
-        """Return the data of each event that is complete now."""
-        lines = (self.rest + received).split(b'\n')
-        self.rest = lines.pop()
-        if max(map(len, (*lines, self.rest))) > self.most:
+        """Return the data of each event that the received bytes complete."""
+        lines = (self.remainder + received).split(b'\n')
+        self.remainder = lines.pop()
+        if max(map(len, (*lines, self.remainder))) > self.max_line_bytes:
             raise ValueError('event too long')
-        found = []
+        payloads = []
         for line in lines:
             if not line.startswith(_FIELD):
                 continue
-            found.append(line[len(_FIELD) :].strip())
-        return found
+            payloads.append(line[len(_FIELD) :].strip())
+        return payloads
--- a/pollenstile/upstream/_types.py
+++ b/pollenstile/upstream/_types.py
@@ -1,12 +1,12 @@
-"""What goes to an upstream and what comes back.
+"""Calls to upstreams and the events of a transport.
 
 Explanation
 ===========
 
 A transport is a function ``start(name, upstream, call, sink)`` that returns a
-function which cancels the call. It hands the sink :class:`Chunk` any number of
-times and then exactly one of :class:`Reply`, :class:`NotRun`,
-:class:`Rejected` and :class:`Lost`. Nothing reaches the sink after a cancel.
+function which cancels the call. It passes to the sink any number of
+:class:`Chunk` and then exactly one of :class:`Reply`, :class:`NotRun`,
+:class:`Rejected` and :class:`Lost`. It passes nothing after a cancellation.
 """
 
 from dataclasses import dataclass
@@ -14,29 +14,30 @@
 
 @dataclass(slots=True, frozen=True)
 class Call:
-    """One attempt at one stage.
+    """One attempt to run one stage.
 
     Parameters
     ==========
 
     attempt : str
-        ``REQUEST/STAGE/NUMBER``; the answer must carry it.
+        ``REQUEST/STAGE/NUMBER``; the answer must have the same identifier.
     step : str
-        The stage's name.
+        Name of the stage.
     kind : {'engine', 'stage', 'service'}
-        Engines stream, the others answer whole.
+        Kind of the upstream. Engines stream tokens, the others send one
+        complete reply.
     content : object
-        The stage's input, of JSON's types.
+        Input of the stage, as JSON values.
     timeout_ms : int
-        What is left for this attempt, in milliseconds.
+        Time remaining for this attempt, in milliseconds.
     idempotent : bool
         Whether the call may be sent on a pooled connection.
     key : str
-        The caller's idempotency key; empty when there is none.
+        Idempotency key of the caller; empty if there is none.
     offset : int
-        Tokens that the caller has already; engines go on after them.
+        Number of tokens that the caller has; engines resume after them.
     text : str
-        The text of these tokens.
+        Text of these tokens.
     """
 
     attempt: str
@@ -56,17 +57,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Load:
-    """An upstream's report of its own load.
+    """Load reported by an upstream.
 
     Parameters
     ==========
 
     running, queued : int
-        Calls that it runs and keeps waiting.
+        Numbers of running and queued calls.
     leaving : bool
-        Whether it wants no new work.
+        Whether the upstream accepts no new work.
     incarnation : str
-        Changes when the process behind the address changes.
+        Identifier that changes when the process at the address changes.
     """
 
     running: int = 0
@@ -77,7 +78,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Chunk:
-    """A token of a streamed answer; ``offset`` counts tokens from 0."""
+    """A token of a streamed answer; ``offset`` is its index from 0."""
 
     attempt: str
     offset: int
@@ -92,15 +93,15 @@
     ==========
 
     attempt : str
-        As the upstream stated it.
+        Attempt identifier sent by the upstream.
     output : object
-        Of JSON's types; the whole text for engines.
+        JSON values; for engines the complete text.
     tokens : int
-        Tokens streamed in all, an earlier attempt's included.
+        Total number of streamed tokens, including earlier attempts.
     busy_ms : float
-        Time that the upstream says it worked, in milliseconds.
+        Processing time reported by the upstream, in milliseconds.
     load : Load or None
-        Its load report.
+        Load reported by the upstream.
     """
 
     attempt: str
@@ -112,13 +113,14 @@
 
 @dataclass(slots=True, frozen=True)
 class NotRun:
-    """The upstream was not reached, or refused before it ran anything.
+    """The upstream was not reached or refused the call before running it.
 
     Parameters
     ==========
 
     attempt : str or None
-        As the upstream stated it; None when the call never left this host.
+        Attempt identifier sent by the upstream; None if the call was not
+        sent.
     """
 
     reason: str
@@ -129,13 +131,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Rejected:
-    """The upstream says that the call itself is wrong; it ran nothing.
+    """The upstream rejected the call as invalid and did not run it.
 
     Parameters
     ==========
 
     attempt : str or None
-        As the upstream stated it; None when the call never left this host.
+        Attempt identifier sent by the upstream; None if the call was not
+        sent.
     """
 
     reason: str
--- a/pollenstile/upstream/wire.py
+++ b/pollenstile/upstream/wire.py
@@ -1,11 +1,11 @@
-"""The documents that go to and come from upstreams.
+"""Documents exchanged with upstreams.
 
 Explanation
 ===========
 
-Engines speak the usual protocol of model servers: a POST to
-``/v1/completions`` answered by server-sent events. Stage pools and plain
-services take a POST to ``/v1/call``. ``docs/PROTOCOLS.md`` describes both.
+Engines implement the usual protocol of model servers: a POST to
+``/v1/completions`` is answered with server-sent events. Stage pools and plain
+services accept a POST to ``/v1/call``. ``docs/PROTOCOLS.md`` describes both.
 """
 
 from dataclasses import dataclass, field
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """Load as an upstream states it."""
+    """Load reported by an upstream."""
 
     running: int = 0
     queued: int = 0
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class CompletionCall:
-    """What an engine is asked."""
+    """Request document for an engine."""
 
     model: str
     prompt: Any
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class Choice:
-    """The only choice of a completion event."""
+    """Choice of a completion event; an event has at most one."""
 
     text: str = ''
     finish_reason: str | None = None
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class Usage:
-    """What a completion took."""
+    """Token count and processing time of a completion."""
 
     completion_tokens: int = 0
     busy_ms: float = 0.0
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class CompletionEvent:
-    """One server-sent event of an engine; ``id`` is the attempt."""
+    """A server-sent event of an engine; ``id`` identifies the attempt."""
 
     id: str
     choices: list[Choice]
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class PlainCall:
-    """What a stage pool or a plain service is asked."""
+    """Request document for a stage pool or a plain service."""
 
     attempt: str
     step: str
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class PlainReply:
-    """What it answers."""
+    """Reply of a stage pool or a plain service."""
 
     attempt: str
     output: Any
