--- a/features/steps/large_configuration_steps.py
+++ b/features/steps/large_configuration_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from features.builders.relay import large_config
-from pollenstile.peer import patch_between, patched
+from pollenstile.peer import patch_between, apply_patch
 
 _MBIT_BYTES = 125_000
 _STEP = 0.05
@@ -166,7 +166,7 @@
 @then('each patch makes the newer text of the older one')
 def then_patched(context):
     for old, new in context.texts:
-        assert patched(old, patch_between(old, new)) == new, (old, new)
+        assert apply_patch(old, patch_between(old, new)) == new, (old, new)
 
 
 @then('no garbled patch makes another text than the newer one')
@@ -177,6 +177,6 @@
         middle = bytearray(patch.middle)
         middle[place] ^= 1 << context.rng.randrange(8)
         garbled = replace(patch, middle=bytes(middle))
-        assert patched(old, garbled) in {None, new}, (old, new)
+        assert apply_patch(old, garbled) in {None, new}, (old, new)
         moved = replace(patch, prefix=patch.prefix + 1)
-        assert patched(old, moved) in {None, new}, (old, new)
+        assert apply_patch(old, moved) in {None, new}, (old, new)
--- a/features/steps/peer_steps.py
+++ b/features/steps/peer_steps.py
@@ -24,7 +24,7 @@
     decode_message,
     encode_frame,
     encode_message,
-    keys_from,
+    parse_keys,
     tcp_connect,
     tcp_listen,
 )
@@ -178,7 +178,7 @@
         reactor,
         Random(1),
         hello_of('a'),
-        keys_from('shared'),
+        parse_keys('shared'),
         tcp_connect(reactor),
         silent_log,
     )
@@ -199,7 +199,7 @@
 
 @when('a stranger with another peer key dials the peer port')
 def step_other_key(context):
-    session = Session(keys_from('other'), hello_of('b', 2), dialing=True)
+    session = Session(parse_keys('other'), hello_of('b', 2), dialing=True)
     opening = session.first_bytes()
     context.strangers.append(_stranger(context.port, opening))
 
@@ -227,8 +227,8 @@
 
 @given('a recorded peer handshake')
 def step_recorded(context):
-    dialer = Session(keys_from('shared'), hello_of('a', 1), dialing=True)
-    listener = Session(keys_from('shared'), hello_of('b', 2), dialing=False)
+    dialer = Session(parse_keys('shared'), hello_of('a', 1), dialing=True)
+    listener = Session(parse_keys('shared'), hello_of('b', 2), dialing=False)
     opening = dialer.first_bytes()
     accepted, _ = listener.receive(opening)
     proof, _ = dialer.receive(accepted)
@@ -238,7 +238,7 @@
 
 @when('the recorded peer handshake is replayed to the listener')
 def step_played(context):
-    listener = Session(keys_from('shared'), hello_of('b', 3), dialing=False)
+    listener = Session(parse_keys('shared'), hello_of('b', 3), dialing=False)
     context.error = None
     try:
         for part in context.recorded:
@@ -290,7 +290,7 @@
 def step_oversize(context, size, time):
     session = context.listener
     if time == 'before':
-        session = Session(keys_from('k'), hello_of('c', 3), dialing=False)
+        session = Session(parse_keys('k'), hello_of('c', 3), dialing=False)
     _receive_frame(context, session, size.to_bytes(4))
 
 
--- a/pollenstile/peer/__init__.py
+++ b/pollenstile/peer/__init__.py
@@ -18,29 +18,29 @@
     News,
     Sums,
     decode_message,
-    decoded,
+    decode_struct,
     encode_message,
 )
 from pollenstile.peer._neighbours import neighbours
 from pollenstile.peer._patch import (
     Patch,
     RecentTexts,
+    apply_patch,
     patch_between,
     patch_fields,
     patch_from,
-    patched,
     text_digest,
 )
-from pollenstile.peer._rendezvous import next_in_ring, ranked
+from pollenstile.peer._rendezvous import next_in_ring, rank_candidates
 from pollenstile.peer._requests import Unanswered
-from pollenstile.peer._schema import SCHEMA_PATH, loaded_schema, schema
+from pollenstile.peer._schema import SCHEMA_PATH, load_schema, schema
 from pollenstile.peer._session import (
-    LEAST_VERSION,
+    MIN_VERSION,
     VERSION,
     ProtocolError,
     Session,
     State,
-    keys_from,
+    parse_keys,
 )
 from pollenstile.peer._tcp import tcp_connect, tcp_listen
 from pollenstile.peer._virtual import VirtualWires
--- a/pollenstile/peer/_hub.py
+++ b/pollenstile/peer/_hub.py
@@ -47,9 +47,9 @@
         Opens outgoing connections.
     requests : Requests
         Requests sent to and received from peers.
-    takers : dict
+    message_handlers : dict
         Functions that take a link and a message, by message type.
-    ups, downs : list of function
+    link_up_handlers, link_down_handlers : list of function
         Called with a new link; called with the host name and the link that
         was lost.
     beat : function
@@ -64,22 +64,22 @@
         'beat_period',
         'clock',
         'dialer',
-        'downs',
         'handshaking',
         'hello',
         'keys',
+        'link_down_handlers',
+        'link_up_handlers',
         'links',
         'log',
+        'message_handlers',
         'random',
         'received',
         'requests',
         'sent',
         'silence_limit',
         'stopped',
-        'takers',
         'tick',
         'timer',
-        'ups',
     )
 
     def __init__(self, clock, random, hello, keys, connect, log):
@@ -90,9 +90,9 @@
         self.log = log
         self.links = {}
         self.handshaking = []
-        self.takers = {}
-        self.ups = []
-        self.downs = []
+        self.message_handlers = {}
+        self.link_up_handlers = []
+        self.link_down_handlers = []
         self.beat = Beat
         self.tick = _TICK_SECONDS
         self.beat_period = BEAT_PERIOD
@@ -120,13 +120,13 @@
         """Return all connections, including those in their handshake."""
         return [*self.links.values(), *self.handshaking]
 
-    def accepted(self, wire, address):
+    def accept(self, wire, address):
         """Return the receiver for a connection that a peer opened."""
         receiver = Receiver(self, address, dialing=False)
         receiver.opened(wire)
         return receiver
 
-    def beat_now(self):
+    def send_beats(self):
         """Send a heartbeat to all peers now, for an urgent change."""
         for link in list(self.links.values()):
             self._send_beat(link)
@@ -204,7 +204,7 @@
             return
         self.links.pop(host)
         self.log(events.PEER_LOST, peer=host, reason=reason)
-        for down in self.downs:
+        for down in self.link_down_handlers:
             down(host, link)
 
     def bytes_sent(self):
@@ -247,7 +247,7 @@
         self.dialer.reset_failures(link.address)
         self.log(events.PEER_OPENED, peer=link.host, address=link.address)
         self._send_beat(link)
-        for up in list(self.ups):
+        for up in list(self.link_up_handlers):
             up(link)
 
     def _should_replace(self, link, existing):
@@ -264,7 +264,7 @@
     def _deliver(self, link, message):
         if isinstance(message, Beat):
             link.beat = message
-        handler = self.takers.get(type(message))
+        handler = self.message_handlers.get(type(message))
         if handler is None:
             return
         try:
--- a/pollenstile/peer/_messages.py
+++ b/pollenstile/peer/_messages.py
@@ -115,7 +115,7 @@
 
 def decode_hello(encoded):
     """Return the decoded hello; raise BadMessageError if invalid."""
-    return decoded(schema.Hello, encoded, _build_hello)
+    return decode_struct(schema.Hello, encoded, _build_hello)
 
 
 def _build_hello(reader):
@@ -126,7 +126,7 @@
     return kind(*[getattr(reader, name) for name in _FIELDS[kind]])
 
 
-def decoded(struct, encoded, build):
+def decode_struct(struct, encoded, build):
     """Decode a struct and return the result of ``build`` on its reader.
 
     Raises
@@ -175,7 +175,7 @@
     >>> decode_message(encode_message(Beat(version=7)))
     Beat(version=7, members=0, leaving=False, quarantine=0)
     """
-    return decoded(schema.Message, encoded, _build_message)
+    return decode_struct(schema.Message, encoded, _build_message)
 
 
 def _build_message(reader):
--- a/pollenstile/peer/_neighbours.py
+++ b/pollenstile/peer/_neighbours.py
@@ -1,6 +1,6 @@
 """Selection of the peers to which a host keeps links."""
 
-from pollenstile.peer._rendezvous import next_in_ring, ranked
+from pollenstile.peer._rendezvous import next_in_ring, rank_candidates
 
 _MAX_FULL_MESH = 4
 _RENDEZVOUS_LINKS = 2
@@ -47,7 +47,9 @@
     chosen = set(own_hosts)
     if len(own_hosts) > _MAX_FULL_MESH:
         chosen = {next_in_ring(host, own_hosts)}
-        chosen.update(ranked(f'link/{host}', own_hosts, _RENDEZVOUS_LINKS))
+        chosen.update(
+            rank_candidates(f'link/{host}', own_hosts, _RENDEZVOUS_LINKS)
+        )
     for other_domain, other_hosts in domains.items():
         if other_domain != domain:
             chosen.update(
@@ -60,8 +62,8 @@
 
 def _links_between_domains(host, own_hosts, domain, other_hosts, other_domain):
     pair = '/'.join(sorted([domain, other_domain]))
-    near = ranked(pair, own_hosts, _LINKS_PER_DOMAIN_PAIR)
-    far = ranked(pair, other_hosts, _LINKS_PER_DOMAIN_PAIR)
+    near = rank_candidates(pair, own_hosts, _LINKS_PER_DOMAIN_PAIR)
+    far = rank_candidates(pair, other_hosts, _LINKS_PER_DOMAIN_PAIR)
     if not far:
         return []
     width = max(len(near), len(far))
--- a/pollenstile/peer/_patch.py
+++ b/pollenstile/peer/_patch.py
@@ -141,13 +141,13 @@
     Examples
     ========
 
-    >>> from pollenstile.peer import patch_between, patched
+    >>> from pollenstile.peer import patch_between, apply_patch
     >>> patch = patch_between('weight: 1.0 end', 'weight: 2.5 end')
     >>> patch.prefix, patch.suffix
     (8, 4)
-    >>> patched('weight: 1.0 end', patch)
+    >>> apply_patch('weight: 1.0 end', patch)
     'weight: 2.5 end'
-    >>> patched('height: 1.0 end', patch) is None
+    >>> apply_patch('height: 1.0 end', patch) is None
     True
     """
     before = old.encode()
@@ -233,7 +233,7 @@
     return len(text) if end < 0 else end + len(_ROW_END)
 
 
-def patched(old, patch):
+def apply_patch(old, patch):
     """Return the patched text, or None if the patch is for another text."""
     before = old.encode()
     if patch.prefix + patch.suffix > len(before):
--- a/pollenstile/peer/_rendezvous.py
+++ b/pollenstile/peer/_rendezvous.py
@@ -23,15 +23,15 @@
     return hashlib.blake2b(text, digest_size=_SCORE_BYTES).digest()
 
 
-def ranked(subject, candidates, most):
+def rank_candidates(subject, candidates, most):
     """Return the ``most`` highest-ranked candidates of a subject, in order.
 
     Examples
     ========
 
-    >>> from pollenstile.peer import ranked
-    >>> first = ranked('e1', ['a', 'b', 'c'], 2)
-    >>> len(first), first == ranked('e1', ['c', 'b', 'a'], 2)
+    >>> from pollenstile.peer import rank_candidates
+    >>> first = rank_candidates('e1', ['a', 'b', 'c'], 2)
+    >>> len(first), first == rank_candidates('e1', ['c', 'b', 'a'], 2)
     (2, True)
     """
     ordered = sorted(
--- a/pollenstile/peer/_requests.py
+++ b/pollenstile/peer/_requests.py
@@ -51,8 +51,8 @@
         self.hub = hub
         self.subjects = {}
         self.numbers = itertools.count(1)
-        hub.takers[Ask] = self._handle_request
-        hub.takers[Answer] = self._handle_answer
+        hub.message_handlers[Ask] = self._handle_request
+        hub.message_handlers[Answer] = self._handle_answer
 
     def ask(self, host, subject, body, timeout, address=''):
         """Send a request to a host; see :meth:`Hub.ask`."""
@@ -80,19 +80,19 @@
         link.send(Ask(number, subject, body))
 
     def _send_later(self, host, subject, body, answer):
-        ups = self.hub.ups
+        link_up_handlers = self.hub.link_up_handlers
 
         def link_opened(link):
-            if link.host == host and link_opened in ups:
-                ups.remove(link_opened)
+            if link.host == host and link_opened in link_up_handlers:
+                link_up_handlers.remove(link_opened)
                 self._send(link, subject, body, answer)
 
         def request_ended(result):
-            if link_opened in ups:
-                ups.remove(link_opened)
+            if link_opened in link_up_handlers:
+                link_up_handlers.remove(link_opened)
             return result
 
-        ups.append(link_opened)
+        link_up_handlers.append(link_opened)
         answer.addBoth(request_ended)
 
     def _handle_answer(self, link, message):
--- a/pollenstile/peer/_session.py
+++ b/pollenstile/peer/_session.py
@@ -37,7 +37,7 @@
 )
 
 VERSION = 1
-LEAST_VERSION = 1
+MIN_VERSION = 1
 NONCE_BYTES = 16
 
 _TAG_BYTES = 32
@@ -225,14 +225,14 @@
             raise ProtocolError(f'bad message: {error}') from None
 
 
-def keys_from(text):
+def parse_keys(text):
     """Return the keys of a comma-separated setting.
 
     Examples
     ========
 
-    >>> from pollenstile.peer import keys_from
-    >>> len(keys_from('new,old')), keys_from('')
+    >>> from pollenstile.peer import parse_keys
+    >>> len(parse_keys('new,old')), parse_keys('')
     (2, ())
     """
     parts = [part.strip() for part in text.split(',')]
--- a/pollenstile/quarantine/_record.py
+++ b/pollenstile/quarantine/_record.py
@@ -3,7 +3,7 @@
 from twisted.internet.defer import Deferred
 
 from pollenstile.ops.logs import silent_log
-from pollenstile.peer import ranked
+from pollenstile.peer import rank_candidates
 from pollenstile.platform import Conflict, Written, paused
 from pollenstile.quarantine import events
 from pollenstile.quarantine._types import News, Verdict
@@ -152,4 +152,4 @@
 
 def _place(name, host, hosts):
     """Return a host's place among those that could do something."""
-    return ranked(name, hosts, len(hosts)).index(host)
+    return rank_candidates(name, hosts, len(hosts)).index(host)
--- a/pollenstile/relay/_follower.py
+++ b/pollenstile/relay/_follower.py
@@ -5,7 +5,7 @@
 from twisted.internet.defer import Deferred
 
 from pollenstile.ops.logs import silent_log
-from pollenstile.peer import BadMessageError, Unanswered, patched
+from pollenstile.peer import BadMessageError, Unanswered, apply_patch
 from pollenstile.platform import paused
 from pollenstile.relay import events
 from pollenstile.relay._messages import (
@@ -309,7 +309,7 @@
         """Return a word with the whole for a patch; None if that fails."""
         if word.patch is None:
             return word
-        text = patched(self.configuration.text, word.patch)
+        text = apply_patch(self.configuration.text, word.patch)
         if text is None:
             return None
         return replace(word, config=config_from(word.config_revision, text))
--- a/pollenstile/upstream/_http.py
+++ b/pollenstile/upstream/_http.py
@@ -176,7 +176,7 @@
             b'POST',
             uri.encode(),
             _headers(call),
-            BytesProducer(wire.encoded(_request_document(call))),
+            BytesProducer(wire.encode_json(_request_document(call))),
         )
         exchange.response.addCallback(exchange.handle_headers, call.kind)
         exchange.response.addErrback(exchange.handle_failure)
