--- a/features/properties.feature
+++ b/features/properties.feature
@@ -32,7 +32,7 @@
   Scenario: a stream's tokens and end do not depend on how bytes are split
     Then for any split of a complete stream the tokens and the reply are the same
 
-  Scenario: a stream that is cut off anywhere is never complete
+  Scenario: a stream that is cut off anywhere is never whole
     Then for any proper prefix of a complete stream the reader reports lost
 
   Scenario: any bytes from an upstream end a call once
@@ -41,7 +41,7 @@
     Then for any bytes in any split a reader of streams ends once
     And for any bytes in any split a reader of replies ends once
 
-  Scenario: tokens of several attempts are joined without repeats or gaps
+  Scenario: tokens of several attempts are joined without repeat or gap
     Then for any attempts at a stream the joined tokens are a prefix of it
 
   Scenario: budgets and timeouts fit the remaining time
