--- a/features/steps/drained_steps.py
+++ b/features/steps/drained_steps.py
@@ -4,7 +4,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from features.builders.forward import Story, event_bytes
+from features.builders.forward import ForwardScenario, event_bytes
 from features.builders.loop import result_of, turned_until
 from features.builders.relay import RelayFleet, RelayHost
 from features.builders.stagework import LIMITS, Queue, group, workers
@@ -25,7 +25,7 @@
 @given('upstreams in "{domains}" and a forwarded "{kind}" request')
 def given_story(context, domains, kind):
     names = domains.split(',')
-    context.story = Story(kind, upstreams=len(names), domains=names)
+    context.story = ForwardScenario(kind, upstreams=len(names), domains=names)
 
 
 @when('the domain "{domain}" is drained')
--- a/features/steps/large_configuration_steps.py
+++ b/features/steps/large_configuration_steps.py
@@ -43,7 +43,7 @@
 @when('the large configuration changes and {seconds:g} seconds pass')
 def when_changes(context, seconds):
     context.version += 1
-    context.fleet.words.clear()
+    context.fleet.update_sizes.clear()
     context.fleet.write('config', 'main', large_config(context.version))
     context.fleet.pass_by(seconds)
 
@@ -96,7 +96,7 @@
 @then('"{name}" has read the whole again, and trusts keys by that alone')
 def then_whole(context, name):
     assert context.fleet.store.calls['list'] >= 1
-    assert context.fleet.hosts[name].configuration.is_proven()
+    assert context.fleet.hosts[name].configuration.is_verified()
 
 
 @then("the links carried at most {most:g} MB of the store's answers each")
@@ -122,7 +122,9 @@
 
 @then('no word to a follower in them had over {most:d} bytes')
 def then_words(context, most):
-    assert max(context.fleet.words) <= most, max(context.fleet.words)
+    assert max(context.fleet.update_sizes) <= most, max(
+        context.fleet.update_sizes
+    )
 
 
 def _with_added(rng, rows):
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -177,7 +177,7 @@
 def when_bound(context, value):
     _written({'bounds.revoke_ms': value})
     for _ in range(3):
-        context.watched.look(context.taken.append, _noted(context.lines))
+        context.watched.poll(context.taken.append, _noted(context.lines))
 
 
 def _noted(lines):
--- a/pollenstile/forward/_daemon.py
+++ b/pollenstile/forward/_daemon.py
@@ -9,7 +9,7 @@
 
 from pollenstile.forward import events
 from pollenstile.forward._assembly import built_parts, link_peers
-from pollenstile.forward._face import CallerFactory
+from pollenstile.forward._frontend import CallerFactory
 from pollenstile.forward._gauges import TIMES, add_gauges
 from pollenstile.forward._settings import word_seconds
 from pollenstile.forward._storewatches import StoreWatches
--- a/pollenstile/ops/_quarantinecmd.py
+++ b/pollenstile/ops/_quarantinecmd.py
@@ -10,7 +10,7 @@
 from pollenstile.ops.running import result_of
 from pollenstile.ops.settings import address, identifier, parsed
 from pollenstile.platform import Absent, Found, Listing, Written, listed_whole
-from pollenstile.quarantine import QUARANTINED
+from pollenstile.quarantine import QUARANTINE_KIND
 
 _MS = 1000
 _NAME = 'pollenstile quarantine'
@@ -67,7 +67,7 @@
     if arguments.lift:
         name = parsed('--lift', identifier, arguments.lift)
         return _lifted(name, result_of(reactor, lambda: lifted(store, name)))
-    listing = result_of(reactor, lambda: listed_whole(store, QUARANTINED))
+    listing = result_of(reactor, lambda: listed_whole(store, QUARANTINE_KIND))
     if not isinstance(listing, Listing):
         sys.stderr.write(f'{_NAME}: the store does not answer; try again\n')
         return UNREACHED
@@ -133,10 +133,10 @@
 
     Absent, Written, Conflict, NotApplied, InDoubt or Unavailable
     """
-    standing = await store.get(QUARANTINED, name)
+    standing = await store.get(QUARANTINE_KIND, name)
     if not isinstance(standing, Found):
         return standing
-    return await store.delete(QUARANTINED, name)
+    return await store.delete(QUARANTINE_KIND, name)
 
 
 def _lifted(name, outcome):
--- a/pollenstile/quarantine/_codec.py
+++ b/pollenstile/quarantine/_codec.py
@@ -42,7 +42,7 @@
             {
                 'fingerprint': bytes.fromhex(one.fingerprint),
                 'team': one.team,
-                'ranMs': max(0, int(one.ran * _MS)),
+                'ranMs': max(0, int(one.run_seconds * _MS)),
             }
             for one in report.suspects
         ],
--- a/pollenstile/quarantine/_sharing.py
+++ b/pollenstile/quarantine/_sharing.py
@@ -26,7 +26,7 @@
 _COMPARE_PERIOD = 1.0
 
 
-class Sharing:
+class VerdictSharing:
     """Tells neighbours what is new here, and compares verdicts with peers.
 
     Explanation
