--- a/features/builders/placement.py
+++ b/features/builders/placement.py
@@ -79,7 +79,7 @@
         'asked',
         'clock',
         'due',
-        'keeper',
+        'lease_manager',
         'lines',
         'paused',
         'placement',
@@ -102,7 +102,7 @@
         self.ticket_gate = None
         self.weights = world.weights
         self.store = HostStore(world.clock, world.store)
-        self.keeper = Keeper(
+        self.lease_manager = Keeper(
             Lease(name, timing),
             DOMAIN,
             self.store,
@@ -112,7 +112,7 @@
         )
         self.placer = Placer(
             DOMAIN,
-            self.keeper,
+            self.lease_manager,
             self.store,
             world.orders,
             self.ticket,
@@ -130,7 +130,7 @@
     @property
     def fence(self):
         """Its fencing number, 0 when it has none."""
-        return self.keeper.lease.fence
+        return self.lease_manager.lease.fence
 
     def boot_seconds(self):
         """Return seconds, those in which it was paused included."""
@@ -237,7 +237,9 @@
     def holders(self):
         """Return the hosts that may give orders now."""
         return [
-            name for name, each in self.hosts.items() if each.keeper.holds()
+            name
+            for name, each in self.hosts.items()
+            if each.lease_manager.holds()
         ]
 
     def advance(self, seconds):
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -12,7 +12,7 @@
     no_work,
 )
 from pollenstile.manifest import Model
-from pollenstile.placement import LeaseTiming, _conduct, _keeper
+from pollenstile.placement import LeaseTiming, _enginesteps, _leasemanager
 from pollenstile.platform import unpaused
 
 use_step_matcher('parse')
@@ -27,7 +27,7 @@
     return context.world
 
 
-def _replaced(context, module, name, function):
+def _patch(context, module, name, function):
     before = getattr(module, name)
     setattr(module, name, function)
     context.add_cleanup(setattr, module, name, before)
@@ -68,20 +68,20 @@
 )
 def step_rate(context, name, rate):
     context.world.hosts[name].rate = rate
-    context.world.hosts[name].keeper.follow = 0.0
+    context.world.hosts[name].lease_manager.follower_read_interval = 0.0
 
 
 @given('placement terms count from the {moment}')
 def step_moment(context, moment):
     if moment == 'sending':
         return
-    settle = _keeper.settle
+    apply_write_outcome = _leasemanager.apply_write_outcome
     boot_seconds = context.world.hosts['a'].boot_seconds
 
-    def from_answer(lease, move, outcome, sent_at):
-        settle(lease, move, outcome, boot_seconds())
+    def count_from_answer(lease, action, outcome, sent_at):
+        apply_write_outcome(lease, action, outcome, boot_seconds())
 
-    _replaced(context, _keeper, 'settle', from_answer)
+    _patch(context, _leasemanager, 'apply_write_outcome', count_from_answer)
 
 
 @when('placement host "{name}" dies')
@@ -101,8 +101,10 @@
 def step_cut(context, name):
     host = context.world.hosts[name]
     # Its term is as long as it can be: it has just renewed.
-    written = host.keeper.lease.seen_version
-    context.world.until(lambda: host.keeper.lease.seen_version != written)
+    written = host.lease_manager.lease.seen_version
+    context.world.until(
+        lambda: host.lease_manager.lease.seen_version != written
+    )
     context.world.advance(1)
     host.store.cut = True
 
@@ -130,14 +132,14 @@
     context.world.until(lambda: host.store.cut)
     world.advance(seconds - 1)
     host.store.cut = False
-    context.world.until(lambda: not host.keeper.busy)
+    context.world.until(lambda: not host.lease_manager.busy)
     host.store.cut = True
 
 
 @when('a placement renewal of "{name}" stays in doubt for {seconds:d} seconds')
 def step_in_doubt(context, name, seconds):
     host = context.world.hosts[name]
-    host.keeper.pause = unpaused
+    host.lease_manager.pause = unpaused
     context.old_fence = host.fence
     host.store.cut_by_write = True
     context.world.until(lambda: host.store.cut)
@@ -224,7 +226,7 @@
     manifest = host.placer.manifest
     # What a scenario sets up comes before the first round.
     host.placer.manifest = None
-    context.world.until(lambda: host.keeper.holds())
+    context.world.until(lambda: host.lease_manager.holds())
     host.placer.manifest = manifest
 
 
@@ -513,15 +515,15 @@
 def step_clock(context, name, clock):
     host = context.world.hosts[name]
     if clock == 'monotonic':
-        host.keeper.suspend_clock = host.clock.seconds
+        host.lease_manager.suspend_clock = host.clock.seconds
 
 
 @given('placement host "{name}" works without "{guard}"')
 def step_without(context, name, guard):
     if guard == 'intents':
-        _replaced(context, _conduct, '_intended', lambda *_: no_work())
+        _patch(context, _enginesteps, '_write_intent', lambda *_: no_work())
     if guard == 'claims':
-        _replaced(context, _conduct, '_claims_due', lambda *_: False)
+        _patch(context, _enginesteps, '_needs_fence', lambda *_: False)
 
 
 @given('placement engine "{name}" has no memory')
@@ -567,7 +569,7 @@
     host = world.hosts[name]
     host.ticket_gate = Deferred()
     world.engines['e1'].models = {}
-    context.world.until(lambda: host.placer.loads.asking)
+    context.world.until(lambda: host.placer.loads.requesting)
     world.engines['e1'].models = {}
     for other in world.hosts.values():
         other.placer.may_drain = lambda *_: False
--- a/pollenstile/placement/__init__.py
+++ b/pollenstile/placement/__init__.py
@@ -1,23 +1,27 @@
-"""Which engine holds which model: leases, orders, swaps."""
+"""Model placement: leases, engine orders and model swaps."""
 
 from pollenstile.placement._assembly import built_placement, http_tickets
-from pollenstile.placement._demand import Demand, DemandBoard, demand_total
-from pollenstile.placement._facts import EngineFacts, domain_engines
+from pollenstile.placement._demand import Demand, DemandBoard, sum_demand
+from pollenstile.placement._enginespec import EngineSpec, domain_engines
 from pollenstile.placement._http import http_orders
-from pollenstile.placement._keeper import Keeper, lease_tick, released
 from pollenstile.placement._lease import (
     LEASES,
+    Acquire,
     Lease,
     LeaseTiming,
-    Pause,
     Renew,
-    Take,
+    Wait,
+    apply_write_outcome,
     is_held,
-    lease_move,
+    next_lease_action,
     observe,
-    settle,
 )
-from pollenstile.placement._loads import Loads, LoadTiming
+from pollenstile.placement._leasemanager import (
+    Keeper,
+    lease_tick,
+    release_lease,
+)
+from pollenstile.placement._loadlimits import Loads, LoadTiming
 from pollenstile.placement._orders import (
     Applied,
     EngineState,
@@ -32,6 +36,7 @@
     any_time,
     placer_round,
 )
+from pollenstile.placement._planning import wanted_placement
 from pollenstile.placement._records import PLACEMENTS, Holds, Record
 from pollenstile.placement._service import Placement
 from pollenstile.placement._steps import (
@@ -42,4 +47,3 @@
     Swap,
     next_step,
 )
-from pollenstile.placement._wanted import wanted_placement
--- a/pollenstile/placement/_assembly.py
+++ b/pollenstile/placement/_assembly.py
@@ -1,10 +1,10 @@
-"""Putting one host's placement together."""
+"""Construction of the placement of one entry host."""
 
 from twisted.internet.defer import Deferred
 
 from pollenstile.placement._demand import Demand, DemandBoard
-from pollenstile.placement._keeper import Keeper
 from pollenstile.placement._lease import Lease, LeaseTiming
+from pollenstile.placement._leasemanager import Keeper
 from pollenstile.placement._placer import Placer
 from pollenstile.placement._records import Holds
 from pollenstile.placement._service import Placement
@@ -12,26 +12,27 @@
 
 
 def built_placement(core, boot, store, orders, ticket, suspend_clock):
-    """Return a host's placement, wired to its core; not started.
+    """Return a host's placement, connected to its core but not started.
 
     Parameters
     ==========
 
     core : Core
-        The host's shared parts; from now on it asks the records which engine
-        holds a model, and counts demand.
+        Shared parts of the host. From now on it reads from the placement
+        records which engine serves a model, and counts demand.
     boot : str
-        Differs with every start: a restarted host is another holder.
+        Differs at every start, so a restarted host is a new lease holder.
     store : Store
-        The object API.
+        Client of the object API.
     orders : object
-        Looks at engines and orders them; see :func:`http_orders`.
+        Reads the state of engines and sends them orders; see
+        :func:`http_orders`.
     ticket : function
         Takes a model and a version, returns a Deferred of a ticket.
     suspend_clock : function
-        Returns seconds, suspended time included.
+        Returns seconds, including time during which the host was suspended.
     """
-    keeper = Keeper(
+    lease_manager = Keeper(
         Lease(f'{core.host}-{boot}', LeaseTiming()),
         core.domain,
         store,
@@ -41,7 +42,7 @@
     )
     placer = Placer(
         core.domain,
-        keeper,
+        lease_manager,
         store,
         orders,
         ticket,
@@ -58,13 +59,13 @@
 
 
 def http_tickets(caller):
-    """Return a function that asks the weight store for tickets.
+    """Return a function that requests load tickets from the weight store.
 
     Parameters
     ==========
 
     caller : Caller
-        Of the weight store.
+        HTTP client of the weight store.
     """
 
     def ticket(model, version):
--- a/pollenstile/placement/_demand.py
+++ b/pollenstile/placement/_demand.py
@@ -1,22 +1,22 @@
-"""Demand by model: counted at each entry host, added up by the placer."""
+"""Demand by model: counted on each entry host, summed up by the placer."""
 
 from pollenstile.platform import Unavailable, listed_whole
 
 DEMAND = 'demand'
 _DECAY_SECONDS = 30.0
-_CHANGE = 0.1
+_CHANGE_RATIO = 0.1
 _REPEAT_SECONDS = 60.0
 _STALE_SECONDS = 180.0
 
 
 class Demand:
-    """Calls a second by model, smoothed.
+    """Counter of calls per second by model, smoothed.
 
     Explanation
     ===========
 
-    Requests are counted when they are admitted, so that a model without any
-    engine shows its demand too.
+    Requests are counted when they are admitted, so demand is also measured
+    for a model that no engine serves.
 
     Examples
     ========
@@ -24,7 +24,7 @@
     >>> demand = Demand()
     >>> for _ in range(30):
     ...     demand.count('draft')
-    >>> demand.turn(30.0)
+    >>> demand.end_interval(30.0)
     {'draft': 0.5}
     """
 
@@ -35,17 +35,17 @@
         self.rates = {}
 
     def count(self, model):
-        """Count one call that a request will make."""
+        """Count one call that a request is going to make."""
         self.counts[model] = self.counts.get(model, 0) + 1
 
     def count_request(self, request):
-        """Count the calls that a request will make of engines."""
+        """Count the calls to engines that a request is going to make."""
         for stage in request.pipeline.stages:
             if stage.model:
                 self.count(stage.model)
 
-    def turn(self, seconds):
-        """Return the smoothed rates after an interval, and begin the next."""
+    def end_interval(self, seconds):
+        """Return the smoothed rates after an interval and start a new one."""
         weight = seconds / (seconds + _DECAY_SECONDS)
         rates = {}
         for model in sorted({*self.rates, *self.counts}):
@@ -58,27 +58,27 @@
 
 
 class DemandBoard:
-    """What a host has told the others of its demand, and seen of theirs.
+    """Exchange of demand records between the hosts of a failure domain.
 
     Parameters
     ==========
 
     domain, host : str
-        Whose demand it is.
+        Failure domain and host whose demand is published.
     store : Store
-        The object API.
+        Client of the object API.
     clock : IReactorTime
-        For ages.
+        Measures the age of records.
     """
 
     __slots__ = (
         'clock',
         'domain',
         'host',
-        'others',
+        'published',
+        'published_at',
+        'seen',
         'store',
-        'told',
-        'told_at',
     )
 
     def __init__(self, domain, host, store, clock):
@@ -86,46 +86,49 @@
         self.host = host
         self.store = store
         self.clock = clock
-        self.told = None
-        self.told_at = 0.0
-        self.others = {}
+        self.published = None
+        self.published_at = 0.0
+        self.seen = {}
 
-    async def tell(self, rates):
-        """Write the rates if they have changed enough to matter."""
+    async def publish(self, rates):
+        """Write the rates if they changed by more than 10 % or are due."""
         now = self.clock.seconds()
-        repeat = now - self.told_at >= _REPEAT_SECONDS
-        if self.told is not None and not repeat:
-            if not _changed(self.told, rates):
+        repeat = now - self.published_at >= _REPEAT_SECONDS
+        if self.published is not None and not repeat:
+            if not _has_changed(self.published, rates):
                 return
-        self.told = dict(rates)
-        self.told_at = now
+        self.published = dict(rates)
+        self.published_at = now
         name = f'{self.domain}/{self.host}'
-        await self.store.put(DEMAND, name, {'rates': self.told})
+        await self.store.put(DEMAND, name, {'rates': self.published})
 
     async def read(self):
-        """Return the demand of the domain, or None when it can't be read."""
+        """Return the demand of the domain, or None if it can't be read."""
         prefix = f'{self.domain}/'
         listing = await listed_whole(self.store, DEMAND, prefix)
         if isinstance(listing, Unavailable):
             return None
         now = self.clock.seconds()
-        fresh = {}
+        seen = {}
         for found in listing.objects:
-            fresh[found.name] = _aged(self.others.get(found.name), found, now)
-        self.others = fresh
-        return demand_total(fresh, now)
+            seen[found.name] = _first_seen(
+                self.seen.get(found.name), found, now
+            )
+        self.seen = seen
+        return sum_demand(seen, now)
 
 
-def demand_total(seen, now):
-    """Add up what hosts have told.
+def sum_demand(seen, now):
+    """Return the sum of the demand records of all hosts, by model.
 
     Parameters
     ==========
 
     seen : dict
-        Host to its record and when that was first seen.
+        Host to its record and the time at which that was first seen.
     now : float
-        Records seen first longer ago than 180 s are of hosts that are gone.
+        Current time. A record that was first seen more than 180 s ago belongs
+        to a host that is gone, and is ignored.
 
     Examples
     ========
@@ -133,7 +136,7 @@
     >>> from pollenstile.platform import Found
     >>> old = Found('demand', 'erie/1', 3, {'rates': {'draft': 2.0}})
     >>> new = Found('demand', 'erie/2', 9, {'rates': {'draft': 1.0}})
-    >>> demand_total({'erie/1': (old, 0.0), 'erie/2': (new, 170.0)}, 200.0)
+    >>> sum_demand({'erie/1': (old, 0.0), 'erie/2': (new, 170.0)}, 200.0)
     {'draft': 1.0}
     """
     total = {}
@@ -145,17 +148,17 @@
     return total
 
 
-def _aged(before, found, now):
+def _first_seen(before, found, now):
     if before is not None and before[0].version == found.version:
         return before
     return found, now
 
 
-def _changed(before, after):
+def _has_changed(before, after):
     models = {*before, *after}
     for model in models:
         old = before.get(model, 0.0)
         new = after.get(model, 0.0)
-        if abs(new - old) > _CHANGE * max(old, new):
+        if abs(new - old) > _CHANGE_RATIO * max(old, new):
             return True
     return False
--- a/pollenstile/placement/_facts.py
+++ b/pollenstile/placement/_enginespec.py
@@ -1,4 +1,4 @@
-"""What the manifest says of one failure domain's engines."""
+"""Engines of one failure domain as the manifest declares them."""
 
 from dataclasses import dataclass
 
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class EngineFacts:
+class EngineSpec:
     """One engine as declared.
 
     Parameters
@@ -31,11 +31,11 @@
         models = tuple(sorted(pool.models))
         for name, upstream in pool.upstreams.items():
             if upstream.domain == domain:
-                engines[name] = EngineFacts(upstream, models)
+                engines[name] = EngineSpec(upstream, models)
     return engines
 
 
-def wanted_holding(manifest, model):
-    """Return the version and adapters of a model that are to be served."""
+def declared_holding(manifest, model):
+    """Return the version and adapters that the manifest sets for a model."""
     declared = manifest.models[model]
     return Holding(declared.version, tuple(sorted(declared.adapters)))
--- a/pollenstile/placement/_http.py
+++ b/pollenstile/placement/_http.py
@@ -1,4 +1,4 @@
-"""Orders over HTTP."""
+"""Reads engine states and sends orders over HTTP."""
 
 import msgspec
 from twisted.internet.defer import Deferred
@@ -14,19 +14,24 @@
 
 _OK = 200
 _CONFLICT = 409
-_TIMEOUT = 2.0
-_state_from = msgspec.json.Decoder(EngineState).decode
-_refused_from = msgspec.json.Decoder(Refused).decode
+_TIMEOUT_SECONDS = 2.0
+_decode_state = msgspec.json.Decoder(EngineState).decode
+_decode_refusal = msgspec.json.Decoder(Refused).decode
 
 
 class HttpOrders:
-    """Looks at engines and orders them, over connections of their own.
+    """Client of the placement interface of engines.
+
+    Explanation
+    ===========
+
+    Each call uses a connection of its own.
 
     Parameters
     ==========
 
     reactor : IReactorTCP and IReactorTime
-        Opens connections and times them.
+        Opens connections and times out calls.
     """
 
     __slots__ = ('reactor',)
@@ -36,17 +41,17 @@
 
     def look(self, name, upstream):
         """Return a Deferred of ``EngineState`` or ``Lost``."""
-        return Deferred.fromCoroutine(self._look(upstream))
+        return Deferred.fromCoroutine(self._read_state(upstream))
 
     def send(self, name, upstream, order):
         """Return a Deferred of ``Applied``, ``Refused`` or ``Lost``."""
         return Deferred.fromCoroutine(self._send(upstream, order))
 
-    async def _look(self, upstream):
+    async def _read_state(self, upstream):
         reply = await self._call(upstream, 'GET')
         if isinstance(reply, Broken):
             return Lost('look', upstream.address, reply.reason)
-        return _decoded(reply, _state_from, 'look', upstream)
+        return _decode_reply(reply, _decode_state, 'look', upstream)
 
     async def _send(self, upstream, order):
         body = msgspec.json.encode(order)
@@ -54,8 +59,8 @@
         if isinstance(reply, Broken):
             return Lost('order', upstream.address, reply.reason)
         if reply.status == _CONFLICT:
-            return _decoded(reply, _refused_from, 'order', upstream)
-        state = _decoded(reply, _state_from, 'order', upstream)
+            return _decode_reply(reply, _decode_refusal, 'order', upstream)
+        state = _decode_reply(reply, _decode_state, 'order', upstream)
         return state if isinstance(state, Lost) else Applied(state)
 
     def _call(self, upstream, method, body=None):
@@ -65,17 +70,17 @@
             self.reactor,
             host.strip('[]'),
             int(port),
-            _TIMEOUT,
+            _TIMEOUT_SECONDS,
         )
         return caller.call(method, ORDER_PATH, body, fresh=True)
 
 
 def http_orders(reactor):
-    """Return looks and orders over HTTP; see docs/protocols/orders.md."""
+    """Return a client for engines; see docs/protocols/orders.md."""
     return HttpOrders(reactor)
 
 
-def _decoded(reply, decode, step, upstream):
+def _decode_reply(reply, decode, step, upstream):
     if reply.status not in {_OK, _CONFLICT}:
         return Lost(step, upstream.address, f'status {reply.status}')
     try:
--- a/pollenstile/placement/_orders.py
+++ b/pollenstile/placement/_orders.py
@@ -1,11 +1,11 @@
-"""What is ordered of an engine and what it answers.
+"""Orders to an engine, its answers and its state.
 
 Explanation
 ===========
 
-An order is the whole wanted end, not a change: what the engine is to hold.
-So an order may be sent again, and one whose answer was lost is settled by
-reading the engine's state.
+An order states all the models that the engine is to hold, not a change.
+Orders are therefore idempotent: an order may be sent again, and after a lost
+answer the engine's state shows whether the order was applied.
 """
 
 from dataclasses import dataclass, field
@@ -24,7 +24,7 @@
     version : str
         Version of the weights.
     adapters : tuple of str
-        Adapters loaded beside it, sorted.
+        Adapters loaded with the model, sorted.
     """
 
     version: str
@@ -33,19 +33,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Order:
-    """What an engine is to hold from now on.
+    """Models that an engine is to hold from now on.
 
     Parameters
     ==========
 
     ident : str
-        Unique, for the logs of both ends.
+        Unique name for the logs of sender and engine.
     fence : int
         Fencing number of the sender.
     models : dict
-        Model to :class:`Holding`; all others are unloaded.
+        Model to :class:`Holding`. All other models are unloaded.
     role : {'both', 'prefill', 'decode'}
-        What the engine does.
+        Work that the engine is to do.
     """
 
     ident: str
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineState:
-    """What an engine holds and does now.
+    """Models and calls of an engine now.
 
     Parameters
     ==========
@@ -64,15 +64,15 @@
     incarnation : str
         Changes when the process behind the address changes.
     fence : int
-        Highest fencing number taken; 0 before the first.
+        Highest fencing number accepted; 0 before the first order.
     models : dict
-        Model to :class:`Holding`, ready for calls.
+        Model to :class:`Holding`, for models that are ready for calls.
     loading : dict
-        The same, not ready yet.
+        Model to :class:`Holding`, for models that are not ready yet.
     running : dict
-        Model to its calls that run or wait.
+        Model to the number of its calls that run or wait.
     role : str
-        As ordered last.
+        Role of the last order.
     """
 
     incarnation: str
@@ -85,22 +85,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Applied:
-    """The engine took the order."""
+    """The engine accepted the order."""
 
     state: EngineState
 
 
 @dataclass(slots=True, frozen=True)
 class Refused:
-    """The engine did nothing.
+    """The engine refused the order and changed nothing.
 
     Parameters
     ==========
 
     reason : str
-        ``'old-fence'``, ``'memory'``, or another.
+        ``'old-fence'``, ``'memory'`` or another reason.
     fence : int
-        The highest fencing number that the engine has taken.
+        Highest fencing number that the engine has accepted.
     """
 
     reason: str
@@ -109,7 +109,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Lost:
-    """No answer: the order may have been taken, or may be later."""
+    """There was no answer. The engine may have applied the order or may yet."""
 
     step: str
     peer: str
--- a/pollenstile/placement/_placer.py
+++ b/pollenstile/placement/_placer.py
@@ -1,4 +1,4 @@
-"""Rounds of the placer: look at the engines, plan, and order."""
+"""Placement rounds: read the engines' states, plan, and order."""
 
 import itertools
 from dataclasses import dataclass, field
@@ -6,48 +6,52 @@
 from twisted.internet.defer import Deferred, gatherResults
 
 from pollenstile.placement import events
-from pollenstile.placement._conduct import conducted
-from pollenstile.placement._facts import domain_engines, wanted_holding
-from pollenstile.placement._loads import Loads, LoadTiming, ended_loads
+from pollenstile.placement._enginespec import declared_holding, domain_engines
+from pollenstile.placement._enginesteps import advance_engine
+from pollenstile.placement._loadlimits import (
+    Loads,
+    LoadTiming,
+    drop_finished_loads,
+)
 from pollenstile.placement._orders import EngineState
+from pollenstile.placement._planning import unplaced_models, wanted_placement
 from pollenstile.placement._steps import DrainTiming, deferred_drains
-from pollenstile.placement._wanted import unplaced, wanted_placement
 
 _SWAPPING_SHARE = 4
 
 
 @dataclass(slots=True, frozen=True)
 class PlacerTiming:
-    """Seconds and limits of a placer.
+    """Intervals in seconds and limits of a placer.
 
     Parameters
     ==========
 
     replan : float
-        Age of a plan at which demand is looked at again.
-    look : float
-        Age at which the state of an engine that has settled is read again;
-        others are read in each round.
-    refused : float
-        Time until an engine that refused an order gets the next.
+        Age of a plan at which it is computed again from the present demand.
+    settled_read : float
+        Age at which the state of a settled engine is read again. The states
+        of other engines are read in each round.
+    refusal_delay : float
+        Time until an engine that refused an order gets the next one.
     unseen : float
-        Time without an answer after which an engine is planned without.
+        Time without an answer after which an engine is left out of the plan.
     drain : DrainTiming
-        Of swaps.
+        Timing of drains before swaps.
     loads : LoadTiming
-        Of loads.
+        Limits on loads.
     """
 
     replan: float = 30.0
-    look: float = 10.0
-    refused: float = 10.0
+    settled_read: float = 10.0
+    refusal_delay: float = 10.0
     unseen: float = 30.0
     drain: DrainTiming = field(default_factory=DrainTiming)
     loads: LoadTiming = field(default_factory=LoadTiming)
 
 
 def any_time(engines, states):
-    """Return True: nothing is waited for."""
+    """Return True: drains and plans are always allowed."""
     return True
 
 
@@ -57,25 +61,25 @@
 
 
 class Placer:
-    """State of one domain's placer.
+    """State of the placer of one failure domain.
 
     Parameters
     ==========
 
     domain : str
-        Its failure domain.
-    keeper : Keeper
-        Says whether orders may be given.
+        Name of the failure domain.
+    lease_manager : Keeper
+        Decides whether orders may be sent.
     store : Store
         Where records are written.
     orders : object
-        With ``look(engine, upstream)`` and ``send(engine, upstream, order)``,
-        which return Deferreds.
+        Has ``look(engine, upstream)``, which reads an engine's state, and
+        ``send(engine, upstream, order)``; both return Deferreds.
     ticket : function
-        Takes a model and a version, returns a Deferred as of
-        :func:`~pollenstile.platform.weight_ticket`.
+        Takes a model and a version, returns a Deferred as
+        :func:`~pollenstile.platform.weight_ticket` does.
     clock : IReactorTime
-        For drains, loads and plans.
+        Times drains, loads and plans.
     random : random.Random
         Source of the jitter.
     log : function
@@ -85,27 +89,30 @@
     ============
 
     manifest : Manifest or None
-        What is in force.
+        The manifest in force.
     demand : dict
-        Model to calls a second in this domain.
+        Model to calls per second in this domain.
     plan_for : function
-        As :func:`wanted_placement`, which it is at first.
+        Computes a plan; :func:`wanted_placement` by default.
     usable : function
-        Takes an engine's name, returns whether it is to hold anything; not
-        one that is leaving.
+        Takes an engine's name, returns whether it is to hold models. False
+        for an engine that is leaving.
     may_replan : function
-        Takes engines and their states, returns whether a change of demand is
-        a reason to plan anew.
+        Takes engines and their states, returns whether a change of demand
+        may lead to a new plan.
     may_drain : function
         Takes an engine's state and the models to drain.
     records : dict
         Engine to the version and the record last read or written.
     draining : dict
-        Engine to its models that are being drained, with the time.
+        Engine to its models that are being drained, with the start time.
     settled : dict
-        Engine to its state and when it was read, where nothing was to do.
+        Engine to its state and when that was read, for engines that need no
+        step.
     not_before : dict
         Engine to when it may get the next order.
+    last_logged : dict
+        Engine to its last event, which is not logged twice in a row.
     """
 
     __slots__ = (
@@ -116,14 +123,14 @@
         'draining',
         'fence',
         'incarnations',
-        'keeper',
+        'last_logged',
+        'lease_manager',
         'loads',
         'log',
         'manifest',
         'may_drain',
         'may_replan',
         'not_before',
-        'numbers',
         'orders',
         'plan',
         'plan_for',
@@ -132,23 +139,25 @@
         'random',
         'records',
         'seen_at',
+        'sequence',
         'settled',
         'store',
         'ticket',
         'timing',
-        'told',
         'usable',
     )
 
-    def __init__(self, domain, keeper, store, orders, ticket, clock, random):
+    def __init__(
+        self, domain, lease_manager, store, orders, ticket, clock, random
+    ):
         self.domain = domain
-        self.keeper = keeper
+        self.lease_manager = lease_manager
         self.store = store
         self.orders = orders
         self.ticket = ticket
         self.clock = clock
         self.random = random
-        self.log = keeper.log
+        self.log = lease_manager.log
         self.timing = PlacerTiming()
         self.manifest = None
         self.demand = {}
@@ -156,12 +165,12 @@
         self.may_drain = any_time
         self.may_replan = any_time
         self.usable = any_engine
-        self.numbers = itertools.count(1)
+        self.sequence = itertools.count(1)
         self.busy = False
-        self.forget(0)
+        self.reset(0)
 
-    def forget(self, fence):
-        """Start anew: another holder may have acted since."""
+    def reset(self, fence):
+        """Drop all state, because another holder may have acted since."""
         self.fence = fence
         self.records = {}
         self.draining = {}
@@ -173,20 +182,24 @@
         self.plan = {}
         self.plan_key = None
         self.planned_at = 0.0
-        self.told = {}
+        self.last_logged = {}
 
-    def tell(self, event, engine, level='info', **fields):
-        """Log an event of an engine, unless it was its last one."""
-        told = (event.number, *sorted(fields.items()))
-        if self.told.get(engine) == told:
+    def log_once(self, event, engine, level='info', **fields):
+        """Log an event of an engine unless it equals the last one."""
+        logged = (event.number, *sorted(fields.items()))
+        if self.last_logged.get(engine) == logged:
             return
-        self.told[engine] = told
+        self.last_logged[engine] = logged
         self.log(event, level=level, engine=engine, **fields)
 
 
 async def placer_round(placer):
-    """Look at every engine of the domain and take each one step further."""
-    if placer.busy or placer.manifest is None or not placer.keeper.holds():
+    """Read the engines of the domain and take the next step of each."""
+    if (
+        placer.busy
+        or placer.manifest is None
+        or not placer.lease_manager.holds()
+    ):
         return
     placer.busy = True
     try:
@@ -196,27 +209,27 @@
 
 
 async def _round(placer):
-    fence = placer.keeper.lease.fence
+    fence = placer.lease_manager.lease.fence
     if fence != placer.fence:
-        placer.forget(fence)
+        placer.reset(fence)
     engines = domain_engines(placer.manifest, placer.domain)
-    states = await _looked(placer, engines)
+    states = await _read_states(placer, engines)
     if not states:
         return
-    present = _present(placer, engines)
-    # One that is leaving gets no orders, and keeps what it has to the end.
-    states = {name: states[name] for name in states if name in present}
-    wanted = _wanted(placer, present, states)
-    ended_loads(placer.loads, states, wanted)
+    usable = _usable_engines(placer, engines)
+    # An engine that is leaving gets no orders and keeps its models.
+    states = {name: states[name] for name in states if name in usable}
+    wanted = _wanted_holdings(placer, usable, states)
+    drop_finished_loads(placer.loads, states, wanted)
     deferred = deferred_drains(
         states,
         wanted,
         placer.draining,
-        max(1, len(present) // _SWAPPING_SHARE),
+        max(1, len(usable) // _SWAPPING_SHARE),
     )
     steps = []
     for name, state in states.items():
-        step = conducted(
+        step = advance_engine(
             placer,
             name,
             engines[name],
@@ -228,16 +241,16 @@
     await gatherResults(steps, consumeErrors=True)
 
 
-async def _looked(placer, engines):
-    names = [name for name in sorted(engines) if _look_due(placer, name)]
-    looks = [placer.orders.look(name, engines[name].upstream) for name in names]
-    answers = await gatherResults(looks, consumeErrors=True)
+async def _read_states(placer, engines):
+    names = [name for name in sorted(engines) if _is_read_due(placer, name)]
+    reads = [placer.orders.look(name, engines[name].upstream) for name in names]
+    answers = await gatherResults(reads, consumeErrors=True)
     states = {name: each[0] for name, each in placer.settled.items()}
     now = placer.clock.seconds()
     for name, answer in zip(names, answers, strict=True):
         placer.seen_at.setdefault(name, now)
         if not isinstance(answer, EngineState):
-            placer.tell(events.ENGINE_UNSEEN, name, reason=answer.reason)
+            placer.log_once(events.ENGINE_UNSEEN, name, reason=answer.reason)
             continue
         placer.seen_at[name] = now
         states[name] = answer
@@ -246,11 +259,11 @@
     return states
 
 
-def _look_due(placer, name):
+def _is_read_due(placer, name):
     settled = placer.settled.get(name)
     if settled is None:
         return True
-    if placer.clock.seconds() - settled[1] < placer.timing.look:
+    if placer.clock.seconds() - settled[1] < placer.timing.settled_read:
         return False
     placer.settled.pop(name)
     return True
@@ -260,7 +273,7 @@
     before = placer.incarnations.get(name, incarnation)
     placer.incarnations[name] = incarnation
     if before != incarnation:
-        placer.tell(
+        placer.log_once(
             events.ENGINE_RESTARTED,
             name,
             before=before,
@@ -268,18 +281,18 @@
         )
 
 
-def _present(placer, engines):
-    """Return the engines to plan with: those seen lately and not leaving."""
+def _usable_engines(placer, engines):
+    """Return the engines that were seen lately and are not leaving."""
     oldest = placer.clock.seconds() - placer.timing.unseen
     return {
-        name: facts
-        for name, facts in engines.items()
+        name: spec
+        for name, spec in engines.items()
         if placer.seen_at[name] >= oldest and placer.usable(name)
     }
 
 
-def _wanted(placer, engines, states):
-    """Return the holdings that each engine is to have, planned if due."""
+def _wanted_holdings(placer, engines, states):
+    """Return the wanted holdings of each engine; plan again if due."""
     manifest = placer.manifest
     key = (id(manifest), tuple(sorted(engines)))
     now = placer.clock.seconds()
@@ -292,17 +305,18 @@
     wanted = {}
     for name, models in placer.plan.items():
         wanted[name] = {
-            model: wanted_holding(manifest, model) for model in models
+            model: declared_holding(manifest, model) for model in models
         }
     return wanted
 
 
 def _replan(placer, engines, states):
     sizes = {}
-    for facts in engines.values():
-        for model in facts.models:
+    for spec in engines.values():
+        for model in spec.models:
             sizes[model] = placer.manifest.models[model].memory_mb
-    # An engine that misses one look still holds what was planned for it.
+    # An engine whose state could not be read this time is assumed to hold
+    # what was planned for it.
     held = dict(placer.plan)
     for name, state in states.items():
         held[name] = (*state.models, *state.loading)
@@ -315,9 +329,9 @@
             plan=plan,
             demand=placer.demand,
         )
-    missing = unplaced(engines, plan)
+    missing = unplaced_models(engines, plan)
     if missing:
-        placer.tell(
+        placer.log_once(
             events.UNPLACED, '', level='warning', models=','.join(missing)
         )
     placer.plan = plan
--- a/pollenstile/placement/_records.py
+++ b/pollenstile/placement/_records.py
@@ -1,4 +1,4 @@
-"""Records of what each engine is to hold and serves, in the object API."""
+"""Placement records in the object API: models each engine serves or gets."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """What is written of one engine.
+    """Placement record of one engine.
 
     Parameters
     ==========
@@ -17,11 +17,11 @@
     fence : int
         Fencing number of the writer.
     intent : dict
-        Model to version and adapters: what the next order will state.
+        Model to version and adapters, as the next order will state them.
     serving : tuple of str
-        Models that get new work there, sorted.
+        Models for which the engine gets new work, sorted.
     incarnation : str
-        Of the engine that was read back.
+        Incarnation of the engine when its state was read.
     """
 
     fence: int
@@ -30,7 +30,7 @@
     incarnation: str
 
     def value(self, mark):
-        """Return the value to write, with the mark of the write."""
+        """Return the value to write, including the mark of the write."""
         return {
             'fence': self.fence,
             'intent': self.intent,
@@ -45,16 +45,16 @@
     return f'{domain}/{engine}'
 
 
-def intent_of(models):
-    """Return models and their holdings as they stand in a record."""
+def intent_from_models(models):
+    """Return models and their holdings in the form of a record."""
     return {
         model: [holding.version, list(holding.adapters)]
         for model, holding in sorted(models.items())
     }
 
 
-def record_of(value):
-    """Return the record of a value."""
+def record_from_value(value):
+    """Return the record that is stored as a value."""
     return Record(
         value['fence'],
         value['intent'],
@@ -64,15 +64,15 @@
 
 
 class Holds:
-    """Which engine serves which model now, as the records say.
+    """Index of the models that each engine serves, from the records.
 
     Explanation
     ===========
 
-    Called with an engine and a model it returns whether new work may go
-    there. An engine without a record counts as holding all that its pool
-    declares, as before the first placement. During an outage the last that
-    was seen stays.
+    A call with an engine and a model returns whether the engine may get new
+    work for the model. An engine without a record is assumed to hold all
+    models of its pool, as before the first placement. During an outage of
+    the object API the last records seen remain valid.
 
     Parameters
     ==========
@@ -89,7 +89,7 @@
     >>> holds('e1', 'draft')
     True
     >>> record = Record(3, {}, ('tags',), '1').value('erie-1/1')
-    >>> holds.take(Change('placements', 'erie/e1', 4, record, 4))
+    >>> holds.apply_change(Change('placements', 'erie/e1', 4, record, 4))
     >>> holds('e1', 'draft'), holds('e1', 'tags')
     (False, True)
     """
@@ -101,12 +101,12 @@
         self.serving = {}
 
     def __call__(self, engine, model):
-        """Return whether an engine takes new work for a model."""
+        """Return whether an engine may get new work for a model."""
         serving = self.serving.get(engine)
         return serving is None or model in serving
 
-    def take(self, change):
-        """Take a change of a record; for the platform's watch."""
+    def apply_change(self, change):
+        """Apply a change of a record; callback of the platform's watch."""
         engine = change.name.rpartition('/')[-1]
         if change.value is None:
             self.serving.pop(engine, None)
--- a/pollenstile/placement/_service.py
+++ b/pollenstile/placement/_service.py
@@ -1,10 +1,10 @@
-"""Placement as one entry host runs it."""
+"""Periodic tasks of placement in one entry host."""
 
 from twisted.internet.defer import Deferred, gatherResults
 from twisted.internet.task import LoopingCall
 
 from pollenstile.placement import events
-from pollenstile.placement._keeper import lease_tick, released
+from pollenstile.placement._leasemanager import lease_tick, release_lease
 from pollenstile.placement._placer import placer_round
 from pollenstile.placement._records import PLACEMENTS
 from pollenstile.platform import watch
@@ -15,7 +15,7 @@
 
 
 class Placement:
-    """The loops of placement in one host.
+    """Lease, placement and demand loops of one host.
 
     Parameters
     ==========
@@ -23,11 +23,11 @@
     placer : Placer
         Acts while the host holds the lease of its domain.
     holds : Holds
-        Follows the records of all domains.
+        Follows the placement records of all domains.
     demand : Demand
-        Counted by this host.
+        Demand that this host counts.
     board : DemandBoard
-        Where hosts tell each other their demand.
+        Publishes the demand of this host and reads that of the others.
     """
 
     __slots__ = ('board', 'demand', 'holds', 'loops', 'placer', 'watch')
@@ -41,57 +41,58 @@
         self.watch = None
 
     def start(self):
-        """Start to watch records, to hold the lease and to place."""
+        """Start the watch of the records and all loops."""
         placer = self.placer
         self.watch = watch(
             placer.store,
             PLACEMENTS,
-            self.holds.take,
+            self.holds.apply_change,
             placer.clock,
             placer.random,
             placer.log,
         )
-        self._every(LEASE_PERIOD, self._lease)
-        self._every(ROUND_PERIOD, self._round)
-        self._every(DEMAND_PERIOD, self._tell)
+        self._run_every(LEASE_PERIOD, self._lease)
+        self._run_every(ROUND_PERIOD, self._round)
+        self._run_every(DEMAND_PERIOD, self._exchange_demand)
 
     def in_force(self, snapshot):
-        """Place by another manifest from now on."""
+        """Use the manifest of a configuration snapshot from now on."""
         self.placer.manifest = snapshot.manifest
 
     async def leave(self):
-        """Give no more orders and give the lease back.
+        """Send no more orders and release the lease.
 
         Explanation
         ===========
 
-        What runs is waited for: a lease that was being taken would be held
-        after it was given back, and an order could follow it. The records are
-        followed on, for requests that are still in flight.
+        Running loops are waited for. Otherwise a lease whose acquisition is
+        in progress would be held after the release, and an order could
+        follow. The watch of the records goes on, for requests that are still
+        in flight.
         """
         for loop, _ended in self.loops:
             loop.stop()
         await gatherResults([ended for _loop, ended in self.loops])
-        await released(self.placer.keeper)
+        await release_lease(self.placer.lease_manager)
 
     def stop(self):
-        """Follow the records no longer."""
+        """Stop the watch of the records."""
         if self.watch is not None:
             self.watch.stop()
 
-    def _every(self, period, work):
+    def _run_every(self, period, work):
         loop = LoopingCall(lambda: self._guarded(work()))
         loop.clock = self.placer.clock
         self.loops.append((loop, loop.start(period)))
 
     def _guarded(self, work):
         running = Deferred.fromCoroutine(work)
-        # An error in one round must not end the loop: the host would keep
-        # its lease and never place again.
-        running.addErrback(self._failed)
+        # An error in one round must not end the loop. Otherwise the host
+        # would keep its lease and never place again.
+        running.addErrback(self._log_failure)
         return running
 
-    def _failed(self, failure):
+    def _log_failure(self, failure):
         self.placer.log(
             events.ROUND_FAILED,
             level='error',
@@ -99,14 +100,14 @@
         )
 
     def _lease(self):
-        return lease_tick(self.placer.keeper)
+        return lease_tick(self.placer.lease_manager)
 
     def _round(self):
         return placer_round(self.placer)
 
-    async def _tell(self):
-        await self.board.tell(self.demand.turn(DEMAND_PERIOD))
-        if not self.placer.keeper.holds():
+    async def _exchange_demand(self):
+        await self.board.publish(self.demand.end_interval(DEMAND_PERIOD))
+        if not self.placer.lease_manager.holds():
             return
         total = await self.board.read()
         if total is not None:
--- a/pollenstile/placement/_steps.py
+++ b/pollenstile/placement/_steps.py
@@ -1,4 +1,4 @@
-"""The next step that takes one engine to its wanted end."""
+"""Selects the next step that takes an engine to its wanted holdings."""
 
 from dataclasses import dataclass
 
@@ -7,31 +7,31 @@
 
 @dataclass(slots=True, frozen=True)
 class Settled:
-    """The engine holds what is wanted."""
+    """The engine holds the wanted models."""
 
 
 @dataclass(slots=True, frozen=True)
 class Loading:
-    """The engine loads what is wanted; wait."""
+    """Wait while the engine loads wanted models."""
 
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """Give these models no new work."""
+    """Send the engine no new work for these models."""
 
     models: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class Draining:
-    """Calls of these models have not ended yet; wait."""
+    """Wait until the calls for these models have ended."""
 
     models: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class Swap:
-    """Order this end.
+    """Order the engine to hold these models.
 
     Parameters
     ==========
@@ -39,9 +39,9 @@
     models : dict
         Model to :class:`Holding`.
     loads : dict
-        Those of them that the engine has to load.
+        Those of the models that the engine has to load.
     overdue : bool
-        Whether the bound of the drain is over with calls in flight.
+        Whether the drain reached its time limit with calls in flight.
     """
 
     models: dict[str, Holding]
@@ -51,19 +51,19 @@
 
 @dataclass(slots=True, frozen=True)
 class DrainTiming:
-    """Seconds of a drain.
+    """Durations of a drain in seconds.
 
     Parameters
     ==========
 
     notice : float
-        Until all entry hosts have surely seen that it began.
-    bound : float
-        Until calls in flight are waited for no longer.
+        Time after which all entry hosts are certain to have seen the drain.
+    limit : float
+        Time after which calls in flight are no longer waited for.
     """
 
     notice: float = 2.0
-    bound: float = 10.0
+    limit: float = 10.0
 
 
 def leaving_models(state, wanted):
@@ -81,22 +81,23 @@
     Explanation
     ===========
 
-    A model that has to go is drained before the order. An order asks for at
-    most one new load, so that the weight store is asked in small steps.
+    A model that has to be unloaded is drained before the order. An order
+    causes at most one new load, so that tickets are requested from the weight
+    store one by one.
 
     Parameters
     ==========
 
     state : EngineState
-        As the engine stated it.
+        State that the engine reported.
     wanted : dict
         Model to :class:`Holding`.
     draining : dict
-        Model to when its drain began.
+        Model to the time at which its drain began.
     now : float
-        Seconds on the clock of the drains.
+        Seconds on the clock that measures drains.
     timing : DrainTiming
-        How long to drain.
+        Durations of a drain.
 
     Returns
     =======
@@ -118,80 +119,80 @@
     leaving = leaving_models(state, wanted)
     if any(model not in draining for model in leaving):
         return Drain(leaving)
-    busy = _busy(state, leaving, draining, now, timing)
-    if busy is None:
+    overdue = _drain_overdue(state, leaving, draining, now, timing)
+    if overdue is None:
         return Draining(leaving)
-    ends = _kept(state, wanted, leaving)
-    loads = due_loads(state, wanted)
-    ends.update(loads)
-    if ends == {**state.models, **state.loading} and state.role == ANY_ROLE:
+    target = _retained_models(state, wanted, leaving)
+    loads = next_load(state, wanted)
+    target.update(loads)
+    if target == {**state.models, **state.loading} and state.role == ANY_ROLE:
         return Loading() if state.loading else Settled()
-    return Swap(ends, loads, busy)
+    return Swap(target, loads, overdue)
 
 
-def due_loads(state, wanted):
-    """Return the model that the engine is to load next, with its holding.
+def next_load(state, wanted):
+    """Return the next model that the engine is to load, with its holding.
 
     Explanation
     ===========
 
-    Empty while the engine loads something that is wanted. A further adapter
-    of a model that is held counts as a load.
+    The result is empty while the engine loads a wanted model. Adding an
+    adapter to a model that is held counts as a load.
     """
     for model, holding in state.loading.items():
         if wanted.get(model) == holding:
             return {}
     for model in sorted(wanted):
-        if _lacks(state.models.get(model), wanted[model]):
+        if _needs_load(state.models.get(model), wanted[model]):
             return {model: wanted[model]}
     return {}
 
 
-def _lacks(held, wanted):
+def _needs_load(held, wanted):
     if held is None or held.version != wanted.version:
         return True
     return not set(wanted.adapters).issubset(held.adapters)
 
 
-def _busy(state, leaving, draining, now, timing):
-    """Return None to wait, else whether calls of a drain are cut."""
-    busy = False
+def _drain_overdue(state, leaving, draining, now, timing):
+    """Return None to wait, else whether the swap cuts off calls in flight."""
+    overdue = False
     for model in leaving:
-        passed = now - draining[model]
-        if passed < timing.notice:
+        elapsed = now - draining[model]
+        if elapsed < timing.notice:
             return None
         if not state.running.get(model):
             continue
-        if passed < timing.bound:
+        if elapsed < timing.limit:
             return None
-        busy = True
-    return busy
+        overdue = True
+    return overdue
 
 
-def _kept(state, wanted, leaving):
-    """Return what the engine has or loads already and is to keep."""
-    kept = {}
+def _retained_models(state, wanted, leaving):
+    """Return the models that the engine holds or loads and is to keep."""
+    retained = {}
     for model, holding in wanted.items():
         if state.loading.get(model) == holding:
-            kept[model] = holding
+            retained[model] = holding
             continue
         held = state.models.get(model)
         if held is None or model in leaving:
             continue
-        kept[model] = held if _lacks(held, holding) else holding
-    return kept
+        retained[model] = held if _needs_load(held, holding) else holding
+    return retained
 
 
-def deferred_drains(states, wanted, draining, most):
-    """Return the engines whose drain has to wait.
+def deferred_drains(states, wanted, draining, max_swaps):
+    """Return the engines whose drain has to wait, with the reasons.
 
     Explanation
     ===========
 
-    At most some engines swap at one time, so that capacity stays. And the
-    last engine that serves a model is not drained while another engine, that
-    can go first, is to hold the model. Where engines wait for each other in a
-    circle, the first by name goes.
+    The number of engines that swap at the same time is limited, to keep
+    capacity. The last engine that serves a model is not drained while another
+    engine that can swap first is to hold the model. If engines wait for each
+    other in a cycle, the first one by name proceeds.
 
     Parameters
     ==========
@@ -202,8 +203,8 @@
         Engine to its models with their :class:`Holding`.
     draining : dict
         Engine to its models that are being drained.
-    most : int
-        Engines that may swap at one time.
+    max_swaps : int
+        Number of engines that may swap at the same time.
 
     Examples
     ========
@@ -213,25 +214,25 @@
     >>> states = {'e1': EngineState('1', models={'a': a})}
     >>> states['e2'] = EngineState('1')
     >>> wanted = {'e1': {'b': b}, 'e2': {'a': a}}
-    >>> deferred_drains(states, wanted, {}, most=1)
+    >>> deferred_drains(states, wanted, {}, max_swaps=1)
     {'e1': 'last server of a'}
     """
-    need = _drains_needed(states, wanted)
+    needed = _needed_drains(states, wanted)
     servers = _servers(states, draining)
-    stuck = {
+    sole_servers = {
         name
-        for name, leaving in need.items()
+        for name, leaving in needed.items()
         if any(servers.get(model) == {name} for model in leaving)
     }
     swapping = _swapping(states, draining)
     deferred = {}
-    for name, leaving in sorted(need.items()):
+    for name, leaving in sorted(needed.items()):
         if draining.get(name):
             continue
-        last = _last_served(name, leaving, servers, wanted, stuck)
-        if last:
-            deferred[name] = f'last server of {last}'
-        elif len(swapping) >= most:
+        sole = _last_served_model(name, leaving, servers, wanted, sole_servers)
+        if sole:
+            deferred[name] = f'last server of {sole}'
+        elif len(swapping) >= max_swaps:
             deferred[name] = 'enough swaps'
         else:
             swapping.add(name)
@@ -240,13 +241,13 @@
     return deferred
 
 
-def _drains_needed(states, wanted):
-    need = {}
+def _needed_drains(states, wanted):
+    needed = {}
     for name, state in states.items():
         leaving = leaving_models(state, wanted.get(name, {}))
         if leaving:
-            need[name] = leaving
-    return need
+            needed[name] = leaving
+    return needed
 
 
 def _servers(states, draining):
@@ -267,11 +268,11 @@
     }
 
 
-def _last_served(name, leaving, servers, wanted, stuck):
+def _last_served_model(name, leaving, servers, wanted, sole_servers):
     for model in leaving:
         if servers[model] - {name}:
             continue
         for other, models in wanted.items():
-            if other != name and model in models and other not in stuck:
+            if other != name and model in models and other not in sole_servers:
                 return model
     return ''
--- a/pollenstile/placement/events.py
+++ b/pollenstile/placement/events.py
@@ -1,37 +1,37 @@
-"""Numbered events of placement."""
+"""Numbered log events of placement."""
 
 from pollenstile.ops.events import define
 
 LEASE_TAKEN = define(
     5001,
     'lease-taken',
-    'This host now gives the orders of its failure domain.',
+    'This host acquired the lease and now orders the engines of its domain.',
 )
 LEASE_RENEWED = define(
     5002,
     'lease-renewed',
-    'The lease on the orders of a failure domain was renewed.',
+    'The lease of a failure domain was renewed.',
 )
 LEASE_LOST = define(
     5003,
     'lease-lost',
-    'Another host has the lease, or a higher fencing number was seen.',
+    'Another host holds the lease, or a higher fencing number was seen.',
 )
 LEASE_LAPSED = define(
     5004,
     'lease-lapsed',
-    'The lease could not be renewed in its term; no orders are given.',
-    'See whether the object API is down, or this host was suspended.',
+    'The lease could not be renewed within its term; no orders are sent.',
+    'Check whether the object API is down or this host was suspended.',
 )
 LEASE_IN_DOUBT = define(
     5005,
     'lease-in-doubt',
-    'It is not known whether a write of the lease was applied.',
+    'It is unknown whether a write of the lease was applied.',
 )
 LEASE_RELEASED = define(
     5006,
     'lease-released',
-    'A leaving host gave the lease back.',
+    'A leaving host released the lease.',
 )
 PLAN = define(
     5010,
@@ -41,91 +41,91 @@
 UNPLACED = define(
     5011,
     'placement-unplaced',
-    'A model has no engine: memory does not allow it.',
-    'Add engines or memory, or take a model out of the pool.',
+    'No engine has enough memory for a model.',
+    'Add engines or memory, or remove a model from the pool.',
 )
 DRAIN = define(
     5012,
     'placement-drain',
-    'An engine gets no new work for some models, which will be unloaded.',
+    'An engine gets no new work for models that are to be unloaded.',
 )
 DRAIN_OVER = define(
     5013,
     'placement-drain-over',
-    'The bound of a drain is over with calls still in flight.',
-    'When it comes often, see which calls run longer than their deadline.',
+    'A drain reached its time limit with calls still in flight.',
+    'If this is frequent, check which calls run beyond their deadline.',
 )
 ORDER_SENT = define(
     5014,
     'order-sent',
-    'An order with a wanted end was sent to an engine.',
+    'An order with the models to hold was sent to an engine.',
 )
 ORDER_ANSWERED = define(
     5015,
     'order-answered',
-    'An engine took an order.',
+    'An engine accepted an order.',
 )
 ORDER_REFUSED = define(
     5016,
     'order-refused',
     'An engine refused an order.',
-    'With reason old-fence nothing; else compare the engine with the manifest.',
+    'None for reason old-fence; else compare the engine with the manifest.',
 )
 ORDER_LOST = define(
     5017,
     'order-lost',
-    'The answer to an order was lost; the engine is read back.',
+    'The answer to an order was lost; the state of the engine is read.',
 )
 ORDER_WITHHELD = define(
     5018,
     'order-withheld',
-    'An order was not sent: the term was over right before it.',
+    'An order was not sent, because the lease ended just before.',
 )
 INTENT_WRITTEN = define(
     5019,
     'intent-written',
-    'What an engine is to hold was written to the object API.',
+    'The models that an engine is to hold were written to the object API.',
 )
 INTENT_FAILED = define(
     5020,
     'intent-failed',
-    'An intent could not be written, so its order was not given.',
+    'A placement record could not be written, so no order was sent.',
 )
 LOAD_WAITS = define(
     5021,
     'load-waits',
-    'A load waits: the weight store refuses, or enough loads are running.',
-    'When it lasts, ask for a higher rate of the weight store.',
+    'A load waits for the weight store or for other loads to complete.',
+    'If this persists, request a higher rate limit at the weight store.',
 )
 LOAD_ALLOWED = define(
     5022,
     'load-allowed',
-    'The weight store lets an engine load a version.',
+    'The weight store permitted an engine to load a version of a model.',
 )
 SWAP_WAITS = define(
     5023,
     'swap-waits',
-    'A drain waits, so that its model keeps an engine and capacity stays.',
+    'A drain waits, to keep capacity and an engine for each model.',
 )
 ENGINE_RESTARTED = define(
     5024,
     'engine-restarted',
-    'An engine has another incarnation than before.',
+    'An engine has a new incarnation.',
 )
 ENGINE_UNSEEN = define(
     5025,
     'engine-unseen',
-    'An engine did not state what it holds; it gets no orders.',
-    'See whether the engine is up and can be reached.',
+    'The state of an engine could not be read; it gets no orders.',
+    'Check whether the engine is up and reachable.',
 )
 HOLDS_CHANGED = define(
     5026,
     'holds-changed',
-    'Which models of an engine get new work has changed.',
+    'The models for which an engine gets new work changed.',
 )
 ROUND_FAILED = define(
     5027,
     'placement-round-failed',
-    'A round of placement raised an error; the next one follows.',
-    'File the error as a bug.',
+    'A placement round raised an error; the next round runs as usual.',
+    'Report the error as a bug.',
 )
