--- a/features/builders/placement.py
+++ b/features/builders/placement.py
@@ -1,4 +1,4 @@
-"""Builders of placement: hosts, engines, a store, on virtual clocks."""
+"""Builders of placement: hosts, engines and a store on virtual clocks."""
 
 from dataclasses import replace
 from random import Random
@@ -47,47 +47,47 @@
 
 
 class HostStore:
-    """One host's way to the store, which can be cut."""
+    """One host's connection to the store, which can be cut."""
 
-    __slots__ = ('cut', 'cut_by_write', 'down_store', 'store')
+    __slots__ = ('cut', 'cut_on_lease_write', 'store', 'unreachable_store')
 
     def __init__(self, clock, store):
         self.store = store
         self.cut = False
-        self.cut_by_write = False
-        self.down_store = MemoryStore(clock)
-        self.down_store.down = True
+        self.cut_on_lease_write = False
+        self.unreachable_store = MemoryStore(clock)
+        self.unreachable_store.down = True
 
     async def put(self, *arguments):
-        """Write; the way may break at that."""
+        """Write; the connection may be set to break after a lease write."""
         if self.cut:
-            return await self.down_store.put(*arguments)
-        if self.cut_by_write and arguments[0] == LEASES:
+            return await self.unreachable_store.put(*arguments)
+        if self.cut_on_lease_write and arguments[0] == LEASES:
             self.store.lose_answers = 1
             self.cut = True
         return await self.store.put(*arguments)
 
     def __getattr__(self, name):
-        """Return the method of the store, or of one that is down."""
-        return getattr(self.down_store if self.cut else self.store, name)
+        """Return the method of the store, or of one that is unreachable."""
+        return getattr(self.unreachable_store if self.cut else self.store, name)
 
 
 class Host:
     """One entry host's placement; its clock stops while it is paused."""
 
     __slots__ = (
-        'asked',
         'clock',
-        'due',
         'lease_manager',
-        'lines',
+        'log_lines',
         'paused',
+        'pending_calls',
         'placement',
         'placer',
         'rate',
         'store',
         'suspended',
         'ticket_gate',
+        'ticket_requests',
         'weights',
     )
 
@@ -96,9 +96,9 @@
         self.rate = 1.0
         self.paused = False
         self.suspended = 0.0
-        self.due = {}
-        self.asked = 0
-        self.lines = []
+        self.pending_calls = {}
+        self.ticket_requests = 0
+        self.log_lines = []
         self.ticket_gate = None
         self.weights = world.weights
         self.store = HostStore(world.clock, world.store)
@@ -129,48 +129,50 @@
 
     @property
     def fence(self):
-        """Its fencing number, 0 when it has none."""
+        """Fencing number of the host, 0 if it is not the holder."""
         return self.lease_manager.lease.fence
 
     def boot_seconds(self):
-        """Return seconds, those in which it was paused included."""
+        """Return seconds, including those during which it was paused."""
         return self.clock.seconds() + self.suspended
 
     def log(self, event, level='info', **fields):
-        """Keep a line."""
-        self.lines.append((event.name, fields))
+        """Keep a log line."""
+        self.log_lines.append((event.name, fields))
 
     def logged(self, name):
         """Return how often an event was logged."""
-        return sum(line[0] == name for line in self.lines)
+        return sum(line[0] == name for line in self.log_lines)
 
     def ticket(self, model, version):
-        """Return the weight store's answer, late while a gate is closed."""
-        self.asked += 1
+        """Return the weight store's answer, delayed until the gate opens."""
+        self.ticket_requests += 1
         answer = self.weights.ticket(model, version)
         if self.ticket_gate is None:
             return answer
         waiting = Deferred()
-        self.ticket_gate.addCallback(_opened, waiting)
+        self.ticket_gate.addCallback(_release, waiting)
         return waiting.addCallback(lambda _: answer)
 
-    def call(self, rates):
+    def count_calls(self, rates):
         """Count the calls of one step at these rates."""
         for model, rate in rates.items():
-            self.due[model] = self.due.get(model, 0) + rate * STEP
-            while self.due[model] >= 1:
-                self.due[model] -= 1
+            self.pending_calls[model] = (
+                self.pending_calls.get(model, 0) + rate * STEP
+            )
+            while self.pending_calls[model] >= 1:
+                self.pending_calls[model] -= 1
                 self.placement.demand.count(model)
 
     def advance(self, seconds):
-        """Let time pass, seen or not."""
+        """Let time pass; the host's clock stops while it is paused."""
         if self.paused:
             self.suspended += seconds * self.rate
         else:
             self.clock.advance(seconds * self.rate)
 
 
-def _opened(outcome, waiting):
+def _release(outcome, waiting):
     waiting.callback(None)
     return outcome
 
@@ -180,9 +182,9 @@
 
     __slots__ = (
         'clock',
+        'drain_times',
         'engines',
         'fences',
-        'gaps',
         'hosts',
         'manifest',
         'models',
@@ -217,25 +219,25 @@
         self.overlaps = 0
         self.rates = {}
         self.served_at = {}
-        self.gaps = []
+        self.drain_times = []
         self.fences = []
 
-    def host(self, name):
-        """Return a host that has started."""
+    def start_host(self, name):
+        """Start a host and return it."""
         self.hosts[name] = Host(self, name, self.timing)
         self.hosts[name].placement.start()
         return self.hosts[name]
 
-    def until(self, condition):
-        """Let time pass until a condition holds, at most 100 s."""
+    def advance_until(self, condition):
+        """Let time pass until a condition is true, at most 100 s."""
         for _ in range(round(100 / STEP)):
             if condition():
                 return
             self.advance(STEP)
-        assert condition(), 'the condition never held'
+        assert condition(), 'the condition did not become true in 100 s'
 
     def holders(self):
-        """Return the hosts that may give orders now."""
+        """Return the hosts that may send orders now."""
         return [
             name
             for name, each in self.hosts.items()
@@ -243,18 +245,18 @@
         ]
 
     def advance(self, seconds):
-        """Let time pass everywhere, and note holders."""
+        """Let time pass for all, and record lease holders and drains."""
         for _ in range(round(seconds / STEP)):
             self.clock.advance(STEP)
             for host in self.hosts.values():
                 host.advance(STEP)
-                host.call(self.rates)
-            self._note()
-            self._note_work()
+                host.count_calls(self.rates)
+            self._record_holders()
+            self._record_drains()
 
     def serving(self, model):
         """Return the engines that hold a model and get new work for it."""
-        # The host that came last is never cut off from the store.
+        # The host that started last is never cut off from the store.
         holds = tuple(self.hosts.values())[-1].placement.holds
         serving = []
         for name, engine in self.engines.items():
@@ -266,13 +268,13 @@
         """Return how many engines load now."""
         return sum(bool(each.loading) for each in self.engines.values())
 
-    def held(self, name):
-        """Return models and versions of an engine as one text."""
+    def held_models(self, name):
+        """Return the models and versions of an engine as a string."""
         models = sorted(self.engines[name].models.items())
         return ', '.join(f'{model}:{each.version}' for model, each in models)
 
-    def orders_of(self, holder):
-        """Return the orders of a host that engines took."""
+    def accepted_orders(self, holder):
+        """Return the orders of a host that engines accepted."""
         return [
             order
             for engine in self.engines.values()
@@ -280,7 +282,7 @@
             if order.ident.startswith(f'{holder}/')
         ]
 
-    def _note(self):
+    def _record_holders(self):
         holders = self.holders()
         self.overlaps += len(holders) > 1
         for name in holders:
@@ -288,20 +290,20 @@
             if (fence, name) not in self.fences:
                 self.fences.append((fence, name))
 
-    def _note_work(self):
-        """Note how long an engine got no work before it lost a model."""
+    def _record_drains(self):
+        """Record for how long an engine got no work before an unload."""
         now = self.clock.seconds()
         for model in self.models:
             for name in self.serving(model):
                 self.served_at[name, model] = now
         for served, last in tuple(self.served_at.items()):
             if served[1] not in self.engines[served[0]].models:
-                self.gaps.append(now - last)
+                self.drain_times.append(now - last)
                 self.served_at.pop(served)
 
 
 def routed_node(clock, manifest):
-    """Return a node over virtual engines, and these."""
+    """Return a node over virtual engines, and the engines."""
     engines = {}
     for name, upstream in manifest.pools['engines'].upstreams.items():
         times = Times(lambda: 0.05, lambda: 0.01)
@@ -317,13 +319,13 @@
     )
     store = MemoryStore(clock)
     orders = MemoryOrders(clock, {})
-    place_engines(node, store, orders, no_work, clock.seconds)
-    node.in_force.offer(1, text_from_manifest(_served(manifest)), 'test')
+    place_engines(node, store, orders, succeed_at_once, clock.seconds)
+    node.in_force.offer(1, text_from_manifest(_with_pipeline(manifest)), 'test')
     return node, engines
 
 
-def _served(manifest):
-    """Return a manifest with a pipeline of one stage besides."""
+def _with_pipeline(manifest):
+    """Return the manifest with a pipeline of one stage added."""
     stage = Stage('write', 'engines', model='draft', max_tokens=4)
     return replace(
         manifest,
@@ -352,11 +354,11 @@
     )
 
 
-def loaded(engine, model, version='1'):
-    """Let a stand-in hold one model from the start."""
+def set_held_model(engine, model, version='1'):
+    """Make a stand-in hold just this model."""
     engine.models = {model: Holding(version)}
 
 
-def no_work():
-    """Return a Deferred: in place of a guard that is taken out."""
+def succeed_at_once():
+    """Return a fired Deferred; replaces a guard that a scenario removes."""
     return succeed(True)
--- a/features/placement.feature
+++ b/features/placement.feature
@@ -1,6 +1,6 @@
-Feature: placement orders: engines come to hold what is wanted
+Feature: placement orders bring engines to the wanted models
 
-  Scenario: Empty placement engines come to hold every model
+  Scenario: Empty placement engines load every model
     Given placement engines "e1, e2, e3" for models "draft, tags"
     And a placement host "a" that holds the lease
     When 40 placement seconds pass
@@ -8,9 +8,9 @@
     And new work for "draft" goes only to placement engines that hold it
 
   Scenario: Placement follows demand that shifts between two models
-    In the morning tickets are drafted, at noon urgency is tagged. With the
-    engines as in the morning, tagging would queue at one engine while three
-    stand idle. No model may be without an engine on the way.
+    Demand shifts from drafting in the morning to tagging at noon. Without
+    a new placement, tagging would queue at one engine while three are idle.
+    During the change each model must always be held by an engine.
     Given placement engines "e1, e2, e3, e4" for models "draft, tags"
     And a placement host "a" that holds the lease
     And placement demand of "draft" at 9 and "tags" at 1
@@ -21,29 +21,29 @@
     Then 3 placement engines hold "tags"
     And 2 placement engines got no new work before their swap
 
-  Scenario: A placement swap waits for calls in flight, but not for ever
-    A swap begins while the engine still streams an answer. Unloaded at once,
-    the stream would break and its caller would wait for a second try.
+  Scenario: A placement swap waits for calls in flight, but not indefinitely
+    A swap begins while the engine still streams an answer. If the model were
+    unloaded at once, the stream would break and be attempted again.
     Given placement engines "e1" for models "draft"
     And a placement host "a" that holds the lease
     And placement engine "e1" holds "draft" and has 2 calls in flight
-    When the placement manifest goes to version "2"
+    When the placement manifest changes to version "2"
     And 6 placement seconds pass
     Then placement engine "e1" holds "draft:1" and gets no new work
     When the calls at placement engine "e1" end
     And 10 placement seconds pass
     Then placement engine "e1" holds "draft:2" and gets new work
 
-  Scenario: A placement swap goes on when calls hang past the bound
+  Scenario: A placement swap proceeds when calls exceed the drain limit
     Given placement engines "e1" for models "draft"
     And a placement host "a" that holds the lease
     And placement engine "e1" holds "draft" and has 1 calls in flight
-    When the placement manifest goes to version "2"
+    When the placement manifest changes to version "2"
     And 25 placement seconds pass
     Then placement engine "e1" holds "draft:2" and gets new work
     And placement host "a" logged "placement-drain-over"
 
-  Scenario: Adapters are loaded beside a model that placement keeps
+  Scenario: Adapters are added to a model that placement keeps loaded
     Given placement engines "e1" for models "draft"
     And a placement host "a" that holds the lease
     And placement engine "e1" holds "draft" and has 2 calls in flight
@@ -53,14 +53,14 @@
     And placement host "a" did not log "placement-drain"
     And the placement weight store gave 1 tickets
 
-  Scenario: While the weight store refuses, placement engines keep what they have
-    A new version is rolled out, and the weight store refuses all loads. An
-    engine that was drained or unloaded first would serve nothing meanwhile.
+  Scenario: While the weight store refuses, placement engines keep their models
+    A new version is rolled out while the weight store refuses all loads. An
+    engine that was drained or unloaded first would serve nothing until then.
     Given placement engines "e1, e2" for models "draft"
     And a placement host "a" that holds the lease
     And every placement engine holds "draft"
-    And the placement weight store refuses
-    When the placement manifest goes to version "2"
+    And the placement weight store refuses all loads
+    When the placement manifest changes to version "2"
     And 60 placement seconds pass
     Then the placement engines hold "draft:1, draft:1" in some order
     And new work for "draft" goes to 2 placement engines
@@ -69,38 +69,38 @@
     And 60 placement seconds pass
     Then the placement engines hold "draft:2, draft:2" in some order
 
-  Scenario: Placement loads are spread over the weight store's rate
-    All engines of a domain restart at once and want the same weights. Asked
-    for together they would take the whole rate from the other domains.
+  Scenario: Placement loads respect the weight store's rate limit
+    All engines of a domain restart at once and need the same weights.
+    Simultaneous requests would use up the rate limit of the other domains.
     Given placement engines "e1, e2, e3, e4, e5, e6" for models "draft"
     And a placement host "a" that holds the lease
     When 60 placement seconds pass
     Then 6 placement engines hold "draft"
-    And at most 2 placement engines ever loaded at one time
+    And at most 2 placement engines loaded at the same time
     And the placement weight store gave 6 tickets
 
-  Scenario: Placement engines that die while they load hold nobody back
-    Two engines load, as many as may at one time, and die. If their tickets
-    still counted, no other engine of the domain could ever load.
+  Scenario: Placement engines that die during a load do not block others
+    Two engines, the limit of simultaneous loads, die while they load. If
+    their tickets still counted, no engine of the domain could load again.
     Given placement engines "e1, e2, e3, e4" for models "draft"
     And a placement host "a" that holds the lease
     When the first 2 placement engines die while they load
     And 60 placement seconds pass
     Then 2 reachable placement engines hold "draft"
 
-  Scenario: A placement rollout leaves most engines at work
-    A new version goes to all engines. Were all drained at one time, every
-    caller would be refused until the first load is done.
+  Scenario: A placement rollout keeps most engines in service
+    A new version is rolled out to all engines. If all were drained at once,
+    all calls would be refused until the first load is complete.
     Given placement engines "e1, e2, e3, e4" for models "draft"
     And a placement host "a" that holds the lease
     And every placement engine holds "draft"
-    When the placement manifest goes to version "2"
+    When the placement manifest changes to version "2"
     And 120 placement seconds pass, in which 3 engines hold "draft"
     Then placement engine "e4" holds "draft:2" and gets new work
 
-  Scenario: A placement that covers the demand is left alone
-    The engines hold what is wanted, but another one each than a plan from
-    nothing would choose. Each needless swap costs a load.
+  Scenario: A placement that covers the demand is not changed
+    The models are held by other engines than a plan for empty engines would
+    choose. Each unnecessary swap costs a load.
     Given placement engines "e1, e2, e3" for models "draft, tags"
     And placement engine "e1" holds "tags"
     And placement engine "e2" holds "draft"
@@ -109,10 +109,10 @@
     When 40 placement seconds pass
     Then no placement engine was loaded
 
-  Scenario: A placement engine that restarts in mid-load is loaded anew
-    The engine dies while it loads. It comes back empty, at the same address.
-    If the old load still counted, nothing would ever be loaded there, and
-    callers of its only model would be refused until someone looked.
+  Scenario: A placement engine that restarts during a load is loaded again
+    The engine dies during a load and restarts empty at the same address. If
+    the old load still counted, the engine would never load again, and calls
+    for its only model would be refused until an operator intervened.
     Given placement engines "e1" for models "draft"
     And a placement host "a" that holds the lease
     When placement engine "e1" loads, and restarts
@@ -120,9 +120,9 @@
     Then placement engine "e1" holds "draft:1" and gets new work
     And placement host "a" logged "engine-restarted"
 
-  Scenario: The lost answer of a placement order is settled by reading back
-    The engine takes the order, the answer is lost. Sent as a change, a second
-    order would load the model twice, and cost a second ticket.
+  Scenario: A lost answer to a placement order is resolved by a state read
+    The engine accepts the order but the answer is lost. If orders stated
+    changes, the second one would load the model twice for a second ticket.
     Given placement engines "e1" for models "draft"
     And a placement host "a" that holds the lease
     When the answers of the next 1 placement orders are lost
@@ -134,28 +134,28 @@
   Scenario: A lost placement order is sent again
     Given placement engines "e1" for models "draft"
     And a placement host "a" that holds the lease
-    When the next 2 placement orders are lost on their way
+    When the next 2 placement orders are lost in the network
     And 20 placement seconds pass
     Then placement engine "e1" holds "draft:1" and gets new work
     And placement host "a" logged "order-lost"
 
-  Scenario: Without the store no placement orders go out and work goes on
-    The object API is down while a new version is in force from a peer. No
-    holder can be sure to be the only one, so the engines keep what they have.
-    Work goes where it went before.
+  Scenario: Without the store no placement orders are sent and work continues
+    The object API is down while a new version arrives from a peer. No host
+    can verify that it is the only holder, so the engines keep their models.
+    Work is routed as before.
     Given placement engines "e1, e2" for models "draft"
     And a placement host "a" that holds the lease
     And every placement engine holds "draft"
     When the placement store goes down
-    And the placement manifest goes to version "2"
+    And the placement manifest changes to version "2"
     And 90 placement seconds pass
     Then the placement engines hold "draft:1, draft:1" in some order
     And new work for "draft" goes to 2 placement engines
-    When the placement store comes back
+    When the placement store is up again
     And 90 placement seconds pass
     Then the placement engines hold "draft:2, draft:2" in some order
 
-  Scenario: A placement engine that is gone is planned without
+  Scenario: A placement engine that is unreachable is left out of the plan
     Given placement engines "e1, e2, e3" for models "draft, tags"
     And a placement host "a" that holds the lease
     And placement demand of "draft" at 1 and "tags" at 9
@@ -164,9 +164,9 @@
     And 60 placement seconds pass
     Then 1 reachable placement engines hold "draft"
 
-  Scenario: A placement engine that is leaving is planned without
-    The engine is to be replaced and takes no new work. It is the only one of
-    its model: unless another one loads it, callers are refused.
+  Scenario: A placement engine that is leaving is left out of the plan
+    The only engine of a model is to be replaced and gets no new work. Unless
+    another engine loads the model, its callers are refused.
     Given placement engines "e1, e2, e3" for models "draft, tags"
     And a placement host "a" that holds the lease
     And placement demand of "draft" at 1 and "tags" at 9
@@ -176,21 +176,21 @@
     Then 2 placement engines hold "draft"
     And the leaving placement engine got no order
 
-  Scenario: A placement engine that refuses is not asked again at once
-    The engine has less memory than is declared and refuses every order. Asked
-    in each round it would cost a write of the store a second, for nothing.
+  Scenario: A placement engine that refuses is not sent an order again at once
+    The engine has less memory than declared and refuses every order. An order
+    in each round would cost a useless write to the store every second.
     Given placement engines "e1" for models "draft"
     And a placement host "a" that holds the lease
     And placement engine "e1" has no memory
     When 60 placement seconds pass
     Then placement engine "e1" refused from 5 to 7 orders
 
-  Scenario: Placement engines that have settled are looked at less often
+  Scenario: The state of settled placement engines is read less often
     Given placement engines "e1, e2" for models "draft"
     And a placement host "a" that holds the lease
     When 40 placement seconds pass
-    And the placement looks are counted for 60 seconds
-    Then from 10 to 14 placement looks were counted
+    And the placement state reads are counted for 60 seconds
+    Then from 10 to 14 placement state reads were counted
     When placement engine "e1" restarts
     And 25 placement seconds pass
     Then placement engine "e1" holds "draft:1" and gets new work
--- a/features/placement_http.feature
+++ b/features/placement_http.feature
@@ -1,26 +1,26 @@
 Feature: placement over HTTP, and in the request path
 
-  Scenario: A placement order over HTTP is taken, then an older one refused
+  Scenario: A placement order over HTTP is accepted, an older one is refused
     Given a placement engine that checks fencing, over HTTP
     When placement orders "draft" with fence 7 over HTTP
     Then the placement engine answers over HTTP that it loads "draft"
     When placement orders "tags" with fence 6 over HTTP
-    Then the placement engine refuses over HTTP, naming fence 7
-    And a placement look over HTTP shows fence 7
+    Then the placement engine refuses over HTTP with fence 7
+    And a placement state read over HTTP shows fence 7
 
-  Scenario: A placement engine that does not know orders counts as unseen
+  Scenario: A placement engine that lacks the order interface counts as unseen
     An engine of an older release answers the unknown path with another
-    document. Taken for an engine that holds nothing, it would be reloaded.
-    Given a placement engine of a release without orders, over HTTP
-    Then a placement look over HTTP is lost
+    document. If that were read as an empty state, it would be reloaded.
+    Given a placement engine of a release that lacks orders, over HTTP
+    Then a placement state read over HTTP is lost
 
   Scenario: A call for a model that the placement engine lacks is not run
     Given a placement engine that checks fencing, over HTTP
-    Then a call for "tags" there is answered that placement lacks it, not run
+    Then a call for "tags" there is refused as not run
 
-  Scenario Outline: Requests go only where placement says the model is held
-    An engine drains a model and will unload it. A call that is sent there all
-    the same is refused, and its request loses time on a second attempt.
+  Scenario Outline: Requests go only to engines that serve the model by placement
+    An engine drains a model before unloading it. A call that is still sent to
+    it is refused, and the request loses time on a second attempt.
     Given an entry host over two virtual engines, placement <known>
     When 40 requests of the placement pipeline are sent
     Then all placement requests are answered
@@ -28,6 +28,6 @@
     And placement counted a demand of 40 calls
 
     Examples:
-      | known                             | calls     |
-      | knows that "e2" lacks the model   | some none |
-      | knows nothing of engines          | some some |
+      | known                           | calls     |
+      | knows that "e2" lacks the model | some none |
+      | has no records                  | some some |
--- a/features/placement_lease.feature
+++ b/features/placement_lease.feature
@@ -1,25 +1,25 @@
-Feature: placement lease: one host at a time gives orders
+Feature: placement lease: one host at a time sends orders
 
   Scenario: Two placement hosts race for a free lease
-    Two hosts start at one instant. Both read that there is no lease, and both
-    write it. If both writes counted, two hosts would order the same engines
-    to different ends, and callers would wait for loads without end.
+    Two hosts start at the same instant, read that there is no lease, and both
+    write it. If both succeeded, they would send conflicting orders to the
+    same engines, and callers would wait for loads indefinitely.
     Given placement hosts "a, b" that start together
     And the placement store answers after 0.5 seconds
     When 40 placement seconds pass
     Then exactly 1 placement host holds the lease
-    And the placement lease was never held twice at one time
+    And the placement lease was never held by two hosts at once
 
-  Scenario: A placement holder that dies is followed after term and margin
-    The holder's process is killed and can't give the lease back. The domain
-    is without orders until its term has surely ended.
+  Scenario: A placement holder that dies is succeeded after term and margin
+    The holder's process is killed and can't release the lease. No orders are
+    sent in the domain until its term is certain to have ended.
     Given a placement holder "a" and a follower "b"
     When placement host "a" dies
     And 9 placement seconds pass
     Then exactly 0 placement hosts hold the lease
     When 10 placement seconds pass
     Then placement host "b" holds the lease with a higher fence than "a" had
-    And the placement lease was never held twice at one time
+    And the placement lease was never held by two hosts at once
 
   Scenario: A leaving placement holder is followed before its term ends
     Given a placement holder "a" and a follower "b"
@@ -27,50 +27,51 @@
     And 5 placement seconds pass
     Then placement host "b" holds the lease with a higher fence than "a" had
 
-  Scenario: A deleted placement lease is not taken while its holder acts
-    An operator deletes the lease object by hand. Taken at its word, the empty
-    place would be filled at once, while the old holder is in its term.
+  Scenario: A deleted placement lease is not acquired while its holder acts
+    An operator deletes the lease object. If an absent lease counted as free,
+    it would be acquired at once, within the term of the old holder.
     Given a placement holder "a" and a follower "b"
     When the placement lease is deleted while "a" is cut off
     And 20 placement seconds pass
     Then placement host "b" holds the lease with a higher fence than "a" had
-    And the placement lease was never held twice at one time
+    And the placement lease was never held by two hosts at once
 
-  Scenario: The lost answer of a placement renewal is settled by reading back
-    The renewal is applied, but its answer is lost. A holder that took it for
-    failed would stop giving orders, one that wrote anew would lose to itself.
+  Scenario: A lost answer to a placement renewal is resolved by a read
+    The renewal is applied, but its answer is lost. A holder that assumed
+    a failure would stop its orders; a second write would conflict with the
+    first one.
     Given a placement holder "a" and a follower "b"
     When the answers of the next 2 placement writes are lost
     And 30 placement seconds pass
     Then placement host "a" still holds the lease with its fence
 
   Scenario: A placement renewal that stays in doubt is read before the next
-    The renewal was applied, and the store goes silent before it can be read
-    back. The next renewal over the old version would meet a conflict with
-    the holder's own write, and the domain would be without orders.
+    The renewal is applied, but the store becomes unreachable before it can be
+    read back. A renewal conditional on the old version would conflict with
+    the holder's own write, and the domain would have no holder.
     Given a placement holder "a" and a follower "b"
     When a placement renewal of "a" stays in doubt for 2 seconds
     And 6 placement seconds pass
     Then placement host "a" still holds the lease with its fence
 
-  Scenario: A placement holder whose lease is gone stops before its term ends
+  Scenario: A placement holder whose lease is deleted stops before its term ends
     Given a placement holder "a" and a follower "b"
     When the placement lease is deleted
     And 4 placement seconds pass
     Then exactly 0 placement hosts hold the lease
     When 20 placement seconds pass
     Then exactly 1 placement host holds the lease
-    And the placement lease was never held twice at one time
+    And the placement lease was never held by two hosts at once
 
-  Scenario Outline: A placement term counts from before the renewal was sent
-    The answer of a renewal is lost, and the way to the store is broken. Nine
-    seconds later one read gets through and shows that the renewal had been
-    applied. Counted from then, the term ends long after a successor's wait.
+  Scenario Outline: A placement term is counted from before the renewal is sent
+    The answer to a renewal is lost, and the connection to the store breaks.
+    Nine seconds later one read succeeds and shows that the renewal was
+    applied. A term counted from then ends long after a successor's wait.
     Given a placement holder "a" and a follower "b"
     And placement terms count from the <moment>
-    When "a" renews its placement lease, but learns it 8 seconds later
+    When the answer to a placement renewal of "a" is 8 seconds late
     And 6 placement seconds pass
-    Then the placement lease was held twice at one time: <twice>
+    Then the placement lease was held by two hosts at once: <twice>
 
     Examples:
       | moment  | twice |
@@ -78,27 +79,27 @@
       | answer  | yes   |
 
   Scenario Outline: The placement margin covers clocks of different rates
-    The successor's clock runs fast. Its wait ends before the term of
-    a holder that has just lost its way to the store.
+    The successor's clock runs fast. Without a margin its wait ends within the
+    term of a holder that has just lost the connection to the store.
     Given placement leases with a margin of <margin> seconds
     And a placement holder "a" and a follower "b"
-    And placement host "b" looks every second, by a clock that runs at 1.15
+    And placement host "b" reads the lease every second, on a clock at rate 1.15
     When placement host "a" is cut off from the store
     And 30 placement seconds pass
-    Then the placement lease was held twice at one time: <twice>
+    Then the placement lease was held by two hosts at once: <twice>
 
     Examples:
       | margin | twice |
       | 2      | no    |
       | 0      | yes   |
 
-  Scenario: A placement holder that is paused past its term is followed
-    The holder's host is suspended. On its own monotonic clock no time passes,
-    so by that clock its term is as young as before when it comes back.
+  Scenario: A placement holder that is paused beyond its term is succeeded
+    The holder's host is suspended. No time passes on its monotonic clock, so
+    by that clock the term would not have ended when the host resumes.
     Given a placement holder "a" and a follower "b"
     When placement host "a" is paused for 20 seconds
     Then placement host "b" holds the lease with a higher fence than "a" had
-    And the placement lease was never held twice at one time
+    And the placement lease was never held by two hosts at once
 
   Scenario: During an outage the placement holder stops when its term ends
     Given a placement holder "a" and a follower "b"
@@ -106,4 +107,4 @@
     Then exactly 0 placement hosts hold the lease
     When 20 placement seconds pass
     Then exactly 1 placement host holds the lease
-    And the placement lease was never held twice at one time
+    And the placement lease was never held by two hosts at once
--- a/features/steps/placement_http_steps.py
+++ b/features/steps/placement_http_steps.py
@@ -1,4 +1,4 @@
-"""Steps of placement over HTTP and in the request path."""
+"""Steps of placement over HTTP and on the request path."""
 
 from random import Random
 
@@ -31,7 +31,7 @@
 _SIZES = {'draft': 8, 'tags': 8}
 
 
-def _served(context, resource):
+def _serve(context, resource):
     port = listening(site_for(resource, reactor))
     context.add_cleanup(lambda: result_of(port.stopListening()))
     context.port = port.getHost().port
@@ -43,12 +43,12 @@
 def step_engine(context):
     holdings = Holdings(Clock(), 'e1', _SIZES, 16, checks=True)
     rest = EngineResource(Engine(reactor, 'e1'))
-    _served(context, OrderedResource(holdings, rest))
+    _serve(context, OrderedResource(holdings, rest))
 
 
-@given('a placement engine of a release without orders, over HTTP')
+@given('a placement engine of a release that lacks orders, over HTTP')
 def step_old_engine(context):
-    _served(context, EngineResource(Engine(reactor, 'e1')))
+    _serve(context, EngineResource(Engine(reactor, 'e1')))
 
 
 @when('placement orders "{model}" with fence {fence:d} over HTTP')
@@ -64,29 +64,29 @@
     assert context.answer.state.loading == {model: Holding('1')}
 
 
-@then('the placement engine refuses over HTTP, naming fence {fence:d}')
+@then('the placement engine refuses over HTTP with fence {fence:d}')
 def step_refused(context, fence):
     assert context.answer == Refused('old-fence', fence), context.answer
 
 
-def _look(context):
+def _read_state(context):
     return result_of(context.orders.look('e1', context.upstream))
 
 
-@then('a placement look over HTTP shows fence {fence:d}')
+@then('a placement state read over HTTP shows fence {fence:d}')
 def step_look(context, fence):
-    state = _look(context)
+    state = _read_state(context)
     assert isinstance(state, EngineState), state
     assert state.fence == fence, state
 
 
-@then('a placement look over HTTP is lost')
+@then('a placement state read over HTTP is lost')
 def step_look_lost(context):
-    lost = _look(context)
+    lost = _read_state(context)
     assert isinstance(lost, Lost), lost
 
 
-@then('a call for "{model}" there is answered that placement lacks it, not run')
+@then('a call for "{model}" there is refused as not run')
 def step_call(context, model):
     caller = Caller(reactor, reactor, '127.0.0.1', context.port)
     body = wire.encoded(wire.CompletionCall(model, 'a leak', 4))
@@ -103,7 +103,7 @@
     context.node = node
     context.engines = engines
     context.placement = node.placement
-    if known != 'knows nothing of engines':
+    if known != 'has no records':
         context.placement.holds.serving['e2'] = frozenset()
 
 
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -1,4 +1,4 @@
-"""Steps of placement."""
+"""Steps of placement orders, leases and fencing."""
 
 from behave import given, then, use_step_matcher, when
 from twisted.internet.defer import Deferred
@@ -7,9 +7,9 @@
 from features.builders.placement import (
     DOMAIN,
     World,
-    loaded,
+    set_held_model,
     manifest_of,
-    no_work,
+    succeed_at_once,
 )
 from pollenstile.manifest import Model
 from pollenstile.placement import LeaseTiming, _enginesteps, _leasemanager
@@ -18,12 +18,12 @@
 use_step_matcher('parse')
 
 
-def _names(text):
+def _split_names(text):
     return text.split(', ')
 
 
 def _world(context, engines='e1', models='draft', fencing='ignored'):
-    context.world = World(_names(engines), _names(models), fencing)
+    context.world = World(_split_names(engines), _split_names(models), fencing)
     return context.world
 
 
@@ -40,8 +40,8 @@
 def step_together(context, names):
     world = _world(context)
     world.manifest = None
-    for name in _names(names):
-        world.host(name)
+    for name in _split_names(names):
+        world.start_host(name)
 
 
 @given('the placement store answers after {seconds:g} seconds')
@@ -59,12 +59,12 @@
     world = _world(context)
     world.timing = getattr(context, 'lease_timing', world.timing)
     step_one_holder(context, first)
-    world.host(second)
+    world.start_host(second)
     world.advance(3)
 
 
 @given(
-    'placement host "{name}" looks every second, by a clock that runs at {rate:g}'
+    'placement host "{name}" reads the lease every second, on a clock at rate {rate:g}'
 )
 def step_rate(context, name, rate):
     context.world.hosts[name].rate = rate
@@ -100,9 +100,9 @@
 @when('placement host "{name}" is cut off from the store')
 def step_cut(context, name):
     host = context.world.hosts[name]
-    # Its term is as long as it can be: it has just renewed.
+    # The remaining term is longest just after a renewal.
     written = host.lease_manager.lease.seen_version
-    context.world.until(
+    context.world.advance_until(
         lambda: host.lease_manager.lease.seen_version != written
     )
     context.world.advance(1)
@@ -123,16 +123,16 @@
 
 
 @when(
-    '"{name}" renews its placement lease, but learns it {seconds:d} seconds later'
+    'the answer to a placement renewal of "{name}" is {seconds:d} seconds late'
 )
 def step_late_doubt(context, name, seconds):
     world = context.world
     host = world.hosts[name]
-    host.store.cut_by_write = True
-    context.world.until(lambda: host.store.cut)
+    host.store.cut_on_lease_write = True
+    context.world.advance_until(lambda: host.store.cut)
     world.advance(seconds - 1)
     host.store.cut = False
-    context.world.until(lambda: not host.lease_manager.busy)
+    context.world.advance_until(lambda: not host.lease_manager.busy)
     host.store.cut = True
 
 
@@ -141,10 +141,10 @@
     host = context.world.hosts[name]
     host.lease_manager.pause = unpaused
     context.old_fence = host.fence
-    host.store.cut_by_write = True
-    context.world.until(lambda: host.store.cut)
+    host.store.cut_on_lease_write = True
+    context.world.advance_until(lambda: host.store.cut)
     context.world.advance(seconds)
-    host.store.cut_by_write = False
+    host.store.cut_on_lease_write = False
     host.store.cut = False
 
 
@@ -177,14 +177,14 @@
     assert len(context.world.holders()) == count, context.world.holders()
 
 
-@then('the placement lease was never held twice at one time')
+@then('the placement lease was never held by two hosts at once')
 def step_once(context):
     assert not context.world.overlaps
     fences = [fence for fence, _name in context.world.fences]
     assert len(set(fences)) == len(fences), context.world.fences
 
 
-@then('the placement lease was held twice at one time: {answer}')
+@then('the placement lease was held by two hosts at once: {answer}')
 def step_twice(context, answer):
     assert (context.world.overlaps > 0) == (answer == 'yes')
 
@@ -222,17 +222,17 @@
 
 @given('a placement host "{name}" that holds the lease')
 def step_one_holder(context, name):
-    host = context.world.host(name)
+    host = context.world.start_host(name)
     manifest = host.placer.manifest
-    # What a scenario sets up comes before the first round.
+    # The first round must not run before the scenario is set up.
     host.placer.manifest = None
-    context.world.until(lambda: host.lease_manager.holds())
+    context.world.advance_until(lambda: host.lease_manager.holds())
     host.placer.manifest = manifest
 
 
 @given('a placement follower "{name}"')
 def step_follower(context, name):
-    context.world.host(name)
+    context.world.start_host(name)
     context.world.advance(2)
 
 
@@ -244,7 +244,7 @@
     engine = context.world.engines[name]
     for loading in tuple(engine.timers):
         engine._stop_load(loading)
-    loaded(engine, model, version)
+    set_held_model(engine, model, version)
     return engine
 
 
@@ -269,15 +269,17 @@
     context.world.advance(3)
 
 
-@given('placement demand of "{one}" at {first:g} and "{two}" at {second:g}')
+@given(
+    'placement demand of "{first}" at {first_rate:g} and "{second}" at {second_rate:g}'
+)
 @when(
-    'placement demand turns to "{one}" at {first:g} and "{two}" at {second:g}'
+    'placement demand turns to "{first}" at {first_rate:g} and "{second}" at {second_rate:g}'
 )
-def step_demand(context, one, first, two, second):
-    context.world.rates = {one: first, two: second}
+def step_demand(context, first, first_rate, second, second_rate):
+    context.world.rates = {first: first_rate, second: second_rate}
 
 
-@given('the placement weight store refuses')
+@given('the placement weight store refuses all loads')
 def step_refuse(context):
     context.world.weights.tokens = 0
     context.world.weights.rate = 0.0001
@@ -286,18 +288,18 @@
 @when('the placement weight store allows {rate:g} load a second')
 def step_allow(context, rate):
     for host in context.world.hosts.values():
-        # It had said when to come again; here that time is over.
+        # Skips the retry time that the weight store set.
         host.placer.loads.not_before = 0.0
     context.world.weights.rate = rate
 
 
-@when('the placement manifest goes to version "{version}"')
+@when('the placement manifest changes to version "{version}"')
 def step_version(context, version):
     for name in context.world.hosts:
         step_version_at(context, version, name)
 
 
-@when('the placement manifest goes to version "{version}" at "{name}" alone')
+@when('the placement manifest changes to version "{version}" at "{name}" alone')
 def step_version_at(context, version, name):
     world = context.world
     upstreams = world.manifest.pools['engines'].upstreams
@@ -324,13 +326,13 @@
 
 
 @when(
-    '{seconds:d} placement seconds pass, in which "{one}" and "{two}" are always held'
+    '{seconds:d} placement seconds pass, in which "{first}" and "{second}" are always held'
 )
-def step_pass_held(context, seconds, one, two):
+def step_pass_held(context, seconds, first, second):
     for _ in range(seconds):
         context.world.advance(1)
-        assert context.world.serving(one), one
-        assert context.world.serving(two), two
+        assert context.world.serving(first), first
+        assert context.world.serving(second), second
 
 
 @when(
@@ -345,7 +347,7 @@
 @when('the first {count:d} placement engines die while they load')
 def step_die_loading(context, count):
     world = context.world
-    context.world.until(lambda: world.loading() >= count)
+    context.world.advance_until(lambda: world.loading() >= count)
     for name in tuple(world.engines)[:count]:
         assert world.engines[name].loading
         world.orders.down.add(name)
@@ -359,7 +361,7 @@
 @when('placement engine "{name}" loads, and restarts')
 def step_restart(context, name):
     engine = context.world.engines[name]
-    context.world.until(lambda: engine.loading)
+    context.world.advance_until(lambda: engine.loading)
     context.world.advance(2)
     assert engine.loading
     engine.restart()
@@ -370,7 +372,7 @@
     context.world.orders.lose_answers = count
 
 
-@when('the next {count:d} placement orders are lost on their way')
+@when('the next {count:d} placement orders are lost in the network')
 def step_drop_orders(context, count):
     context.world.orders.lose_requests = count
 
@@ -381,7 +383,7 @@
     context.world.advance(15)
 
 
-@when('the placement store comes back')
+@when('the placement store is up again')
 def step_up(context):
     context.world.store.down = False
 
@@ -401,14 +403,14 @@
             context.world.orders.down.add(name)
 
 
-@then('the placement engines hold "{texts}" in some order')
-def step_hold(context, texts):
-    held = [context.world.held(name) for name in context.world.engines]
-    assert sorted(held) == _names(texts), held
+@then('the placement engines hold "{expected}" in some order')
+def step_hold(context, expected):
+    held = [context.world.held_models(name) for name in context.world.engines]
+    assert sorted(held) == _split_names(expected), held
     assert not context.world.orders.lose_requests
 
 
-@then('placement engine "{name}" is to hold "{text}"')
+@then('placement engine "{name}" was last ordered to hold "{text}"')
 def step_is_to_hold(context, name, text):
     last = context.world.engines[name].orders[-1]
     models = [f'{model}:{each.version}' for model, each in last.models.items()]
@@ -451,7 +453,7 @@
 
 @then('placement engine "{name}" holds "{text}" and gets {kind} work')
 def step_engine(context, name, text, kind):
-    held = context.world.held(name)
+    held = context.world.held_models(name)
     assert held == text, held
     model = text.partition(':')[0]
     assert (name in context.world.serving(model)) == (kind == 'new'), kind
@@ -476,7 +478,7 @@
 
 @then('placement host "{name}" asked the weight store {count:d} times')
 def step_asked(context, name, count):
-    assert context.world.hosts[name].asked == count
+    assert context.world.hosts[name].ticket_requests == count
 
 
 @then('no placement engine was loaded')
@@ -484,7 +486,7 @@
     assert not any(each.loaded for each in context.world.engines.values())
 
 
-@then('at most {count:d} placement engines ever loaded at one time')
+@then('at most {count:d} placement engines loaded at the same time')
 def step_most_loading(context, count):
     assert 0 < context.most_loading <= count, context.most_loading
 
@@ -492,10 +494,10 @@
 @then('{count:d} placement engine got no new work before its swap')
 @then('{count:d} placement engines got no new work before their swap')
 def step_drained(context, count):
-    gaps = context.world.gaps
-    # Two seconds of notice, less what a watch and a step take.
-    assert len(gaps) == count, gaps
-    assert min(gaps) * 4 >= 5, gaps
+    times = context.world.drain_times
+    # The notice of 2 s, minus the delay of a watch and of one step.
+    assert len(times) == count, times
+    assert min(times) * 4 >= 5, times
 
 
 @then('placement host "{name}" logged "{event}"')
@@ -521,8 +523,10 @@
 @given('placement host "{name}" works without "{guard}"')
 def step_without(context, name, guard):
     if guard == 'intents':
-        _patch(context, _enginesteps, '_write_intent', lambda *_: no_work())
-    if guard == 'claims':
+        _patch(
+            context, _enginesteps, '_write_intent', lambda *_: succeed_at_once()
+        )
+    if guard == 'announcements':
         _patch(context, _enginesteps, '_needs_fence', lambda *_: False)
 
 
@@ -531,13 +535,13 @@
     context.world.engines[name].memory = 0
 
 
-@when('the placement looks are counted for {seconds:d} seconds')
+@when('the placement state reads are counted for {seconds:d} seconds')
 def step_count_looks(context, seconds):
     context.world.orders.looks = 0
     context.world.advance(seconds)
 
 
-@then('from {least:d} to {most:d} placement looks were counted')
+@then('from {least:d} to {most:d} placement state reads were counted')
 def step_looks(context, least, most):
     assert least <= context.world.orders.looks <= most
 
@@ -553,65 +557,65 @@
     context.world.engines[name].restart()
 
 
-@given('placement engine "{name}" has taken fence {fence:d}')
+@given('placement engine "{name}" has accepted fence {fence:d}')
 def step_taken(context, name, fence):
     _hold(context, name, 'draft').fence = fence
 
 
-def _until_followed(context):
-    context.world.until(lambda: context.world.holders() == ['b'])
+def _advance_to_takeover(context):
+    context.world.advance_until(lambda: context.world.holders() == ['b'])
     context.world.advance(3)
 
 
-@when('placement host "{name}" is paused at its order, and "b" takes over')
+@when('placement host "{name}" is paused before its order, and "b" takes over')
 def step_paused_at_order(context, name):
     world = context.world
     host = world.hosts[name]
     host.ticket_gate = Deferred()
     world.engines['e1'].models = {}
-    context.world.until(lambda: host.placer.loads.requesting)
+    context.world.advance_until(lambda: host.placer.loads.requesting)
     world.engines['e1'].models = {}
     for other in world.hosts.values():
         other.placer.may_drain = lambda *_: False
     host.paused = True
     world.weights.down = True
-    context.orders_before = len(world.orders_of(name))
-    context.world.until(lambda: world.hosts['b'].fence > 0)
+    context.orders_before = len(world.accepted_orders(name))
+    context.world.advance_until(lambda: world.hosts['b'].fence > 0)
     world.advance(3)
 
 
-@when('placement host "{name}" goes on')
+@when('placement host "{name}" resumes')
 def step_go_on(context, name):
     host = context.world.hosts[name]
     host.paused = False
     host.ticket_gate.callback(None)
 
 
-@then('placement engines took {count:d} orders of host "{name}"')
+@then('placement engines accepted {count:d} orders of host "{name}"')
 def step_took(context, count, name):
-    took = len(context.world.orders_of(name)) - context.orders_before
+    took = len(context.world.accepted_orders(name)) - context.orders_before
     assert took == count, took
 
 
-@when(
-    'an order of placement host "{name}" is held on its way, and "b" takes over'
-)
+@when('an order of placement host "{name}" is delayed, and "b" takes over')
 def step_held_order(context, name):
     world = context.world
     _hold(context, 'e1', 'other')
     held = Deferred()
     world.orders.hold = held
     sent = world.hosts[name].logged('order-sent')
-    context.world.until(lambda: world.hosts[name].logged('order-sent') != sent)
-    context.held = held
+    context.world.advance_until(
+        lambda: world.hosts[name].logged('order-sent') != sent
+    )
+    context.delayed_orders = held
     world.orders.hold = None
     world.hosts[name].store.cut = True
-    _until_followed(context)
+    _advance_to_takeover(context)
 
 
-@when('the held placement order arrives')
+@when('the delayed placement order arrives')
 def step_arrives(context):
-    context.held.callback(None)
+    context.delayed_orders.callback(None)
 
 
 @then('placement engine "{name}" refused {count:d} orders')
