--- a/features/builders/placement.py
+++ b/features/builders/placement.py
@@ -20,16 +20,16 @@
 )
 from pollenstile.ops.settings import ENTRY, settings_from
 from pollenstile.placement import (
-    Demand,
-    DemandBoard,
+    LEASES,
+    DemandCounter,
+    DemandExchange,
     Holding,
-    Holds,
-    Keeper,
     Lease,
+    LeaseManager,
     LeaseTiming,
     Placement,
     Placer,
-    LEASES,
+    ServingIndex,
 )
 from pollenstile.platform import paused
 from pollenstile.standin.objectapi import MemoryStore
@@ -102,7 +102,7 @@
         self.ticket_gate = None
         self.weights = world.weights
         self.store = HostStore(world.clock, world.store)
-        self.lease_manager = Keeper(
+        self.lease_manager = LeaseManager(
             Lease(name, timing),
             DOMAIN,
             self.store,
@@ -122,9 +122,9 @@
         self.placer.manifest = world.manifest
         self.placement = Placement(
             self.placer,
-            Holds(self.log),
-            Demand(),
-            DemandBoard(DOMAIN, name, self.store, self.clock),
+            ServingIndex(self.log),
+            DemandCounter(),
+            DemandExchange(DOMAIN, name, self.store, self.clock),
         )
 
     @property
--- a/features/steps/placement_http_steps.py
+++ b/features/steps/placement_http_steps.py
@@ -70,7 +70,7 @@
 
 
 def _read_state(context):
-    return result_of(context.orders.look('e1', context.upstream))
+    return result_of(context.orders.read_state('e1', context.upstream))
 
 
 @then('a placement state read over HTTP shows fence {fence:d}')
--- a/pollenstile/entry/_assembly.py
+++ b/pollenstile/entry/_assembly.py
@@ -20,7 +20,7 @@
     keys_from,
 )
 from pollenstile.pipeline import Core, Ledger
-from pollenstile.placement import built_placement
+from pollenstile.placement import build_placement
 from pollenstile.routing import Tracker
 
 _BOOT_BITS = 48
@@ -167,7 +167,7 @@
     suspend_clock : function
         Returns seconds, suspended time included.
     """
-    node.placement = built_placement(
+    node.placement = build_placement(
         node.core,
         node.boot,
         store,
--- a/pollenstile/placement/__init__.py
+++ b/pollenstile/placement/__init__.py
@@ -1,7 +1,11 @@
 """Model placement: leases, engine orders and model swaps."""
 
-from pollenstile.placement._assembly import built_placement, http_tickets
-from pollenstile.placement._demand import Demand, DemandBoard, sum_demand
+from pollenstile.placement._assembly import build_placement, http_tickets
+from pollenstile.placement._demand import (
+    DemandCounter,
+    DemandExchange,
+    sum_demand,
+)
 from pollenstile.placement._enginespec import EngineSpec, domain_engines
 from pollenstile.placement._http import http_orders
 from pollenstile.placement._lease import (
@@ -17,7 +21,7 @@
     observe,
 )
 from pollenstile.placement._leasemanager import (
-    Keeper,
+    LeaseManager,
     lease_tick,
     release_lease,
 )
@@ -33,11 +37,11 @@
 from pollenstile.placement._placer import (
     Placer,
     PlacerTiming,
-    any_time,
+    always_allow,
     placer_round,
 )
-from pollenstile.placement._planning import wanted_placement
-from pollenstile.placement._records import PLACEMENTS, Holds, Record
+from pollenstile.placement._planning import compute_placement
+from pollenstile.placement._records import PLACEMENTS, Record, ServingIndex
 from pollenstile.placement._service import Placement
 from pollenstile.placement._steps import (
     Drain,
--- a/pollenstile/placement/_assembly.py
+++ b/pollenstile/placement/_assembly.py
@@ -2,16 +2,16 @@
 
 from twisted.internet.defer import Deferred
 
-from pollenstile.placement._demand import Demand, DemandBoard
+from pollenstile.placement._demand import DemandCounter, DemandExchange
 from pollenstile.placement._lease import Lease, LeaseTiming
-from pollenstile.placement._leasemanager import Keeper
+from pollenstile.placement._leasemanager import LeaseManager
 from pollenstile.placement._placer import Placer
-from pollenstile.placement._records import Holds
+from pollenstile.placement._records import ServingIndex
 from pollenstile.placement._service import Placement
 from pollenstile.platform import pauses, weight_ticket
 
 
-def built_placement(core, boot, store, orders, ticket, suspend_clock):
+def build_placement(core, boot, store, orders, ticket, suspend_clock):
     """Return a host's placement, connected to its core but not started.
 
     Parameters
@@ -32,7 +32,7 @@
     suspend_clock : function
         Returns seconds, including time during which the host was suspended.
     """
-    lease_manager = Keeper(
+    lease_manager = LeaseManager(
         Lease(f'{core.host}-{boot}', LeaseTiming()),
         core.domain,
         store,
@@ -50,11 +50,11 @@
         core.rng,
     )
     placer.usable = _usable(core.tracker)
-    demand = Demand()
-    holds = Holds(core.log)
+    demand = DemandCounter()
+    holds = ServingIndex(core.log)
     core.holds = holds
     core.demand = demand.count_request
-    board = DemandBoard(core.domain, core.host, store, core.clock)
+    board = DemandExchange(core.domain, core.host, store, core.clock)
     return Placement(placer, holds, demand, board)
 
 
--- a/pollenstile/placement/_demand.py
+++ b/pollenstile/placement/_demand.py
@@ -9,7 +9,7 @@
 _STALE_SECONDS = 180.0
 
 
-class Demand:
+class DemandCounter:
     """Counter of calls per second by model, smoothed.
 
     Explanation
@@ -21,7 +21,7 @@
     Examples
     ========
 
-    >>> demand = Demand()
+    >>> demand = DemandCounter()
     >>> for _ in range(30):
     ...     demand.count('draft')
     >>> demand.end_interval(30.0)
@@ -57,7 +57,7 @@
         return rates
 
 
-class DemandBoard:
+class DemandExchange:
     """Exchange of demand records between the hosts of a failure domain.
 
     Parameters
--- a/pollenstile/placement/_leasemanager.py
+++ b/pollenstile/placement/_leasemanager.py
@@ -25,7 +25,7 @@
 _FOLLOWER_READ_SECONDS = 4.0
 
 
-class Keeper:
+class LeaseManager:
     """Reads and writes of one lease by one host.
 
     Parameters
--- a/pollenstile/placement/_placer.py
+++ b/pollenstile/placement/_placer.py
@@ -14,7 +14,7 @@
     drop_finished_loads,
 )
 from pollenstile.placement._orders import EngineState
-from pollenstile.placement._planning import unplaced_models, wanted_placement
+from pollenstile.placement._planning import compute_placement, unplaced_models
 from pollenstile.placement._steps import DrainTiming, deferred_drains
 
 _SWAPPING_SHARE = 4
@@ -50,7 +50,7 @@
     loads: LoadTiming = field(default_factory=LoadTiming)
 
 
-def any_time(engines, states):
+def always_allow(engines, states):
     """Return True: drains and plans are always allowed."""
     return True
 
@@ -68,12 +68,12 @@
 
     domain : str
         Name of the failure domain.
-    lease_manager : Keeper
+    lease_manager : LeaseManager
         Decides whether orders may be sent.
     store : Store
         Where records are written.
     orders : object
-        Has ``look(engine, upstream)``, which reads an engine's state, and
+        Has ``read_state(engine, upstream)``, which reads an engine's state, and
         ``send(engine, upstream, order)``; both return Deferreds.
     ticket : function
         Takes a model and a version, returns a Deferred as
@@ -93,7 +93,7 @@
     demand : dict
         Model to calls per second in this domain.
     plan_for : function
-        Computes a plan; :func:`wanted_placement` by default.
+        Computes a plan; :func:`compute_placement` by default.
     usable : function
         Takes an engine's name, returns whether it is to hold models. False
         for an engine that is leaving.
@@ -161,9 +161,9 @@
         self.timing = PlacerTiming()
         self.manifest = None
         self.demand = {}
-        self.plan_for = wanted_placement
-        self.may_drain = any_time
-        self.may_replan = any_time
+        self.plan_for = compute_placement
+        self.may_drain = always_allow
+        self.may_replan = always_allow
         self.usable = any_engine
         self.sequence = itertools.count(1)
         self.busy = False
@@ -243,7 +243,9 @@
 
 async def _read_states(placer, engines):
     names = [name for name in sorted(engines) if _is_read_due(placer, name)]
-    reads = [placer.orders.look(name, engines[name].upstream) for name in names]
+    reads = [
+        placer.orders.read_state(name, engines[name].upstream) for name in names
+    ]
     answers = await gatherResults(reads, consumeErrors=True)
     states = {name: each[0] for name, each in placer.settled.items()}
     now = placer.clock.seconds()
--- a/pollenstile/placement/_planning.py
+++ b/pollenstile/placement/_planning.py
@@ -57,7 +57,7 @@
         self.assigned_demand[name] += share
 
 
-def wanted_placement(engines, sizes, demand, held):
+def compute_placement(engines, sizes, demand, held):
     """Return the wanted models of each engine.
 
     Parameters
@@ -85,7 +85,7 @@
     >>> from pollenstile.placement import EngineSpec
     >>> spec = EngineSpec(Upstream('a', ':1', memory_mb=9), ('l', 's'))
     >>> engines = {'e1': spec, 'e2': spec, 'e3': spec}
-    >>> wanted_placement(engines, {'l': 8, 's': 8}, {'s': 5, 'l': 1}, {})
+    >>> compute_placement(engines, {'l': 8, 's': 8}, {'s': 5, 'l': 1}, {})
     {'e1': ('l',), 'e2': ('s',), 'e3': ('s',)}
     """
     plan = _place_once(engines, sizes, demand, held, _preferred_engine)
--- a/pollenstile/placement/_records.py
+++ b/pollenstile/placement/_records.py
@@ -63,7 +63,7 @@
     )
 
 
-class Holds:
+class ServingIndex:
     """Index of the models that each engine serves, from the records.
 
     Explanation
@@ -85,7 +85,7 @@
 
     >>> from pollenstile.ops.logs import silent_log
     >>> from pollenstile.platform import Change
-    >>> holds = Holds(silent_log)
+    >>> holds = ServingIndex(silent_log)
     >>> holds('e1', 'draft')
     True
     >>> record = Record(3, {}, ('tags',), '1').value('erie-1/1')
--- a/pollenstile/placement/_service.py
+++ b/pollenstile/placement/_service.py
@@ -22,11 +22,11 @@
 
     placer : Placer
         Acts while the host holds the lease of its domain.
-    holds : Holds
+    holds : ServingIndex
         Follows the placement records of all domains.
-    demand : Demand
+    demand : DemandCounter
         Demand that this host counts.
-    board : DemandBoard
+    board : DemandExchange
         Publishes the demand of this host and reads that of the others.
     """
 
