--- a/features/steps/placement_http_steps.py
+++ b/features/steps/placement_http_steps.py
@@ -89,7 +89,7 @@
 @then('a call for "{model}" there is refused as not run')
 def step_call(context, model):
     caller = Caller(reactor, reactor, '127.0.0.1', context.port)
-    body = wire.encoded(wire.CompletionCall(model, 'a leak', 4))
+    body = wire.encode_json(wire.CompletionCall(model, 'a leak', 4))
     reply = result_of(caller.call('POST', wire.COMPLETIONS_PATH, body))
     assert reply.status == 503, reply
     assert b'"outcome":"not-run"' in reply.body, reply
--- a/pollenstile/entry/_assembly.py
+++ b/pollenstile/entry/_assembly.py
@@ -13,11 +13,11 @@
 from pollenstile.ops.metrics import Metrics
 from pollenstile.ops.settings import shown
 from pollenstile.peer import (
-    LEAST_VERSION,
+    MIN_VERSION,
     VERSION,
     Hello,
     Hub,
-    keys_from,
+    parse_keys,
 )
 from pollenstile.pipeline import Core, Ledger
 from pollenstile.placement import build_placement
@@ -126,13 +126,13 @@
     core = node.core
     hello = Hello(
         version=VERSION,
-        least=LEAST_VERSION,
+        least=MIN_VERSION,
         host=core.host,
         domain=core.domain,
         address=shown(settings.peer_listen),
         boot=int(core.clock.seconds() * _MS),
     )
-    keys = keys_from(settings.peer_key)
+    keys = parse_keys(settings.peer_key)
     hub = Hub(core.clock, core.rng, hello, keys, connect, core.log)
     if keys:
         hub.dialer.seeds = tuple(shown(one) for one in settings.peers)
--- a/pollenstile/standin/orders.py
+++ b/pollenstile/standin/orders.py
@@ -346,7 +346,7 @@
 
     def _call(self, request):
         try:
-            call = wire.completion_call(request.content.read())
+            call = wire.decode_completion_call(request.content.read())
         except wire.DecodeError:
             call = None
         request.content.seek(0)
