--- a/features/steps/platform_http_steps.py
+++ b/features/steps/platform_http_steps.py
@@ -45,7 +45,7 @@
     context.port = port
     context.http = http_store(port, clock) if clock else http_store(port)
     context.add_cleanup(lambda: result_of(port.stopListening()))
-    context.add_cleanup(lambda: result_of(context.http.caller.close()))
+    context.add_cleanup(lambda: result_of(context.http.client.close()))
 
 
 @given('a platform server on the loopback')
@@ -165,8 +165,8 @@
 
 @then('over HTTP a platform value above the limit is refused')
 def step_too_large(context):
-    caller = context.http.caller
-    call = caller.call('PUT', '/v1/objects/a/b', b'1' * (VALUE_LIMIT + 1))
+    client = context.http.client
+    call = client.call('PUT', '/v1/objects/a/b', b'1' * (VALUE_LIMIT + 1))
     assert result_of(call).status == 413
     outcome = result_of(context.http.put('a', 'b', 'x' * VALUE_LIMIT))
     assert isinstance(outcome, NotApplied), outcome
@@ -202,7 +202,7 @@
 
 @then('a raw platform call over HTTP is broken off')
 def step_broken(context):
-    outcome = result_of(context.http.caller.call('GET', '/v1/any'))
+    outcome = result_of(context.http.client.call('GET', '/v1/any'))
     assert isinstance(outcome, Broken) and outcome.connected, type(outcome)
 
 
@@ -228,24 +228,24 @@
 
 @then("over HTTP the platform's host list shows a change after its lag")
 def step_hosts(context):
-    caller = http_caller(context.port)
+    client = http_caller(context.port)
     entry = HostEntry('e1', '10.0.0.1:80', 'clark', 3, 'leaving')
     context.hosts.change(entry)
-    assert result_of(listed_hosts(caller)).hosts == ()
+    assert result_of(listed_hosts(client)).hosts == ()
     context.world.clock.advance(5)
-    assert result_of(listed_hosts(caller)).hosts == (entry,)
-    result_of(caller.close())
+    assert result_of(listed_hosts(client)).hosts == (entry,)
+    result_of(client.close())
 
 
 @then("over HTTP the platform's weight store throttles by its rate")
 def step_weights(context):
-    caller = http_caller(context.port)
-    first = result_of(weight_ticket(caller, 'org/draft', '3'))
+    client = http_caller(context.port)
+    first = result_of(weight_ticket(client, 'org/draft', '3'))
     assert first == Ticket('org/draft', '3'), first
-    assert result_of(weight_ticket(caller, 'd', '3')) == Throttled(2.0)
+    assert result_of(weight_ticket(client, 'd', '3')) == Throttled(2.0)
     context.world.clock.advance(2)
-    assert isinstance(result_of(weight_ticket(caller, 'd', '3')), Ticket)
-    result_of(caller.close())
+    assert isinstance(result_of(weight_ticket(client, 'd', '3')), Ticket)
+    result_of(client.close())
 
 
 @given('a platform server that answers in parts')
@@ -259,10 +259,10 @@
     'a raw platform call over HTTP with {seconds:d} second begins to be answered'
 )
 def step_begins(context, seconds):
-    caller = context.http.caller
-    call = caller.call('GET', '/v1/x', timeout=seconds, fresh=True)
+    client = context.http.client
+    call = client.call('GET', '/v1/x', timeout=seconds, fresh=True)
     context.kept = kept_result(call)
-    turned_until(lambda: caller.arriving == 1)
+    turned_until(lambda: client.bodies_in_progress == 1)
 
 
 @when('{count:d} further parts come, {gap:g} seconds apart')
--- a/pollenstile/platform/__init__.py
+++ b/pollenstile/platform/__init__.py
@@ -1,12 +1,12 @@
-"""The platform's object API, host list and weight store."""
+"""Clients of the platform's object API, host list and weight store."""
 
 from pollenstile.platform._brownout import (
-    PACES,
-    PATIENCE,
+    CLASS_BACKOFFS,
+    FAILURE_THRESHOLD,
     Brownout,
-    ClassPace,
-    call_answered,
-    call_failed,
+    ClassBackoff,
+    record_answer,
+    record_failure,
     seconds_blocked,
 )
 from pollenstile.platform._budget import (
@@ -15,17 +15,12 @@
     CallClass,
     ClassShare,
     class_of_kind,
-    seconds_to_next,
-    taken,
+    seconds_until_available,
+    try_acquire,
 )
 from pollenstile.platform._hosts import HostEntry, HostList, listed_hosts
 from pollenstile.platform._http import Broken, Caller, Reply
 from pollenstile.platform._httpstore import HttpStore
-from pollenstile.platform._known import (
-    Known,
-    news_of_events,
-    news_of_listing,
-)
 from pollenstile.platform._outcome import (
     Absent,
     Change,
@@ -43,7 +38,12 @@
 from pollenstile.platform._paced import PacedStore
 from pollenstile.platform._pages import listed_whole
 from pollenstile.platform._pause import branched, paused, pauses, unpaused
-from pollenstile.platform._rows import decoded, readable
+from pollenstile.platform._rows import convert_rows, decode_json
+from pollenstile.platform._seenversions import (
+    SeenVersions,
+    changes_from_listing,
+    filter_new_events,
+)
 from pollenstile.platform._settle import field_mark, settled_put
 from pollenstile.platform._store import (
     PAGE_LIMIT,
--- a/pollenstile/platform/_brownout.py
+++ b/pollenstile/platform/_brownout.py
@@ -1,12 +1,13 @@
-"""When to call a store that keeps failing.
+"""Exponential backoff of the calls to a failing object store.
 
 Explanation
 ===========
 
-A few failures in a row are let pass. From then on no call of a class is sent
-before a time drawn evenly from zero to a bound that doubles with each further
-failure (full jitter), and then only a few at once. So a fleet of hosts does
-not meet a store that comes back with all that was held up.
+Backoff begins after ``FAILURE_THRESHOLD`` consecutive failures. From then on
+each class of calls waits for a time drawn uniformly between zero and a bound
+that doubles with each further failure (full jitter). After that wait only a
+few calls of the class may be in flight. This keeps a fleet of hosts from
+overloading a recovering store with all the calls that were held back.
 
 References
 ==========
@@ -18,88 +19,89 @@
 
 from pollenstile.platform._budget import CallClass
 
-PATIENCE = 3
-_BASE = 0.1
+FAILURE_THRESHOLD = 3
+_BASE_SECONDS = 0.1
 _GROWTH_LIMIT = 16
 
 
 @dataclass(slots=True, frozen=True)
-class ClassPace:
-    """How a class calls a store that fails.
+class ClassBackoff:
+    """Backoff parameters of one class of calls while the store fails.
 
     Parameters
     ==========
 
     cap : float
-        Most seconds between two tries.
+        Upper bound of the wait before the next attempt, in seconds.
     probes : int
-        Calls that may be on their way at once.
+        Maximum number of calls in flight.
     """
 
     cap: float
     probes: int
 
 
-PACES = {
-    CallClass.CLAIMS: ClassPace(cap=2.0, probes=2),
-    CallClass.LEASES: ClassPace(cap=4.0, probes=1),
-    CallClass.CONFIG: ClassPace(cap=8.0, probes=1),
-    CallClass.REST: ClassPace(cap=30.0, probes=1),
+CLASS_BACKOFFS = {
+    CallClass.CLAIMS: ClassBackoff(cap=2.0, probes=2),
+    CallClass.LEASES: ClassBackoff(cap=4.0, probes=1),
+    CallClass.CONFIG: ClassBackoff(cap=8.0, probes=1),
+    CallClass.REST: ClassBackoff(cap=30.0, probes=1),
 }
 
 
 class Brownout:
-    """Failures in a row, and when each class may call again."""
+    """Consecutive failures and the earliest next call of each class."""
 
-    __slots__ = ('failures', 'in_flight', 'not_before', 'stepped')
+    __slots__ = ('failures', 'in_flight', 'last_growth', 'not_before')
 
     def __init__(self):
         self.failures = 0
-        self.stepped = 0.0
-        self.not_before = dict.fromkeys(PACES, 0.0)
-        self.in_flight = dict.fromkeys(PACES, 0)
+        self.last_growth = 0.0
+        self.not_before = dict.fromkeys(CLASS_BACKOFFS, 0.0)
+        self.in_flight = dict.fromkeys(CLASS_BACKOFFS, 0)
 
 
 def seconds_blocked(state, call_class, now):
-    """Return for how long a class must not call; 0 when it may.
+    """Return the seconds for which a class must not call, or 0.
 
     Examples
     ========
 
     >>> import random
     >>> state = Brownout()
-    >>> for _ in range(PATIENCE):
-    ...     call_failed(state, 0.0, 0.0, random.Random(1))
+    >>> for _ in range(FAILURE_THRESHOLD):
+    ...     record_failure(state, 0.0, 0.0, random.Random(1))
     >>> seconds_blocked(state, CallClass.CLAIMS, 0.0) > 0
     True
-    >>> call_answered(state)
+    >>> record_answer(state)
     >>> seconds_blocked(state, CallClass.CLAIMS, 0.0)
     0.0
     """
-    if state.failures < PATIENCE:
+    if state.failures < FAILURE_THRESHOLD:
         return 0.0
     blocked = state.not_before[call_class] - now
     if blocked > 0:
         return blocked
-    if state.in_flight[call_class] >= PACES[call_class].probes:
-        return _BASE
+    if state.in_flight[call_class] >= CLASS_BACKOFFS[call_class].probes:
+        return _BASE_SECONDS
     return 0.0
 
 
-def call_failed(state, started, now, random):
-    """Count a failure and draw the times of the next tries.
+def record_failure(state, started, now, random):
+    """Count a failure and draw the earliest next call of each class.
 
     Explanation
     ===========
 
-    Calls that were on their way together fail together. Only one of them
-    doubles the bound: one that began after the last doubling.
+    Calls that are in flight together fail together. Only one of them doubles
+    the bound: a failed call that was sent before the last doubling is not
+    counted.
 
     Parameters
     ==========
 
     started : float
-        When the failed call was sent.
+        Time when the failed call was sent.
     random : random.Random
         Source of the jitter.
 
@@ -108,23 +110,24 @@
 
     >>> import random
     >>> state = Brownout()
+    >>> rng = random.Random(1)
     >>> for _ in range(20):
-    ...     call_failed(state, started=0.0, now=2.0, random=random.Random(1))
-    >>> state.failures == PATIENCE
+    ...     record_failure(state, started=0.0, now=2.0, random=rng)
+    >>> state.failures == FAILURE_THRESHOLD
     True
     """
-    if state.failures >= PATIENCE and started < state.stepped:
+    if state.failures >= FAILURE_THRESHOLD and started < state.last_growth:
         return
     state.failures += 1
-    state.stepped = now
-    growth = min(state.failures - PATIENCE, _GROWTH_LIMIT)
+    state.last_growth = now
+    growth = min(state.failures - FAILURE_THRESHOLD, _GROWTH_LIMIT)
     if growth < 0:
         return
-    for call_class, pace in PACES.items():
-        bound = min(pace.cap, _BASE * 2**growth)
+    for call_class, backoff in CLASS_BACKOFFS.items():
+        bound = min(backoff.cap, _BASE_SECONDS * 2**growth)
         state.not_before[call_class] = now + random.uniform(0, bound)
 
 
-def call_answered(state):
-    """Forget the failures: the store has answered."""
+def record_answer(state):
+    """Reset the failure count after an answer of the store."""
     state.failures = 0
--- a/pollenstile/platform/_budget.py
+++ b/pollenstile/platform/_budget.py
@@ -1,13 +1,13 @@
-"""Budget of calls to the object API: a token bucket with classes.
+"""Token buckets that limit the rate of calls to the object API.
 
 Explanation
 ===========
 
-The object API counts each call, a waiting watch as one. All calls of a host
-draw on one bucket. A class may draw only while more than its reserve stays in
-the bucket, so the last calls belong to the claims. So that a flood of claims
-can't stop a lease or a configuration for good, each other class has a small
-bucket of its own to fall back on; its rate is taken from the common rate.
+The object API counts each call; a pending watch counts as one. All calls of a
+host draw on a common bucket. A class may draw from it only if its reserve
+remains in the bucket afterwards, so the last tokens are left to the claims. To
+keep a flood of claims from starving leases and configuration, each other class
+also has a small bucket of its own. Its rate is deducted from the common rate.
 """
 
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 
 class CallClass(StrEnum):
-    """What a call is for, in order of precedence."""
+    """Purposes of calls, in order of precedence."""
 
     CLAIMS = 'claims'
     LEASES = 'leases'
@@ -25,15 +25,15 @@
 
 @dataclass(slots=True, frozen=True)
 class ClassShare:
-    """How a class draws on the budget.
+    """Limits of one class of calls within the budget.
 
     Parameters
     ==========
 
     reserve : float
-        Share of the burst that the class leaves to those before it.
+        Share of the burst that the class leaves to those of higher precedence.
     floor : float
-        Share of the rate that is its own.
+        Share of the rate that is guaranteed to the class.
     """
 
     reserve: float
@@ -47,7 +47,7 @@
     CallClass.REST: ClassShare(reserve=0.5, floor=0.02),
 }
 _CLASSES = {str(call_class): call_class for call_class in CallClass}
-_COMMON = 1 - sum(share.floor for share in SHARES.values())
+_COMMON_SHARE = 1 - sum(share.floor for share in SHARES.values())
 
 
 def class_of_kind(kind):
@@ -63,70 +63,78 @@
 
 
 class Budget:
-    """State of the token buckets.
+    """Token buckets of one host.
 
     Parameters
     ==========
 
     rate : float
-        Calls a second of this host, all classes together.
+        Calls per second of this host, over all classes.
     burst : float
-        Calls that may go at once after a quiet time; at least 5.
+        Calls that may be sent at once after an idle time; at least 5.
     now : float
-        Seconds on the clock of all later calls.
+        Current time in seconds, on the same clock as all later calls.
 
     Examples
     ========
 
     >>> budget = Budget(rate=10, burst=7, now=0.0)
-    >>> [taken(budget, CallClass.REST, 0.0) for _ in range(4)]
+    >>> [try_acquire(budget, CallClass.REST, 0.0) for _ in range(4)]
     [True, True, True, False]
-    >>> [taken(budget, CallClass.CLAIMS, 0.0) for _ in range(3)]
+    >>> [try_acquire(budget, CallClass.CLAIMS, 0.0) for _ in range(3)]
     [True, True, False]
     """
 
-    __slots__ = ('common', 'filled', 'floors', 'rate', 'tokens')
+    __slots__ = (
+        'common_burst',
+        'common_tokens',
+        'own_tokens',
+        'rate',
+        'refilled_at',
+    )
 
     def __init__(self, rate, burst, now):
         self.rate = rate
-        self.filled = now
-        self.floors = {
+        self.refilled_at = now
+        self.own_tokens = {
             call_class: 1.0
             for call_class, share in SHARES.items()
             if share.floor
         }
-        self.common = burst - len(self.floors)
-        self.tokens = self.common
+        self.common_burst = burst - len(self.own_tokens)
+        self.common_tokens = self.common_burst
 
 
-def taken(budget, call_class, now):
-    """Take one call from the budget; return whether there was one."""
+def try_acquire(budget, call_class, now):
+    """Take one token for a class; return whether one was available."""
     _refill(budget, now)
     share = SHARES[call_class]
-    if budget.tokens - 1 >= share.reserve * budget.common:
-        budget.tokens -= 1
+    if budget.common_tokens - 1 >= share.reserve * budget.common_burst:
+        budget.common_tokens -= 1
         return True
-    if budget.floors.get(call_class, 0) >= 1:
-        budget.floors[call_class] -= 1
+    if budget.own_tokens.get(call_class, 0) >= 1:
+        budget.own_tokens[call_class] -= 1
         return True
     return False
 
 
-def seconds_to_next(budget, call_class):
-    """Return after how many seconds the class can draw, if none else does."""
+def seconds_until_available(budget, call_class):
+    """Return the seconds until a class can draw if no other class does."""
     share = SHARES[call_class]
-    missing = share.reserve * budget.common + 1 - budget.tokens
-    wait = missing / (budget.rate * _COMMON)
+    missing = share.reserve * budget.common_burst + 1 - budget.common_tokens
+    wait = missing / (budget.rate * _COMMON_SHARE)
     if share.floor:
-        own = 1 - budget.floors[call_class]
+        own = 1 - budget.own_tokens[call_class]
         wait = min(wait, own / (budget.rate * share.floor))
     return max(wait, 0.0)
 
 
 def _refill(budget, now):
-    gained = max(now - budget.filled, 0.0) * budget.rate
-    budget.filled = max(now, budget.filled)
-    budget.tokens = min(budget.tokens + gained * _COMMON, budget.common)
-    for call_class, own in budget.floors.items():
+    gained = max(now - budget.refilled_at, 0.0) * budget.rate
+    budget.refilled_at = max(now, budget.refilled_at)
+    budget.common_tokens = min(
+        budget.common_tokens + gained * _COMMON_SHARE, budget.common_burst
+    )
+    for call_class, own in budget.own_tokens.items():
         own += gained * SHARES[call_class].floor
-        budget.floors[call_class] = min(own, 1.0)
+        budget.own_tokens[call_class] = min(own, 1.0)
--- a/pollenstile/platform/_hosts.py
+++ b/pollenstile/platform/_hosts.py
@@ -1,4 +1,4 @@
-"""The platform's host list."""
+"""Client of the platform's host list."""
 
 from dataclasses import dataclass
 from typing import Literal
@@ -11,15 +11,15 @@
 
 @dataclass(slots=True, frozen=True)
 class HostEntry:
-    """One line of the host list, which lags behind reality.
+    """One entry of the host list, which may be out of date.
 
     Parameters
     ==========
 
     name, address, domain : str
-        The host, its ``ip:port`` and its failure domain.
+        Name of the host, its ``ip:port`` and its failure domain.
     incarnation : int
-        Rises when the name or the address is given to a new process.
+        Increases when the name or address is assigned to a new process.
     state : str
         ``'live'`` or ``'leaving'``.
     """
@@ -33,28 +33,28 @@
 
 @dataclass(slots=True, frozen=True)
 class HostList:
-    """The whole list as it was read."""
+    """The full host list of one read."""
 
     hosts: tuple[HostEntry, ...]
 
 
-async def listed_hosts(caller):
-    """Return ``HostList`` or ``Unavailable``.
+async def listed_hosts(client):
+    """Read the host list; return ``HostList`` or ``Unavailable``.
 
     Parameters
     ==========
 
-    caller : Caller
-        Sends the call.
+    client : Caller
+        Client of the platform's server.
     """
-    reply = await caller.call('GET', '/v1/hosts')
+    reply = await client.call('GET', '/v1/hosts')
     if isinstance(reply, Broken):
-        return Unavailable('hosts', caller.peer, reply.reason)
+        return Unavailable('hosts', client.peer, reply.reason)
     if reply.status != 200:
         reason = f'status {reply.status}'
-        return Unavailable('hosts', caller.peer, reason, reply.retry_after)
+        return Unavailable('hosts', client.peer, reason, reply.retry_after)
     try:
         rows = msgspec.json.decode(reply.body, type=tuple[HostEntry, ...])
     except (msgspec.DecodeError, msgspec.ValidationError):
-        return Unavailable('hosts', caller.peer, 'bad answer')
+        return Unavailable('hosts', client.peer, 'bad answer')
     return HostList(rows)
--- a/pollenstile/platform/_http.py
+++ b/pollenstile/platform/_http.py
@@ -1,11 +1,12 @@
-"""Calls over HTTP that know whether bytes were sent.
+"""HTTP client that reports whether a failed call may have been sent.
 
 Explanation
 ===========
 
-The library's own retry is off, so a call is sent once. Writes and watches go
-over a connection of their own. Its handshake proves that the path is alive,
-and when it fails, surely nothing was sent. Reads share a few connections.
+The library's automatic retry is disabled, so each call is sent at most once.
+Writes and watches use a new connection each. Its handshake shows that the
+network path works, and if the handshake fails, no byte of the call was sent.
+Reads share a pool of persistent connections.
 """
 
 from dataclasses import dataclass
@@ -22,27 +23,27 @@
 
 BODY_LIMIT = 4_000_000
 _IDLE_SECONDS = 15.0
-# Seconds without a byte after which an answer that has begun is given up, and
-# seconds for one in all. On a link that is full, a large answer takes seconds
-# and does come; given up by its whole time, it was asked for again, and the
-# link never emptied.
-_PART_SECONDS = 1.0
-_MOST_SECONDS = 10.0
+# Limits of a response whose headers have arrived: the time without a byte, and
+# the time in all. A large response takes seconds on a saturated link. With a
+# limit on its total time alone, clients cancelled it and requested it again,
+# and the link stayed saturated.
+_PART_TIMEOUT_SECONDS = 1.0
+_BODY_TIMEOUT_SECONDS = 10.0
 
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """A whole answer.
+    """A complete response.
 
     Parameters
     ==========
 
     status : int
-        Of HTTP.
+        HTTP status code.
     body : bytes
-        All of it.
+        Complete body.
     retry_after : float or None
-        Seconds, from the header.
+        Seconds from the ``Retry-After`` header.
     """
 
     status: int
@@ -52,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Broken:
-    """There was no whole answer.
+    """A call without a complete response.
 
     Parameters
     ==========
@@ -60,7 +61,7 @@
     connected : bool
         Whether a byte of the call may have been sent.
     reason : str
-        Why, in short.
+        Type name of the error.
     """
 
     connected: bool
@@ -68,7 +69,7 @@
 
 
 class Caller:
-    """Calls one server.
+    """HTTP client of one server.
 
     Parameters
     ==========
@@ -76,23 +77,23 @@
     reactor : twisted.internet.interfaces.IReactorTCP
         Opens the connections.
     clock : twisted.internet.interfaces.IReactorTime
-        Measures the timeouts.
+        Clock of the timeouts.
     host : str
-        IP number of the server.
+        IP address of the server.
     port : int
-        Its port.
+        Port of the server.
     timeout : float
-        Seconds until an answer begins, the connection included.
+        Seconds until the response headers arrive, connecting included.
 
     Attributes
     ==========
 
-    arriving : int
-        Calls whose answer has begun and has not ended.
+    bodies_in_progress : int
+        Number of responses whose body is being received.
     """
 
     __slots__ = (
-        'arriving',
+        'bodies_in_progress',
         'clock',
         'host',
         'pool',
@@ -107,32 +108,33 @@
         self.host = host
         self.port = port
         self.timeout = timeout
-        self.arriving = 0
+        self.bodies_in_progress = 0
         self.pool = HTTPConnectionPool(reactor, persistent=True)
         self.pool.retryAutomatically = False
         self.pool.cachedConnectionTimeout = _IDLE_SECONDS
 
     @property
     def peer(self):
-        """The server's address, for logs and errors."""
+        """Address of the server, for log lines and errors."""
         if ':' in self.host:
             return f'[{self.host}]:{self.port}'
         return f'{self.host}:{self.port}'
 
     async def call(self, method, path, body=None, timeout=None, fresh=False):
-        """Send a call once.
+        """Send a call, without retries.
 
         Parameters
         ==========
 
         method, path : str
-            Path with its query, escaped.
+            HTTP method, and the escaped path with its query.
         body : bytes or None
-            JSON.
+            JSON document.
         timeout : float or None
-            Seconds until the answer begins, the caller's when ``None``.
+            Seconds until the response headers arrive; the client's default
+            when ``None``.
         fresh : bool
-            Whether to open a connection for this call alone.
+            Whether to open a new connection for this call.
 
         Returns
         =======
@@ -144,18 +146,18 @@
         call = Deferred.fromCoroutine(
             self._exchange(endpoints, method, path, body, fresh, limit),
         )
-        limit.begin(call, self.timeout if timeout is None else timeout)
+        limit.start(call, self.timeout if timeout is None else timeout)
         try:
             return await call
         except CancelledError:
             if not limit.expired:
                 raise
-            return self._broken(TimeoutError, endpoints.connected or not fresh)
+            return self._failure(TimeoutError, endpoints.connected or not fresh)
         except Exception as error:
             kind = TimeoutError if limit.expired else type(error)
-            return self._broken(kind, endpoints.connected or not fresh)
+            return self._failure(kind, endpoints.connected or not fresh)
         finally:
-            limit.end()
+            limit.stop()
 
     def close(self):
         """Close the idle connections; return a Deferred."""
@@ -173,45 +175,45 @@
             Headers({'content-type': ['application/json']}),
             None if body is None else BytesProducer(body),
         )
-        self.arriving += 1
+        self.bodies_in_progress += 1
         try:
-            whole = await _whole_body(response, limit)
+            body_bytes = await _read_body(response, limit)
         finally:
-            self.arriving -= 1
-        return Reply(response.code, whole, _retry_after(response))
+            self.bodies_in_progress -= 1
+        return Reply(response.code, body_bytes, _retry_after(response))
 
-    def _broken(self, kind, connected):
-        # Something between the two ends can lose track of the idle
-        # connections while new ones work. Each would cost a further timeout,
-        # so none is kept after a failure.
+    def _failure(self, kind, connected):
+        # A middlebox can drop the state of idle connections while new ones
+        # work. Each pooled connection would then cost one more timeout, so all
+        # of them are closed after a failure.
         self.close()
         return Broken(connected, kind.__name__)
 
 
 class _TimeLimit:
-    """Ends a call whose answer does not begin, or does not go on."""
+    """Cancels a call whose response does not start or stops arriving."""
 
-    __slots__ = ('call', 'clock', 'ends', 'expired', 'timer')
+    __slots__ = ('call', 'clock', 'deadline', 'expired', 'timer')
 
     def __init__(self, clock):
         self.clock = clock
         self.expired = False
         self.timer = None
 
-    def begin(self, call, seconds):
-        """Give the answer some seconds to begin."""
+    def start(self, call, seconds):
+        """Limit the time until the response headers arrive."""
         self.call = call
-        self.ends = self.clock.seconds() + seconds + _MOST_SECONDS
+        self.deadline = self.clock.seconds() + seconds + _BODY_TIMEOUT_SECONDS
         self.timer = self.clock.callLater(seconds, self._expire)
 
-    def heard(self):
-        """Give the answer's next part its time."""
-        left = self.ends - self.clock.seconds()
+    def extend(self):
+        """Extend the limit after a received part, up to the deadline."""
+        remaining = self.deadline - self.clock.seconds()
         if self.timer.active():
-            self.timer.reset(max(0, min(_PART_SECONDS, left)))
+            self.timer.reset(max(0, min(_PART_TIMEOUT_SECONDS, remaining)))
 
-    def end(self):
-        """Stop: the answer is whole, or given up."""
+    def stop(self):
+        """Cancel the timer after the end of the call."""
         if self.timer.active():
             self.timer.cancel()
 
@@ -222,19 +224,19 @@
 
 @implementer(IAgentEndpointFactory)
 class _Endpoints:
-    __slots__ = ('caller', 'connected')
+    __slots__ = ('client', 'connected')
 
-    def __init__(self, caller):
-        self.caller = caller
+    def __init__(self, client):
+        self.client = client
         self.connected = False
 
     def endpointForURI(self, uri):
         return self
 
     def connect(self, factory):
-        caller = self.caller
-        kind = TCP6ClientEndpoint if ':' in caller.host else TCP4ClientEndpoint
-        endpoint = kind(caller.reactor, caller.host, caller.port)
+        client = self.client
+        kind = TCP6ClientEndpoint if ':' in client.host else TCP4ClientEndpoint
+        endpoint = kind(client.reactor, client.host, client.port)
         return endpoint.connect(factory).addCallback(self._opened)
 
     def _opened(self, protocol):
@@ -242,7 +244,7 @@
         return protocol
 
 
-class _Body(Protocol):
+class _BodyReader(Protocol):
     def __init__(self, done, limit):
         self.done = done
         self.limit = limit
@@ -250,7 +252,7 @@
         self.size = 0
 
     def dataReceived(self, data):
-        self.limit.heard()
+        self.limit.extend()
         self.size += len(data)
         self.parts.append(data)
         if self.size > BODY_LIMIT:
@@ -268,10 +270,10 @@
         self.transport.abortConnection()
 
 
-def _whole_body(response, limit):
+def _read_body(response, limit):
     done = Deferred(lambda _: body.abort())
-    body = _Body(done, limit)
-    limit.heard()
+    body = _BodyReader(done, limit)
+    limit.extend()
     response.deliverBody(body)
     return done
 
--- a/pollenstile/platform/_httpstore.py
+++ b/pollenstile/platform/_httpstore.py
@@ -1,4 +1,4 @@
-"""The object store over HTTP."""
+"""Object store client over HTTP."""
 
 from urllib.parse import quote, urlencode
 
@@ -28,52 +28,54 @@
 
 
 class HttpStore:
-    """The platform's object API, as ``docs/protocols/platform.md`` has it.
+    """Client of the object API described in ``docs/protocols/platform.md``.
 
     Parameters
     ==========
 
-    caller : Caller
-        Sends the calls; its timeout is that of each call but a watch.
+    client : Caller
+        HTTP client of the store; its timeout applies to all calls but watches.
     watch_margin : float
-        Seconds that a watch's answer may take beyond its poll time.
+        Seconds that the response to a watch may take beyond its poll time.
     """
 
-    __slots__ = ('caller', 'watch_margin')
+    __slots__ = ('client', 'watch_margin')
 
-    def __init__(self, caller, watch_margin=2.0):
-        self.caller = caller
+    def __init__(self, client, watch_margin=2.0):
+        self.client = client
         self.watch_margin = watch_margin
 
     def is_answering(self):
-        """Return whether an answer has begun to come in and has not ended."""
-        return self.caller.arriving > 0
+        """Return whether a response body is being received."""
+        return self.client.bodies_in_progress > 0
 
     async def get(self, kind, name):
         """Return ``Found``, ``Absent`` or ``Unavailable``."""
-        reply = await self.caller.call('GET', _object_path(kind, name))
-        return self._read('get', reply, _GET)
+        reply = await self.client.call('GET', _object_path(kind, name))
+        return self._read_outcome('get', reply, _GET)
 
     async def put(self, kind, name, value, if_version=None):
         """Return ``Written``, ``Conflict``, ``NotApplied`` or ``InDoubt``."""
         body = msgspec.json.encode(value)
         if len(body) > VALUE_LIMIT:
-            return NotApplied('put', self.caller.peer, 'status 413')
-        path = _object_path(kind, name) + _condition(if_version)
-        reply = await self.caller.call('PUT', path, body, fresh=True)
-        return self._written('put', reply)
+            return NotApplied('put', self.client.peer, 'status 413')
+        path = _object_path(kind, name) + _version_query(if_version)
+        reply = await self.client.call('PUT', path, body, fresh=True)
+        return self._write_outcome('put', reply)
 
     async def delete(self, kind, name, if_version=None):
         """Return ``Written``, ``Conflict``, ``NotApplied`` or ``InDoubt``."""
-        path = _object_path(kind, name) + _condition(if_version)
-        reply = await self.caller.call('DELETE', path, fresh=True)
-        return self._written('delete', reply)
+        path = _object_path(kind, name) + _version_query(if_version)
+        reply = await self.client.call('DELETE', path, fresh=True)
+        return self._write_outcome('delete', reply)
 
     async def listed(self, kind, prefix='', after='', limit=PAGE_LIMIT):
         """Return ``Listing`` or ``Unavailable``."""
         query = urlencode({'prefix': prefix, 'after': after, 'limit': limit})
         path = f'/v1/objects/{quote(kind, safe="")}?{query}'
-        return self._read('list', await self.caller.call('GET', path), _LIST)
+        return self._read_outcome(
+            'list', await self.client.call('GET', path), _LIST
+        )
 
     async def watched(self, kind, since, prefix='', timeout=POLL_SECONDS):
         """Return ``Changes``, ``Compacted`` or ``Unavailable``."""
@@ -84,39 +86,43 @@
                 'timeout-ms': int(timeout * _MILLISECONDS),
             },
         )
-        reply = await self.caller.call(
+        reply = await self.client.call(
             'GET',
             f'/v1/watch/{quote(kind, safe="")}?{query}',
             timeout=timeout + self.watch_margin,
             fresh=True,
         )
-        return self._read('watch', reply, _WATCH)
+        return self._read_outcome('watch', reply, _WATCH)
 
-    def _read(self, step, reply, types):
-        peer = self.caller.peer
+    def _read_outcome(self, step, reply, types):
+        peer = self.client.peer
         if isinstance(reply, Broken):
             return Unavailable(step, peer, reply.reason)
         if reply.status not in types:
             reason = f'status {reply.status}'
             return Unavailable(step, peer, reason, reply.retry_after)
-        return _decoded(reply, types) or Unavailable(step, peer, 'bad answer')
+        return _decode_reply(reply, types) or Unavailable(
+            step, peer, 'bad answer'
+        )
 
-    def _written(self, step, reply):
-        peer = self.caller.peer
+    def _write_outcome(self, step, reply):
+        peer = self.client.peer
         if isinstance(reply, Broken):
             outcome = InDoubt if reply.connected else NotApplied
             return outcome(step, peer, reply.reason)
         if reply.status in _WRITE:
-            return _decoded(reply, _WRITE) or InDoubt(step, peer, 'bad answer')
+            return _decode_reply(reply, _WRITE) or InDoubt(
+                step, peer, 'bad answer'
+            )
         reason = f'status {reply.status}'
         if reply.status == _UNAVAILABLE or 400 <= reply.status < 500:
             return NotApplied(step, peer, reason, reply.retry_after)
         return InDoubt(step, peer, reason)
 
 
-def _decoded(reply: Reply, types):
-    # A 404 may come from something that is not the object API, such as a
-    # balancer with no route. Only an answer of the right shape counts.
+def _decode_reply(reply: Reply, types):
+    # A 404 may come from a server other than the object API, such as a load
+    # balancer without a route. Only a response that matches the schema counts.
     try:
         return msgspec.json.decode(reply.body, type=types[reply.status])
     except (msgspec.DecodeError, msgspec.ValidationError):
@@ -127,5 +133,5 @@
     return f'/v1/objects/{quote(kind, safe="")}/{quote(name, safe="")}'
 
 
-def _condition(if_version):
+def _version_query(if_version):
     return '' if if_version is None else f'?if-version={if_version}'
--- a/pollenstile/platform/_outcome.py
+++ b/pollenstile/platform/_outcome.py
@@ -1,4 +1,4 @@
-"""Outcomes of calls to the platform, each a tagged value."""
+"""Types of the outcomes of calls to the platform."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -6,15 +6,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Found:
-    """An object as it was read.
+    """An object that was read.
 
     Parameters
     ==========
 
     kind, name : str
-        Which object.
+        Identity of the object.
     version : int
-        Rises with each write of the object, also over a deletion.
+        Increases with each write of the object, also across a deletion.
     value : object
         Decoded JSON; never ``None``.
     """
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Absent:
-    """There was no such object when the store was read."""
+    """The object did not exist when the store was read."""
 
     kind: str
     name: str
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Written:
-    """The write was applied; ``version`` is the object's new one."""
+    """The write was applied; ``version`` is the object's new version."""
 
     version: int
 
@@ -48,7 +48,7 @@
     ==========
 
     version : int
-        The one it has; 0 when it is absent.
+        Current version of the object; 0 when it is absent.
     """
 
     version: int
@@ -56,14 +56,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Superseded:
-    """An in-doubt write can't be settled: another write stands there.
+    """An in-doubt write can't be settled because of another write.
 
     Explanation
     ===========
 
-    The object was written by another after the in-doubt put was sent. Ours
-    either lost to it or was applied and then replaced. Where objects are
-    never replaced (the claims log) it has lost.
+    Another writer has written the object after the in-doubt put was sent. The
+    in-doubt put was either not applied, or applied and then replaced. Where
+    objects are never replaced (the claims log) it was not applied.
     """
 
     version: int
@@ -77,11 +77,11 @@
     ==========
 
     objects : tuple of Found
-        The page.
+        Objects of the page.
     revision : int
-        The store's revision when the page was read.
+        Revision of the store when the page was read.
     more : bool
-        Whether another page follows, after the last name of this one.
+        Whether another page follows after the last name of this one.
     """
 
     objects: tuple[Found, ...]
@@ -91,20 +91,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """One write that a watch or a list has shown.
+    """One write that a watch or a list has reported.
 
     Parameters
     ==========
 
     kind, name : str
-        Which object.
+        Identity of the object.
     version : int
-        Its version after the write. Of a deletion that only a list has
-        shown, the list's revision, which is no lower.
+        Version of the object after the write. For a deletion inferred from a
+        list it is the list's revision, which is no lower.
     value : object
         Decoded JSON; ``None`` when the object was deleted.
     revision : int
-        The store's revision of the write.
+        Revision of the store at the write.
     """
 
     kind: str
@@ -116,7 +116,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Changes:
-    """What a watch has answered: changes up to a revision, maybe none."""
+    """Response to a watch: the changes up to a revision, possibly none."""
 
     revision: int
     events: tuple[Change, ...] = ()
@@ -124,14 +124,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Compacted:
-    """The watch can't start there; list again and watch from the list."""
+    """The watch can't start at its revision; a new list is required."""
 
     revision: int
 
 
 @dataclass(slots=True, frozen=True)
 class NotApplied:
-    """The write was surely not applied, and won't be.
+    """The write was not applied and will not be applied later.
 
     Parameters
     ==========
@@ -141,10 +141,10 @@
     peer : str
         Address of the store.
     reason : str
-        Such as ``'refused'``, ``'budget'``, ``'backing-off'``,
+        For example ``'refused'``, ``'budget'``, ``'backing-off'``,
         ``'status 413'``.
     retry_after : float or None
-        Seconds after which a further try may go through.
+        Seconds after which another attempt may succeed.
     """
 
     step: str
@@ -164,7 +164,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Unavailable:
-    """The store gave no answer to a read; see :class:`NotApplied`."""
+    """A read failed; for the fields see :class:`NotApplied`."""
 
     step: str
     peer: str
--- a/pollenstile/platform/_paced.py
+++ b/pollenstile/platform/_paced.py
@@ -1,20 +1,20 @@
-"""The one place that decides whether a call to the object API is sent."""
+"""Rate limiting and backoff of all calls to the object API."""
 
 from collections import Counter
 
 from twisted.internet.defer import Deferred
 
 from pollenstile.platform._brownout import (
-    PATIENCE,
+    FAILURE_THRESHOLD,
     Brownout,
-    call_answered,
-    call_failed,
+    record_answer,
+    record_failure,
     seconds_blocked,
 )
 from pollenstile.platform._budget import (
     class_of_kind,
-    seconds_to_next,
-    taken,
+    seconds_until_available,
+    try_acquire,
 )
 from pollenstile.platform._outcome import InDoubt, NotApplied, Unavailable
 from pollenstile.platform._store import PAGE_LIMIT, POLL_SECONDS
@@ -29,31 +29,31 @@
 
 
 class PacedStore:
-    """A store whose calls keep a budget and back off in brown-outs.
+    """Wrap a store with a call budget and with backoff in brown-outs.
 
     Explanation
     ===========
 
-    A call that may not go now is refused at once, as ``NotApplied`` or
-    ``Unavailable`` with ``retry_after``; nothing is queued, since its caller
-    knows best whether it can wait. No call is sent twice.
+    A call that may not be sent now is refused immediately, with ``NotApplied``
+    or ``Unavailable`` and their ``retry_after``. Calls are not queued, because
+    only the calling code knows whether it can wait. No call is sent twice.
 
     Parameters
     ==========
 
     store : Store
-        Where the calls go.
+        Store that receives the calls.
     clock : twisted.internet.interfaces.IReactorTime
-        Gives the time.
+        Clock of the budget and of the backoff.
     random : random.Random
         Source of the jitter.
     budget : Budget
-        Calls of this host, writes included.
+        Budget of all calls of this host, writes included.
     log : function
         Takes an event and its fields.
     write_budget : Budget or None
-        Writes of this host, of which the platform takes fewer than reads; no
-        limit of their own when ``None``.
+        Additional budget of the writes of this host, since the platform
+        accepts fewer writes than reads; ``None`` for no additional limit.
     """
 
     __slots__ = (
@@ -80,7 +80,7 @@
         self.refused = Counter()
 
     def is_answering(self):
-        """Return whether an answer has begun to come in and has not ended."""
+        """Return whether a response body is being received."""
         return self.store.is_answering()
 
     async def get(self, kind, name):
@@ -114,10 +114,10 @@
     async def watched(self, kind, since, prefix='', timeout=POLL_SECONDS):
         """Return ``Changes``, ``Compacted`` or ``Unavailable``.
 
-        A watch waits for long by design, so it holds up no other call of its
-        class while the store is tried again.
+        A watch stays pending for long by design, so it does not count as one
+        of the in-flight calls of its class during backoff.
         """
-        return self._refusal('watch', kind) or await self._answered(
+        return self._refusal('watch', kind) or await self._record_outcome(
             self.store.watched(kind, since, prefix, timeout),
         )
 
@@ -126,12 +126,12 @@
         now = self.clock.seconds()
         blocked = seconds_blocked(self.brownout, call_class, now)
         if blocked > 0:
-            return self._refused(step, call_class, 'backing-off', blocked)
+            return self._build_refusal(step, call_class, 'backing-off', blocked)
         for budget in self._budgets(step):
-            if taken(budget, call_class, now):
+            if try_acquire(budget, call_class, now):
                 continue
-            wait = seconds_to_next(budget, call_class)
-            return self._over_budget(step, kind, wait)
+            wait = seconds_until_available(budget, call_class)
+            return self._refuse_over_budget(step, kind, wait)
         return None
 
     def _budgets(self, step):
@@ -139,7 +139,7 @@
             return (self.write_budget, self.budget)
         return (self.budget,)
 
-    def _over_budget(self, step, kind, wait):
+    def _refuse_over_budget(self, step, kind, wait):
         self.log(
             BUDGET_REFUSED,
             level='warning',
@@ -147,9 +147,9 @@
             kind=kind,
             retry_after=round(wait, 3),
         )
-        return self._refused(step, class_of_kind(kind), 'budget', wait)
+        return self._build_refusal(step, class_of_kind(kind), 'budget', wait)
 
-    def _refused(self, step, call_class, reason, wait):
+    def _build_refusal(self, step, call_class, reason, wait):
         self.refused[call_class, reason] += 1
         outcome = NotApplied if step in _WRITES else Unavailable
         return outcome(step, 'object API', reason, wait)
@@ -157,30 +157,30 @@
     def _call(self, kind, call):
         call_class = class_of_kind(kind)
         self.brownout.in_flight[call_class] += 1
-        answer = Deferred.fromCoroutine(self._answered(call))
-        return answer.addBoth(self._landed, call_class)
+        answer = Deferred.fromCoroutine(self._record_outcome(call))
+        return answer.addBoth(self._call_ended, call_class)
 
-    def _landed(self, outcome, call_class):
+    def _call_ended(self, outcome, call_class):
         self.brownout.in_flight[call_class] -= 1
         return outcome
 
-    async def _answered(self, call):
+    async def _record_outcome(self, call):
         started = self.clock.seconds()
         outcome = await call
         self.outcomes[type(outcome).__name__] += 1
-        if _store_failed(outcome):
+        if _is_store_failure(outcome):
             self._count_failure(started, outcome)
             return outcome
-        if self.brownout.failures >= PATIENCE:
+        if self.brownout.failures >= FAILURE_THRESHOLD:
             self.log(STORE_ANSWERS, failures=self.brownout.failures)
-        call_answered(self.brownout)
+        record_answer(self.brownout)
         return outcome
 
     def _count_failure(self, started, outcome):
         now = self.clock.seconds()
         before = self.brownout.failures
-        call_failed(self.brownout, started, now, self.random)
-        if before < PATIENCE <= self.brownout.failures:
+        record_failure(self.brownout, started, now, self.random)
+        if before < FAILURE_THRESHOLD <= self.brownout.failures:
             self.log(
                 STORE_BACKING_OFF,
                 level='warning',
@@ -190,7 +190,7 @@
             )
 
 
-def _store_failed(outcome):
+def _is_store_failure(outcome):
     if isinstance(outcome, InDoubt):
         return True
     if not isinstance(outcome, (NotApplied, Unavailable)):
--- a/pollenstile/platform/_pages.py
+++ b/pollenstile/platform/_pages.py
@@ -1,4 +1,4 @@
-"""All pages of a list as one."""
+"""Reads all pages of a list."""
 
 from pollenstile.platform._outcome import Listing, Unavailable
 
@@ -9,9 +9,10 @@
     Explanation
     ===========
 
-    Pages are read one after another while others write. The revision is the
-    first page's: all written up to it is shown, and a watch from it shows
-    what a later page had missed, together with some that it did show.
+    Pages are read one after another, while other clients may write. The
+    revision of the result is that of the first page. The result includes all
+    writes up to that revision. A watch from it reports all later writes, also
+    some that a later page already included.
     """
     page = await store.listed(kind, prefix)
     if isinstance(page, Unavailable):
--- a/pollenstile/platform/_pause.py
+++ b/pollenstile/platform/_pause.py
@@ -1,4 +1,4 @@
-"""Pauses between tries."""
+"""Delays between attempts, with exponential backoff and full jitter."""
 
 from twisted.internet.defer import Deferred, succeed
 
@@ -6,7 +6,7 @@
 
 
 def unpaused(attempt):
-    """Return at once: no pause after any attempt."""
+    """Return a Deferred that has already fired: no pause."""
     return succeed(attempt)
 
 
@@ -17,17 +17,17 @@
     ==========
 
     clock : twisted.internet.interfaces.IReactorTime
-        Measures the pauses.
+        Clock of the pauses.
     random : random.Random
         Source of the jitter.
     base, cap : float
-        Seconds that bound the first pause, and every pause.
+        Upper bounds, in seconds, of the first pause and of every pause.
 
     Returns
     =======
 
     function
-        Takes the attempt's number from 0 and returns a Deferred.
+        Takes the number of the attempt, from 0, and returns a Deferred.
     """
 
     def pause(attempt):
@@ -38,20 +38,20 @@
 
 
 def paused(clock, seconds):
-    """Return a Deferred that fires after some seconds; it can be cancelled."""
+    """Return a cancellable Deferred that fires after some seconds."""
     done = Deferred(lambda _: call.cancel())
     call = clock.callLater(seconds, done.callback, None)
     return done
 
 
 def branched(deferred):
-    """Return a Deferred that fires with another one and can be given up.
+    """Return a Deferred that fires when another one does.
 
     Explanation
     ===========
 
-    Whoever waits for the branch may give it a time limit of its own; the other
-    one goes on, for all else who wait for it.
+    The returned Deferred can be cancelled or given a timeout without affecting
+    the original one, which may have other waiters.
     """
     branch = Deferred()
 
--- a/pollenstile/platform/_rows.py
+++ b/pollenstile/platform/_rows.py
@@ -1,4 +1,4 @@
-"""Documents of the store that other programs write to as well."""
+"""Lenient decoding of store objects that other programs may have written."""
 
 import json
 import math
@@ -9,37 +9,38 @@
 from pollenstile.platform.events import OBJECT_UNREADABLE
 
 
-def decoded(body, shape):
-    """Return a body of JSON as a shape, or None.
+def decode_json(body, shape):
+    """Return a JSON body decoded as a type, or None if it doesn't match.
 
     Explanation
     ===========
 
-    Half a surrogate pair, a byte that is not UTF-8 or a number that is none,
-    in the entry of another writer, makes the strict decoder refuse the whole
-    page. Such text becomes a mark here and such a number nothing; the entries
-    around them hold.
+    The strict decoder rejects a whole page if the entry of another writer
+    contains an unpaired surrogate, a byte that is not UTF-8 or a number such
+    as NaN. In that case the invalid characters are replaced, the invalid
+    numbers become null, and the other entries of the page stay usable.
 
     Parameters
     ==========
 
     body : bytes
-        As it came.
+        Received body.
     shape : type
-        A :class:`msgspec.Struct`.
+        Subclass of :class:`msgspec.Struct`.
 
     Examples
     ========
 
     >>> import msgspec
-    >>> from pollenstile.platform import decoded
+    >>> from pollenstile.platform import decode_json
     >>> class Page(msgspec.Struct):
     ...     items: list
-    >>> decoded(b'{"items": [1]}', Page).items
+    >>> decode_json(b'{"items": [1]}', Page).items
     [1]
-    >>> len(decoded(b'{"items": ["' + bytes((255,)) + b'", 2]}', Page).items)
+    >>> body = b'{"items": ["' + bytes((255,)) + b'", 2]}'
+    >>> len(decode_json(body, Page).items)
     2
-    >>> decoded(b'<html>', Page) is None
+    >>> decode_json(b'<html>', Page) is None
     True
     """
     try:
@@ -47,28 +48,30 @@
     except msgspec.ValidationError:
         return None
     except msgspec.DecodeError:
-        return _decoded_laxly(body, shape)
+        return _decode_leniently(body, shape)
 
 
-def readable(rows, shape, kind, log=silent_log):
-    """Return the rows that have a shape.
+def convert_rows(rows, shape, kind, log=silent_log):
+    """Return the rows that convert to a type; log and skip the others.
 
     Explanation
     ===========
 
-    Decoded as one, a page with a single row of another writer was no page at
-    all: a host that started then knew of no upstream, and one that ran heard
-    of no change.
+    Rows are converted one by one. When a page was decoded as a unit, a single
+    row of another writer made the whole page invalid: a host that started then
+    had no upstreams, and a running host received no changes.
 
     Parameters
     ==========
 
     rows : list
-        Of a page.
+        Rows of a page, as decoded from JSON.
+    shape : type
+        Subclass of :class:`msgspec.Struct`.
     kind : str
-        Named in the log line for each row that is left out.
+        Kind named in the log line of each skipped row.
     log : function
-        Writes events.
+        Takes an event and its fields.
     """
     found = []
     for row in rows:
@@ -79,24 +82,24 @@
     return found
 
 
-def _decoded_laxly(body, shape):
+def _decode_leniently(body, shape):
     try:
-        return msgspec.json.decode(_cleaned(body), type=shape)
+        return msgspec.json.decode(_sanitize(body), type=shape)
     except (ValueError, RecursionError):
         return None
 
 
-def _cleaned(body):
-    """Return JSON of which all text is UTF-8 and all numbers are finite."""
+def _sanitize(body):
+    """Return JSON with valid UTF-8 text and finite numbers only."""
     lax = json.loads(
         body.decode('utf8', 'replace'),
-        parse_float=_finite,
-        parse_constant=_finite,
+        parse_float=_finite_or_none,
+        parse_constant=_finite_or_none,
     )
     return json.dumps(lax, ensure_ascii=False).encode('utf8', 'replace')
 
 
-def _finite(text):
-    """Return a number, or None for infinity and for what is no number."""
+def _finite_or_none(text):
+    """Return a number, or None for NaN and infinities."""
     number = float(text)
     return number if math.isfinite(number) else None
--- /dev/null
+++ b/pollenstile/platform/_seenversions.py
@@ -0,0 +1,106 @@
+"""Filters out changes that a watch or a list has already reported.
+
+Explanation
+===========
+
+The version of an object is the store's revision at its last write. A full list
+of revision R therefore reflects every write up to R, and an event with a
+version up to R that arrives later is out of date. Deleted names are kept only
+until the next list, so that memory does not grow with short-lived names.
+"""
+
+from pollenstile.platform._outcome import Change
+
+
+class SeenVersions:
+    """Newest seen version of each name and revision of the last full list."""
+
+    __slots__ = ('deleted', 'listed_revision', 'live')
+
+    def __init__(self):
+        self.listed_revision = 0
+        self.live = {}
+        self.deleted = {}
+
+
+def filter_new_events(seen, events):
+    """Return the events with versions not seen before and record them.
+
+    Examples
+    ========
+
+    >>> seen = SeenVersions()
+    >>> new = Change('config', 'manifest', 7, {}, 7)
+    >>> old = Change('config', 'manifest', 6, {}, 6)
+    >>> [event.version for event in filter_new_events(seen, [new, old, new])]
+    [7]
+    """
+    changes = []
+    for event in events:
+        if event.version <= _latest_version(seen, event.name):
+            continue
+        _record(seen, event)
+        changes.append(event)
+    return changes
+
+
+def changes_from_listing(seen, listing):
+    """Return the changes that a full list implies and record them.
+
+    Explanation
+    ===========
+
+    A list that is older than a previous one, such as the list of a lagging
+    replica, is rejected because it would restore deleted objects. A seen name
+    that is not listed was deleted, unless it was written after the list was
+    read; in that case the deletion counts as out of date.
+
+    Returns
+    =======
+
+    list of Change or None
+        ``None`` if the list is older than a previous one.
+    """
+    if listing.revision < seen.listed_revision:
+        return None
+    revision = listing.revision
+    names = {found.name for found in listing.objects}
+    events = [_change_of(found) for found in listing.objects]
+    for name, (kind, _) in seen.live.items():
+        if name in names:
+            continue
+        events.append(Change(kind, name, revision, None, revision))
+    seen.listed_revision = 0
+    changes = filter_new_events(seen, events)
+    seen.listed_revision = listing.revision
+    seen.deleted = {
+        name: version
+        for name, version in seen.deleted.items()
+        if version > listing.revision
+    }
+    return changes
+
+
+def _latest_version(seen, name):
+    row = seen.live.get(name)
+    version = row[1] if row else seen.deleted.get(name, 0)
+    return max(version, seen.listed_revision if row is None else 0)
+
+
+def _record(seen, event):
+    if event.value is None:
+        seen.live.pop(event.name, None)
+        seen.deleted[event.name] = event.version
+        return
+    seen.deleted.pop(event.name, None)
+    seen.live[event.name] = (event.kind, event.version)
+
+
+def _change_of(found):
+    return Change(
+        found.kind,
+        found.name,
+        found.version,
+        found.value,
+        found.version,
+    )
--- a/pollenstile/platform/_settle.py
+++ b/pollenstile/platform/_settle.py
@@ -1,4 +1,4 @@
-"""Settling of conditional writes whose answer was lost."""
+"""Conditional writes that determine the result of lost responses."""
 
 from pollenstile.platform._outcome import (
     Absent,
@@ -13,7 +13,7 @@
 
 
 def field_mark(field):
-    """Return a function that reads a writer's mark from a field of a value.
+    """Return a function that reads the writer's mark from a field.
 
     Examples
     ========
@@ -38,72 +38,74 @@
     pause=unpaused,
     attempts=6,
 ):
-    """Write conditionally, and find out what became of an in-doubt write.
+    """Write conditionally and determine the outcome of an in-doubt write.
 
     Explanation
     ===========
 
-    The answer to a write can be lost after the write was applied; the write
-    can also still be on its way and be applied later. So after an in-doubt
-    put the object is read back and compared by the writer's mark:
+    The response to a write can be lost after the write was applied, or while
+    the write is still in transit and will be applied later. Therefore, after
+    an in-doubt put, the object is read back and its mark is compared:
 
-    - it carries our mark: the write was applied;
-    - it still has the version the put was conditional on: the same put is
-      sent again. Both name the same version, so at most one is applied, and
-      whichever is carries the same mark;
-    - anything else: another write stands there, see ``Superseded``.
+    - It has the mark of this write: the write was applied.
+    - It still has the version that the put requires: the same put is sent
+      again. Both puts require the same version, so at most one of them is
+      applied, and either leaves the same mark.
+    - Otherwise another writer has written it; see ``Superseded``.
 
-    A conflict after an in-doubt put may come from our own first try, so it
-    is read back too. Once a put was in doubt, ``NotApplied`` is never said.
+    A conflict after an in-doubt put may be caused by its own first attempt, so
+    the object is read back in that case too. Once a put was in doubt,
+    ``NotApplied`` is never returned.
 
     Parameters
     ==========
 
     store : Store
-        Where to write.
+        Store to write to.
     kind, name, value
-        What to write.
+        Identity and new value of the object.
     if_version : int
-        The version to write over; 0 creates.
+        Version that the object must have; 0 creates it.
     mark : function
-        Takes a value, returns its writer's mark: unique to this write, the
-        same in each of its tries.
+        Takes a value and returns its writer's mark, which is unique to this
+        write and the same in all of its attempts.
     pause : function
-        Takes the number of the failed attempt, returns a Deferred to wait
-        for; see :func:`pauses`.
+        Takes the number of the failed attempt and returns a Deferred that
+        fires when the next one may start; see :func:`pauses`.
     attempts : int
-        Puts and reads in all.
+        Maximum number of attempts; each but the first one reads back first.
 
     Returns
     =======
 
     Written, Conflict, Superseded, NotApplied or InDoubt
-        ``InDoubt`` when the attempts are spent and it is still not known.
+        ``InDoubt`` if the outcome is still unknown after all attempts.
 
     Raises
     ======
 
     ValueError
-        When the value carries no mark.
+        If the value has no mark.
 
     Notes
     =====
 
-    A create is settled only where the object isn't deleted meanwhile: an
-    object that is created and deleted again looks as if it had never been.
+    The outcome of a create is determined only if nobody deletes the object
+    meanwhile: an object that was created and then deleted can't be
+    distinguished from one that never existed.
     """
     if mark(value) is None:
         raise ValueError(f'{kind}/{name}: the value carries no mark')
     outcome = await store.put(kind, name, value, if_version)
     if not isinstance(outcome, InDoubt):
         return outcome
-    doubt = outcome
+    in_doubt = outcome
     for attempt in range(attempts - 1):
         outcome = await store.get(kind, name)
         if isinstance(outcome, Unavailable):
             await pause(attempt)
             continue
-        outcome = _verdict(outcome, value, if_version, mark)
+        outcome = _resolve(outcome, value, if_version, mark)
         if outcome is not None:
             return outcome
         outcome = await store.put(kind, name, value, if_version)
@@ -111,10 +113,10 @@
             return outcome
         if isinstance(outcome, (InDoubt, NotApplied)):
             await pause(attempt)
-    return doubt
+    return in_doubt
 
 
-def _verdict(outcome, value, if_version, mark):
+def _resolve(outcome, value, if_version, mark):
     if isinstance(outcome, Found) and mark(outcome.value) == mark(value):
         return Written(outcome.version)
     version = 0 if isinstance(outcome, Absent) else outcome.version
--- a/pollenstile/platform/_store.py
+++ b/pollenstile/platform/_store.py
@@ -1,4 +1,4 @@
-"""The interface of the object store."""
+"""Interface of the object store."""
 
 from typing import Protocol
 
@@ -8,20 +8,20 @@
 
 
 class Store(Protocol):
-    """What the rest of the system asks of the platform's object API.
+    """Operations of the platform's object API.
 
     Explanation
     ===========
 
-    Implemented over HTTP by :class:`~pollenstile.platform.HttpStore`, in
-    memory by :class:`~pollenstile.standin.objectapi.MemoryStore`, and by
-    :class:`~pollenstile.platform.PacedStore`, which wraps either. A failure
-    is returned as a tagged outcome, never raised. Values are what JSON can
-    say, at most ``VALUE_LIMIT`` bytes encoded, and not ``None``.
+    :class:`~pollenstile.platform.HttpStore` implements it over HTTP,
+    :class:`~pollenstile.standin.objectapi.MemoryStore` in memory, and
+    :class:`~pollenstile.platform.PacedStore` wraps either. Failures are
+    returned as outcome types and never raised. A value is a JSON document of
+    at most ``VALUE_LIMIT`` encoded bytes and not ``None``.
     """
 
     def is_answering(self):
-        """Return whether an answer has begun to come in and has not ended."""
+        """Return whether a response body is being received."""
 
     async def get(self, kind, name):
         """Return ``Found``, ``Absent`` or ``Unavailable``."""
@@ -33,8 +33,8 @@
         ==========
 
         if_version : int or None
-            Only over this version; 0 creates, if the object is absent;
-            ``None`` always writes.
+            Version that the object must have; 0 requires that the object is
+            absent, ``None`` writes unconditionally.
 
         Returns
         =======
@@ -43,24 +43,24 @@
         """
 
     async def delete(self, kind, name, if_version=None):
-        """Delete an object; outcomes as of ``put``.
+        """Delete an object; the outcomes are those of ``put``.
 
-        ``Written(0)`` answers an unconditional delete of an absent object.
+        An unconditional delete of an absent object returns ``Written(0)``.
         """
 
     async def listed(self, kind, prefix='', after='', limit=PAGE_LIMIT):
         """Return ``Listing`` or ``Unavailable``.
 
-        A page holds names that sort after ``after``, at most ``limit`` and
-        about ``VALUE_LIMIT`` bytes of values, but at least one.
+        A page holds objects whose names sort after ``after``: at most ``limit``
+        objects and about ``VALUE_LIMIT`` bytes of values, but at least one.
         """
 
     async def watched(self, kind, since, prefix='', timeout=POLL_SECONDS):
-        """Wait for changes after a revision, for ``timeout`` seconds.
+        """Wait up to ``timeout`` seconds for changes after a revision.
 
         Returns
         =======
 
         Changes, Compacted or Unavailable
-            ``Changes`` without events when nothing changed in that time.
+            ``Changes`` without events if nothing changed in that time.
         """
--- a/pollenstile/platform/_watch.py
+++ b/pollenstile/platform/_watch.py
@@ -1,13 +1,13 @@
-"""A watch that goes on through gaps, outages and silence."""
+"""Watch loop that recovers from gaps, outages and lost responses."""
 
 from dataclasses import dataclass
 
 from twisted.internet.defer import CancelledError, Deferred
 
-from pollenstile.platform._known import (
-    Known,
-    news_of_events,
-    news_of_listing,
+from pollenstile.platform._seenversions import (
+    SeenVersions,
+    changes_from_listing,
+    filter_new_events,
 )
 from pollenstile.platform._outcome import Compacted, Unavailable
 from pollenstile.platform._pages import listed_whole
@@ -23,23 +23,22 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchTiming:
-    """Seconds of a watch.
+    """Time limits and intervals of a watch, in seconds.
 
     Parameters
     ==========
 
     poll : float
-        How long the store may hold one call.
+        Time for which the store may hold one call.
     margin : float
-        How much longer the answer may take before the watch counts as
-        silent.
+        Additional time after which a watch without a response is cancelled.
     rearm : float
-        Bound of the jitter before the next call after an answer with
-        changes, so that the fleet does not come back at one instant.
+        Bound of the jitter between a response with changes and the next call,
+        which spreads the calls of the fleet.
     list_every : float
-        Mean time between the lists that find what a watch has missed.
+        Mean interval of the lists that detect missed changes.
     list_within : float
-        How long a list may take.
+        Time limit of a list.
     backoff : float
         Bound of the first pause after a failure.
     backoff_cap : float
@@ -62,20 +61,20 @@
     ============
 
     ready : Deferred
-        Fires with the watch after the first whole list.
-    known : Known
-        What has been seen.
+        Fires with the watch after the first full list.
+    seen : SeenVersions
+        Versions that have been reported.
     revision : int
-        Where the next call starts.
+        Revision from which the next call watches.
     """
 
     __slots__ = (
         'callback',
         'clock',
         'failures',
-        'handing_over',
+        'delivering',
         'kind',
-        'known',
+        'seen',
         'list_at',
         'log',
         'prefix',
@@ -93,19 +92,19 @@
         self.kind = kind
         self.prefix = prefix
         self.callback = callback
-        self.known = Known()
+        self.seen = SeenVersions()
         self.revision = None
         self.list_at = 0.0
         self.failures = 0
-        self.handing_over = False
+        self.delivering = False
         self.ready = Deferred()
         self.running = True
         self.task = None
 
     def stop(self):
-        """End the watch; no callback comes after it."""
+        """Stop the watch; the callback is not called any more."""
         self.running = False
-        if not self.handing_over:
+        if not self.delivering:
             self.task.cancel()
 
 
@@ -115,36 +114,36 @@
     Explanation
     ===========
 
-    It lists once, then waits for changes from there, and never ends by
-    itself. A compacted revision leads to a list. An outage leads to tries
-    with full jitter. A call that is not answered within its time and a
-    margin is cancelled and sent anew. A list from time to time finds what a
-    watch has lost without a sign.
+    The watch lists the objects once, then waits for changes after the list's
+    revision, and runs until it is stopped. If that revision is compacted, it
+    lists again. In an outage it retries with full jitter. A call without a
+    response within its time and a margin is cancelled and sent again. Periodic
+    lists detect changes that the store's watch has silently missed.
 
     Parameters
     ==========
 
     store : Store
-        Where to watch.
+        Store to watch.
     kind, prefix : str
-        Which objects.
+        Kind of the objects and prefix of their names.
     callback : function
-        Takes a ``Change``, only ever a newer one than before of that name;
-        also one for each object that stands at the start.
+        Takes a ``Change``. Its version is always newer than any before of that
+        name. Each object that exists at the start is reported as a change.
     clock : twisted.internet.interfaces.IReactorTime
-        Measures the times.
+        Clock of all time limits and intervals.
     random : random.Random
         Source of the jitter.
     log : function
         Takes an event and its fields.
     timing : WatchTiming or None
-        The times, the defaults when ``None``.
+        Time limits and intervals; the defaults when ``None``.
 
     Returns
     =======
 
     Watch
-        To be stopped by its ``stop``.
+        Running watch; its ``stop`` method ends it.
     """
     state = Watch(store, kind, prefix, callback)
     state.clock = clock
@@ -167,10 +166,10 @@
     while state.running:
         now = state.clock.seconds()
         if state.revision is None or now >= state.list_at:
-            worked = await _list(state)
+            succeeded = await _list(state)
         else:
-            worked = await _poll(state)
-        if worked:
+            succeeded = await _poll(state)
+        if succeeded:
             state.failures = 0
             continue
         await pause(state.failures)
@@ -182,21 +181,21 @@
     call = Deferred.fromCoroutine(
         listed_whole(state.store, state.kind, state.prefix),
     )
-    listing = await _within(state, call, timing.list_within, 'list')
+    listing = await _with_timeout(state, call, timing.list_within, 'list')
     if isinstance(listing, Unavailable):
         return False
     now = state.clock.seconds()
     state.list_at = now + timing.list_every * state.random.uniform(0.5, 1.5)
-    news = news_of_listing(state.known, listing)
-    if news is None:
+    changes = changes_from_listing(state.seen, listing)
+    if changes is None:
         _log(state, WATCH_STALE, revision=listing.revision)
         return False
-    answered = state.revision or 0
-    missed = [change for change in news if change.version <= answered]
+    seen_revision = state.revision or 0
+    missed = [change for change in changes if change.version <= seen_revision]
     if missed:
         _log(state, WATCH_MISSED, missed=len(missed))
-    state.revision = max(answered, listing.revision)
-    _hand_over(state, news)
+    state.revision = max(seen_revision, listing.revision)
+    _deliver(state, changes)
     return True
 
 
@@ -212,11 +211,11 @@
             seconds,
         ),
     )
-    # A path that has lost track of the connection swallows the answer: the
-    # call waits for ever. The store holds it for `seconds` at most, so an
-    # answer that is later than the margin won't come; cancelling aborts the
-    # connection and the next call goes over a new one.
-    outcome = await _within(state, call, seconds + timing.margin, 'watch')
+    # If a middlebox has dropped the state of the connection, the response never
+    # arrives. The store holds the call for `seconds` at most, so after the
+    # margin none is expected any more. Cancelling aborts the connection, and
+    # the next call opens a new one.
+    outcome = await _with_timeout(state, call, seconds + timing.margin, 'watch')
     if isinstance(outcome, Unavailable):
         return False
     if isinstance(outcome, Compacted):
@@ -225,28 +224,28 @@
         await _jitter(state)
         return True
     if outcome.events:
-        return await _take(state, outcome)
+        return await _apply_changes(state, outcome)
     state.revision = max(state.revision, outcome.revision)
-    # A store that answers at once that nothing has changed would be asked
-    # without a pause; it counts as failed, so the next call waits.
+    # A store that reports no changes without holding the call would be polled
+    # in a tight loop. It counts as a failure, so that the next call waits.
     return state.clock.seconds() - started >= seconds / 2
 
 
-async def _take(state, outcome):
-    news = news_of_events(state.known, outcome.events)
-    if outcome.revision < state.revision or len(news) < len(outcome.events):
+async def _apply_changes(state, outcome):
+    changes = filter_new_events(state.seen, outcome.events)
+    if outcome.revision < state.revision or len(changes) < len(outcome.events):
         _log(state, WATCH_STALE, revision=outcome.revision)
     state.revision = max(state.revision, outcome.revision)
-    _hand_over(state, news)
+    _deliver(state, changes)
     await _jitter(state)
-    return bool(news)
+    return bool(changes)
 
 
 def _jitter(state):
     return paused(state.clock, state.random.uniform(0, state.timing.rearm))
 
 
-def _within(state, call, seconds, step):
+def _with_timeout(state, call, seconds, step):
     def expired(_failure, _seconds):
         _log(state, WATCH_SILENT, step=step)
         return Unavailable(step, 'object API', 'no answer')
@@ -254,22 +253,22 @@
     return call.addTimeout(seconds, state.clock, onTimeoutCancel=expired)
 
 
-def _hand_over(state, news):
-    state.handing_over = True
-    for change in news:
+def _deliver(state, changes):
+    state.delivering = True
+    for change in changes:
         if state.running:
-            _call_back(state, change)
+            _invoke_callback(state, change)
     if not state.ready.called:
         state.ready.callback(state)
-    state.handing_over = False
+    state.delivering = False
 
 
-def _call_back(state, change):
+def _invoke_callback(state, change):
     try:
         state.callback(change)
     except Exception as error:
-        # One change that its taker can't bear must not end the watch: the
-        # host would go on with an old state and no sign of it.
+        # A change that makes the callback fail must not end the watch: the
+        # host would silently keep running on an outdated state.
         _log(
             state,
             WATCH_CALLBACK_FAILED,
--- a/pollenstile/platform/_weights.py
+++ b/pollenstile/platform/_weights.py
@@ -1,4 +1,4 @@
-"""Tickets of the weight store, which is rate-limited."""
+"""Client of the rate-limited weight store."""
 
 from dataclasses import dataclass
 from urllib.parse import quote
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ticket:
-    """The weight store lets one engine load a model's version now."""
+    """Permission for one engine to load a version of a model now."""
 
     model: str
     version: str
@@ -19,23 +19,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Throttled:
-    """Not now; ask again after ``retry_after`` seconds."""
+    """Refusal of a ticket; retry after ``retry_after`` seconds."""
 
     retry_after: float
 
 
-async def weight_ticket(caller, model, version):
-    """Return ``Ticket``, ``Throttled`` or ``Unavailable``.
+async def weight_ticket(client, model, version):
+    """Request a ticket; return ``Ticket``, ``Throttled`` or ``Unavailable``.
 
-    A ticket whose answer is lost is lost too: it costs one of the rate.
+    A ticket whose response is lost can't be used and still counts against the
+    rate.
     """
     path = f'/v1/weights/{quote(model, safe="")}/{quote(version, safe="")}'
-    reply = await caller.call('POST', f'{path}/tickets', b'', fresh=True)
+    reply = await client.call('POST', f'{path}/tickets', b'', fresh=True)
     if isinstance(reply, Broken):
-        return Unavailable('ticket', caller.peer, reply.reason)
+        return Unavailable('ticket', client.peer, reply.reason)
     if reply.status == 200:
         return Ticket(model, version)
     if reply.status == 429:
         return Throttled(reply.retry_after or _DEFAULT_WAIT)
     reason = f'status {reply.status}'
-    return Unavailable('ticket', caller.peer, reason, reply.retry_after)
+    return Unavailable('ticket', client.peer, reason, reply.retry_after)
