--- a/features/builders/platform.py
+++ b/features/builders/platform.py
@@ -1,4 +1,4 @@
-"""Builders of platform clients over stand-ins."""
+"""Builders of platform clients of stand-in servers."""
 
 from random import Random
 
@@ -25,7 +25,7 @@
 
 
 class Recorder:
-    """Log lines and changes, in their order."""
+    """Records names of logged events and reported changes, in order."""
 
     __slots__ = ('changes', 'events')
 
@@ -34,17 +34,17 @@
         self.changes = []
 
     def log(self, event, level='info', **fields):
-        """Note a log line."""
+        """Record the name of a logged event."""
         self.events.append(event.name)
 
-    def newest(self):
-        """Return the newest value of each name, deleted ones left out."""
+    def newest_values(self):
+        """Return the newest value of each name without deleted objects."""
         values = {change.name: change.value for change in self.changes}
         return {name: value for name, value in values.items() if value}
 
 
 class World:
-    """A store in memory on a virtual clock, and what clients of it saw."""
+    """A memory store on a virtual clock, with a recorder of its clients."""
 
     __slots__ = ('clock', 'random', 'recorder', 'store')
 
@@ -54,7 +54,7 @@
         self.store = MemoryStore(self.clock)
         self.recorder = Recorder()
 
-    def paced(self, rate=1000.0, burst=100.0, seed=1):
+    def make_paced(self, rate=1000.0, burst=100.0, seed=1):
         """Return a paced client of the store."""
         return PacedStore(
             self.store,
@@ -64,8 +64,8 @@
             self.recorder.log,
         )
 
-    def settled(self, writer, if_version, store=None):
-        """Return the coroutine of a settled write with a writer's mark."""
+    def put_manifest(self, writer, if_version, store=None):
+        """Return a coroutine that writes with a mark and reads back."""
         return settled_put(
             store or self.store,
             'config',
@@ -76,8 +76,8 @@
             pauses(self.clock, self.random),
         )
 
-    def watching(self, store=None, callback=None, **timing):
-        """Return a running watch on configuration."""
+    def start_watch(self, store=None, callback=None, **timing):
+        """Return a running watch of the configuration."""
         return watch(
             store or self.store,
             'config',
@@ -90,7 +90,7 @@
 
 
 class SplitStore:
-    """Lists come from one store, all else from another."""
+    """Store that lists from one store and watches another."""
 
     __slots__ = ('lists', 'rest')
 
@@ -99,42 +99,42 @@
         self.rest = rest
 
     def listed(self, *arguments):
-        """Return the lists' store's answer."""
+        """Return the outcome of the store that answers lists."""
         return self.lists.listed(*arguments)
 
     def watched(self, *arguments):
-        """Return the other store's answer."""
+        """Return the outcome of the store that answers watches."""
         return self.rest.watched(*arguments)
 
 
-class Silence(Resource):
-    """Takes every request and never answers."""
+class UnresponsiveServer(Resource):
+    """Server that accepts every request and never answers."""
 
     isLeaf = True
 
     def __init__(self):
         super().__init__()
-        self.taken = 0
-        self.lost = 0
+        self.received = 0
+        self.disconnected = 0
 
     def render(self, request):
-        """Keep the request."""
-        self.taken += 1
+        """Count the request and leave it unanswered."""
+        self.received += 1
         request.notifyFinish().addErrback(self._count)
         return NOT_DONE_YET
 
     def _count(self, _failure):
-        self.lost += 1
+        self.disconnected += 1
 
 
-class Trickle(Resource):
-    """Answers in parts, as a link that is full does.
+class PartwiseServer(Resource):
+    """Server that sends its response in parts, as over a saturated link.
 
     Attributes
     ==========
 
     requests : list
-        Those that wait for their next part.
+        Requests whose response is not complete.
     """
 
     isLeaf = True
@@ -144,29 +144,29 @@
         self.requests = []
 
     def render(self, request):
-        """Begin the answer."""
+        """Send the first part of the response."""
         request.write(b'[')
         self.requests.append(request)
         return NOT_DONE_YET
 
-    def part(self):
-        """Send a further part of each answer."""
+    def send_part(self):
+        """Send a further part of each response."""
         for request in self.requests:
             request.write(b'1,')
 
-    def end(self):
-        """Send the last part of each answer."""
+    def send_last_part(self):
+        """Send the last part of each response."""
         for request in self.requests:
             request.write(b'1]')
             request.finish()
         self.requests = []
 
 
-class Forgetful(Resource):
-    """Answers as an object API without objects, until connections are lost.
+class StateDroppingServer(Resource):
+    """Object API without objects, with a path that drops connection state.
 
-    Requests on connections that were open when ``forget`` was called get no
-    answer; those on new ones do.
+    Requests on connections that were open at the call of
+    ``drop_connections`` get no response; requests on new connections do.
     """
 
     isLeaf = True
@@ -174,26 +174,26 @@
     def __init__(self):
         super().__init__()
         self.open = set()
-        self.forgotten = set()
+        self.dropped = set()
         self.unanswered = 0
 
-    def forget(self):
-        """Lose track of all connections so far."""
-        self.forgotten = set(self.open)
+    def drop_connections(self):
+        """Leave all further requests on open connections unanswered."""
+        self.dropped = set(self.open)
 
     def render(self, request):
-        """Answer that the object is absent, or keep the request."""
+        """Respond that the object is absent, or leave it unanswered."""
         port = request.getClientAddress().port
         self.open.add(port)
-        if port in self.forgotten:
+        if port in self.dropped:
             self.unanswered += 1
             return NOT_DONE_YET
         request.setResponseCode(404)
         return b'{"kind":"config","name":"m"}'
 
 
-class Page(Resource):
-    """Answers every request with one page, as a wrong balancer does."""
+class FixedResponse(Resource):
+    """Server with a fixed response, such as a misconfigured balancer."""
 
     isLeaf = True
 
@@ -203,27 +203,27 @@
         self.body = body
 
     def render(self, request):
-        """Return the page."""
+        """Return the fixed body."""
         request.setResponseCode(self.status)
         return self.body
 
 
 def listening(site):
-    """Return a port of the real loopback that serves a site."""
+    """Return a listening loopback port that serves a site."""
     return reactor.listenTCP(0, site, interface=LOOPBACK)
 
 
-def serving(resource):
-    """Return a port that serves one resource for all paths."""
+def serve_resource(resource):
+    """Return a listening port that serves a resource for all paths."""
     return listening(Site(resource))
 
 
-def http_caller(port, clock=reactor, timeout=20.0):
-    """Return a caller of a listening port; timeouts are on ``clock``."""
+def http_client(port, clock=reactor, timeout=20.0):
+    """Return a client of a listening port with timeouts on ``clock``."""
     number = port.getHost().port
     return Caller(reactor, clock, LOOPBACK, number, timeout)
 
 
 def http_store(port, clock=reactor, timeout=20.0):
-    """Return an HTTP store of a listening port."""
-    return HttpStore(http_caller(port, clock, timeout))
+    """Return an HTTP store client of a listening port."""
+    return HttpStore(http_client(port, clock, timeout))
--- a/features/platform_adapter.feature
+++ b/features/platform_adapter.feature
@@ -1,12 +1,12 @@
-Feature: the adapter of the users' platform only translates
+Feature: adapter of the users' platform
 
   Scenario: A settings file gives the host's settings
     Given a settings file of the platform
-    Then it gives the host "front-a-1" in "zone-a" and the store "10.9.0.7:8624"
+    Then its settings have the host "front-a-1" in "zone-a" and the store "10.9.0.7:8624"
 
-  Scenario Outline: A wrong settings file gives one clear line
+  Scenario Outline: An invalid settings file gives a one-line error
     Given a settings file of the platform with <fault>
-    Then it is refused with a line that names "<field>"
+    Then it is rejected with one line that names "<field>"
 
     Examples:
       | fault                | field              |
@@ -15,33 +15,34 @@
       | a ratio that is text | bounds.retry_ratio |
 
   Scenario: A settings file that changes while the host runs
-    An operator changes a bound, then tears the file. The first is taken; the
-    second leaves the last good settings in force, and is logged once.
+    An operator changes a bound, then makes the file invalid. The first change
+    is applied. The second leaves the last valid settings in force and is logged
+    once.
     Given a settings file of the platform that is watched
-    When its bound of revocation becomes 3000
-    Then the host takes 3 seconds
-    When its bound of revocation becomes much
-    Then the host takes nothing more, and one line names "bounds.revoke_ms"
+    When its revocation bound is set to 3000
+    Then the host applies 3 seconds
+    When its revocation bound is set to much
+    Then the host applies nothing more, and one log line names "bounds.revoke_ms"
 
-  Scenario: The operator's configuration becomes a route table
+  Scenario: The operator's configuration is decoded to a route table
     Given a configuration of the platform
     Then the longest prefix of "h.example" is "/a/b/" and goes to two services
     And its steps are "intake" and, after it, "portal" with 60000 bytes
-    And "intake" takes 8 pieces in 240 ms and has room for 9330000 bytes
+    And "intake" accepts 8 pieces in 240 ms and has 9330000 bytes of result memory
     And the key "k1" belongs to the team "t1" with urgency 1
 
-  Scenario: A configuration of another shape is refused with its place
+  Scenario: An error of an invalid configuration names the route
     Given a configuration of the platform with a route of an unknown kind
     Then decoding it fails and names the route
 
-  Scenario: A registry entry becomes an upstream
+  Scenario: A registry entry is decoded to an upstream
     Given a registry entry of the platform that is draining
     Then the upstream is leaving, with its service, address and domain
-    And an entry of another shape gives none
+    And a malformed entry gives no upstream
 
-  Scenario Outline: Answers of the store become outcomes
+  Scenario Outline: Responses of the store are mapped to outcomes
     Given the platform's store answers <answer>
-    Then the store call <call> gives <outcome>
+    Then the store call <call> returns <outcome>
 
     Examples:
       | answer                    | call   | outcome     |
@@ -61,17 +62,17 @@
       | no connection             | put    | NotApplied  |
       | 500                       | put    | InDoubt     |
 
-  Scenario: A write without a condition creates where nothing stands
+  Scenario: An unconditional write creates an absent object
     Given the platform's store answers 404 and then an object
-    Then the store call put gives Written
+    Then the store call put returns Written
     And the store was called with "PUT" and then "POST"
 
   Scenario: A batch and its results keep their order
-    Given a batch of a first piece and of one with inputs
-    Then its body names key, inputs, numbers and what is left
-    And results of another count or shape are taken for none
+    Given a batch of a piece with a key and of one with inputs
+    Then its body has key, inputs, numbers and remaining time
+    And results of another count or in a malformed body are rejected
 
-  Scenario: Nothing outside the adapter knows the platform's names
-    Then no file of the product holds a name of the platform's wire
+  Scenario: The package contains no wire names of the platform
+    Then no file of pollenstile contains a wire name of the platform
     And the adapter has fewer than 800 lines
     And the standard library's module of the same name is found
--- a/features/platform_http.feature
+++ b/features/platform_http.feature
@@ -1,78 +1,78 @@
 Feature: platform client and stand-ins over real HTTP
 
-  Scenario: The platform's object API over loopback keeps its promises
+  Scenario: The platform's object API over loopback follows its protocol
     Given a platform server on the loopback
     Then over HTTP the platform store creates, conflicts, reads and deletes
     And over HTTP the platform store lists pages and names with slashes
     And over HTTP a platform watch sees a change while it waits
-    And over HTTP a compacted platform watch is told so
+    And over HTTP a platform watch from a compacted revision is rejected
     And over HTTP a platform value above the limit is refused
 
-  Scenario: A platform write over HTTP whose answer is lost is settled
-    The server applies the write and its connection breaks before the answer.
-    The client sees a broken connection and has to read back.
+  Scenario: A platform write over HTTP is read back after a lost response
+    The server applies the write, and the connection is lost before the
+    response. The client only sees the lost connection and has to read back.
     Given a platform server on the loopback
-    And the platform store loses the next answer
-    Then a bare platform put over HTTP is "InDoubt" and a settled one "Written"
+    And the platform store loses the next response
+    Then a single platform put over HTTP is "InDoubt" and one with read-back "Written"
 
   Scenario: A refused platform connection is not in doubt
-    Nobody listens: no byte was sent, and the caller may be told so.
-    Given a platform server on the loopback that has ended
-    Then a bare platform put over HTTP is "NotApplied"
+    The port is closed: no byte was sent, so the write was not applied.
+    Given a platform server on the loopback that has stopped
+    Then a single platform put over HTTP is "NotApplied"
     And a platform read over HTTP is "Unavailable"
 
-  Scenario: A platform server that takes calls and never answers
-    The connection opens and goes silent. A write may have arrived; a read
-    just failed. Both come back when the client's own clock says so, and the
-    silent connections are aborted.
+  Scenario: A platform server that accepts calls and never answers
+    The connection opens and no response arrives. The write may have been
+    received; the read has failed. Both end at the timeout of the client, which
+    aborts the connections.
     Given a silent platform server on the loopback
     Then platform calls over HTTP time out as "InDoubt" and "Unavailable"
-    And the silent platform server has lost its connections
+    And the connections of the silent platform server are closed
 
-  Scenario: Kept platform connections that went silent cost one timeout
-    Something on the way has lost track of all open connections, while new
-    ones work. If each kept one were tried in turn, the host would be without
-    answers for as many timeouts as it keeps connections.
-    Given a platform server that knows two kept connections no more
+  Scenario: Dead pooled platform connections cost only one timeout
+    A middlebox has dropped the state of all open connections, while new ones
+    work. If each pooled connection were tried in turn, the host would get no
+    response for as many timeouts as it has pooled connections.
+    Given a platform server that has lost two pooled connections
     Then the first platform read over HTTP waits for its timeout
-    And the next platform read over HTTP is answered at once
+    And the next platform read over HTTP is answered immediately
 
-  Scenario: A balancer's own page is no platform answer
-    A balancer without a route answers 404 with a page of its own. Taken for
-    the object's absence, it would make a host drop its configuration.
-    Given a platform server that answers 404 with a page of its own
+  Scenario: An error page of a load balancer is not a platform response
+    A load balancer without a route answers 404 with an HTML page. If that were
+    read as an absent object, a host would drop its configuration.
+    Given a platform server that answers 404 with an HTML page
     Then a platform read over HTTP is "Unavailable"
 
-  Scenario: A platform answer without end is cut off
-    Something on the way answers with bytes that never end. Kept until the
-    end, they would fill the host's memory.
+  Scenario: A platform response without end is aborted
+    A server on the path answers with an endless body. Buffering it would fill
+    the memory of the host.
     Given a platform server that answers 200 with 5 million bytes
-    Then a raw platform call over HTTP is broken off
+    Then a raw platform call over HTTP is aborted
     And a platform read over HTTP is "Unavailable"
 
-  Scenario: A platform answer that comes in slowly
-    A large answer takes four seconds on a link that is full. Given up after
-    its time, it would be asked for again, and come again from its start.
+  Scenario: A platform response that arrives slowly
+    A large response takes four seconds on a saturated link. If the call timed
+    out meanwhile, its retry would transfer the response from the start again.
     Given a platform server that answers in parts
     When a raw platform call over HTTP with 1 second begins to be answered
-    And 4 further parts come, 0.9 seconds apart
-    Then an answer is coming in
-    When the last part comes
-    Then the raw platform call over HTTP has its whole answer
-    And no answer is coming in
+    And 4 further parts arrive, 0.9 seconds apart
+    Then a response body is being received
+    When the last part arrives
+    Then the raw platform call over HTTP has its complete response
+    And no response body is being received
 
-  Scenario: A platform answer that stops half-way
+  Scenario: A platform response that stops half-way
     Given a platform server that answers in parts
     When a raw platform call over HTTP with 1 second begins to be answered
-    And no further part comes for 1.1 seconds
+    And no further part arrives for 1.1 seconds
     Then the raw platform call over HTTP timed out
 
-  Scenario: A platform answer that never ends
-    Each part comes in time. Waited for without end, it would keep a host from
-    its next read for good.
+  Scenario: A platform response that never ends
+    Each part arrives in time. Without a limit in all, the call would keep a
+    host from its next read forever.
     Given a platform server that answers in parts
     When a raw platform call over HTTP with 1 second begins to be answered
-    And 13 further parts come, 0.9 seconds apart
+    And 13 further parts arrive, 0.9 seconds apart
     Then the raw platform call over HTTP timed out
 
   Scenario: Host list and weight store over loopback
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the adapter of the users' platform."""
+"""Steps for the adapter of the users' platform."""
 
 import pathlib
 import re
@@ -121,7 +121,7 @@
         ),
     ),
 }
-# Names of the platform's wire that no other protocol of the product has.
+# Wire names of the platform that no other protocol of this project uses.
 _NAMES = re.compile(
     'x-response-stamp|x-expect-instance|x-segment|x-token-usage'
     '|x-prompt-prefix|x-server-load|stage-run|stage-free|headroom_mb'
@@ -130,8 +130,8 @@
 )
 
 
-class _Caller:
-    """Answers calls of the store in a row."""
+class _FakeClient:
+    """HTTP client that returns given responses in order."""
 
     peer = '10.9.0.7:8624'
 
@@ -140,12 +140,12 @@
         self.methods = []
 
     async def call(self, method, path, body=None, timeout=None, fresh=False):
-        """Return the next answer."""
+        """Return the next response."""
         self.methods.append(method)
         return self.replies.pop(0)
 
 
-def _written(changes):
+def _write_settings(changes):
     fields = {**_SETTINGS, **changes}
     lines = [f'{name}={one}' for name, one in fields.items() if one is not None]
     path = _ROOT / 'target' / 'settings-of-a-test.conf'
@@ -154,8 +154,8 @@
     return path
 
 
-def _settings(changes):
-    path = _written(changes)
+def _read_settings(changes):
+    path = _write_settings(changes)
     try:
         return read_settings(path)
     except SettingsFileError as error:
@@ -166,51 +166,53 @@
 
 @given('a settings file of the platform that is watched')
 def given_watched(context):
-    path = _written({})
+    path = _write_settings({})
     context.add_cleanup(path.unlink)
     context.watched = WatchedSettings(partial(read_settings, path))
-    context.taken = []
+    context.applied = []
     context.lines = []
 
 
-@when('its bound of revocation becomes {value}')
+@when('its revocation bound is set to {value}')
 def when_bound(context, value):
-    _written({'bounds.revoke_ms': value})
+    _write_settings({'bounds.revoke_ms': value})
     for _ in range(3):
-        context.watched.poll(context.taken.append, _noted(context.lines))
+        context.watched.poll(context.applied.append, _reason_log(context.lines))
 
 
-def _noted(lines):
+def _reason_log(lines):
     def log(event, level='info', **fields):
         lines.append(fields['reason'])
 
     return log
 
 
-@then('the host takes {seconds:d} seconds')
-def then_takes(context, seconds):
-    found = [one.host.revoke_seconds for one in context.taken]
+@then('the host applies {seconds:d} seconds')
+def then_applies(context, seconds):
+    found = [one.host.revoke_seconds for one in context.applied]
     assert found == [seconds], found
 
 
-@then('the host takes nothing more, and one line names "{field}"')
-def then_takes_nothing(context, field):
-    assert len(context.taken) == 1
+@then('the host applies nothing more, and one log line names "{field}"')
+def then_applies_nothing(context, field):
+    assert len(context.applied) == 1
     assert len(context.lines) == 1, context.lines
     assert field in context.lines[0]
 
 
 @given('a settings file of the platform')
 def given_settings(context):
-    context.settings = _settings({})
+    context.settings = _read_settings({})
 
 
 @given('a settings file of the platform with {fault}')
 def given_wrong_settings(context, fault):
-    context.settings = _settings(_FAULTS[fault])
+    context.settings = _read_settings(_FAULTS[fault])
 
 
-@then('it gives the host "{host}" in "{domain}" and the store "{store}"')
+@then(
+    'its settings have the host "{host}" in "{domain}" and the store "{store}"'
+)
 def then_settings(context, host, domain, store):
     found = context.settings
     assert (found.host.host, found.host.domain) == (host, domain), found
@@ -218,7 +220,7 @@
     assert found.host.peers == ('10.1.0.4', 7740)
 
 
-@then('it is refused with a line that names "{field}"')
+@then('it is rejected with one line that names "{field}"')
 def then_settings_refused(context, field):
     line = str(context.settings)
     assert isinstance(context.settings, SettingsFileError)
@@ -263,12 +265,12 @@
 
 
 @then(
-    '"{name}" takes {batch:d} pieces in {call:d} ms and has room for {room:d} bytes'
+    '"{name}" accepts {batch:d} pieces in {call:d} ms and has {result_memory:d} bytes of result memory'
 )
-def then_limits(context, name, batch, call, room):
+def then_limits(context, name, batch, call, result_memory):
     stage = context.routes.services[name].stage
     assert (stage.batch, stage.call_seconds * 1000) == (batch, call)
-    assert stage.room_bytes == room
+    assert stage.room_bytes == result_memory
 
 
 @then('the key "{key}" belongs to the team "{team}" with urgency {urgency:d}')
@@ -301,24 +303,24 @@
     )
 
 
-@then('an entry of another shape gives none')
+@then('a malformed entry gives no upstream')
 def then_no_upstream(context):
     assert decode_upstream('i-1', {'service': 3}) is None
 
 
 @given("the platform's store answers {answer} and then {second}")
 def given_two_answers(context, answer, second):
-    context.caller = _Caller([_ANSWERS[answer], _ANSWERS[second]])
+    context.client = _FakeClient([_ANSWERS[answer], _ANSWERS[second]])
 
 
 @given("the platform's store answers {answer}")
 def given_answer(context, answer):
-    context.caller = _Caller([_ANSWERS[answer]])
+    context.client = _FakeClient([_ANSWERS[answer]])
 
 
-@then('the store call {call} gives {outcome}')
+@then('the store call {call} returns {outcome}')
 def then_outcome(context, call, outcome):
-    store = ObjectStore(context.caller)
+    store = ObjectStore(context.client)
     calls = {
         'get': lambda: store.get('config', 'main'),
         'list': lambda: store.listed('upstreams'),
@@ -332,17 +334,17 @@
 
 @then('the store was called with "{first}" and then "{second}"')
 def then_called(context, first, second):
-    assert context.caller.methods == [first, second]
+    assert context.client.methods == [first, second]
 
 
-@given('a batch of a first piece and of one with inputs')
+@given('a batch of a piece with a key and of one with inputs')
 def given_batch(context):
     first = group('r1', key='k1', deadline=2.0)
     second = group('r2', inputs=('10.0.0.1:1/a',), step=2, deadline=3.0)
     context.batch = pieces_of(first, second)
 
 
-@then('its body names key, inputs, numbers and what is left')
+@then('its body has key, inputs, numbers and remaining time')
 def then_batch(context):
     worker = workers('a')[0]
     _, _, body = BatchCodec().batch(worker, context.batch, 1.0)
@@ -358,7 +360,7 @@
     assert 'key' not in second
 
 
-@then('results of another count or shape are taken for none')
+@then('results of another count or in a malformed body are rejected')
 def then_no_results(context):
     codec = BatchCodec()
     one = b'{"items":[{"handle":"10.0.0.1:1/a"}]}'
@@ -367,7 +369,7 @@
     assert codec.results(b'<html>', 1) is None
 
 
-@then("no file of the product holds a name of the platform's wire")
+@then('no file of pollenstile contains a wire name of the platform')
 def then_no_names(context):
     for path in (_ROOT / 'pollenstile').rglob('*.py'):
         found = _NAMES.search(path.read_text(encoding='utf8'))
--- a/features/steps/platform_http_steps.py
+++ b/features/steps/platform_http_steps.py
@@ -1,19 +1,19 @@
-"""Steps of the platform client and stand-ins over real sockets."""
+"""Steps for the platform client and stand-ins over real sockets."""
 
 from behave import given, then, when
 from twisted.internet.task import Clock
 
 from features.builders.loop import kept_result, result_of, turned_until
 from features.builders.platform import (
-    Forgetful,
-    Page,
-    Silence,
-    Trickle,
+    FixedResponse,
+    PartwiseServer,
+    StateDroppingServer,
+    UnresponsiveServer,
     World,
-    http_caller,
+    http_client,
     http_store,
     listening,
-    serving,
+    serve_resource,
 )
 from pollenstile.platform import (
     VALUE_LIMIT,
@@ -41,7 +41,7 @@
 )
 
 
-def _connect(context, port, clock=None):
+def _use_port(context, port, clock=None):
     context.port = port
     context.http = http_store(port, clock) if clock else http_store(port)
     context.add_cleanup(lambda: result_of(port.stopListening()))
@@ -59,10 +59,10 @@
         hostlist_resource(context.hosts),
         weightstore_resource(context.weights),
     )
-    _connect(context, listening(site))
+    _use_port(context, listening(site))
 
 
-@given('a platform server on the loopback that has ended')
+@given('a platform server on the loopback that has stopped')
 def step_ended(context):
     port = listening(platform_site(World().store))
     context.http = http_store(port)
@@ -72,46 +72,46 @@
 @given('a silent platform server on the loopback')
 def step_silent_server(context):
     context.clock = Clock()
-    context.silence = Silence()
-    _connect(context, serving(context.silence), context.clock)
+    context.unresponsive = UnresponsiveServer()
+    _use_port(context, serve_resource(context.unresponsive), context.clock)
 
 
-@given('a platform server that knows two kept connections no more')
-def step_forgetful(context):
+@given('a platform server that has lost two pooled connections')
+def step_lost_state(context):
     context.clock = Clock()
-    context.forgetful = Forgetful()
-    _connect(context, serving(context.forgetful), context.clock)
+    context.dropping = StateDroppingServer()
+    _use_port(context, serve_resource(context.dropping), context.clock)
     kept = [kept_result(context.http.get('config', 'm')) for _ in range(2)]
     turned_until(lambda: all(kept))
-    assert len(context.forgetful.open) == 2
-    context.forgetful.forget()
+    assert len(context.dropping.open) == 2
+    context.dropping.drop_connections()
 
 
 @then('the first platform read over HTTP waits for its timeout')
 def step_first_waits(context):
     kept = kept_result(context.http.get('config', 'm'))
-    turned_until(lambda: context.forgetful.unanswered)
+    turned_until(lambda: context.dropping.unanswered)
     assert not kept
     context.clock.advance(21)
     turned_until(lambda: kept)
     assert isinstance(kept[0], Unavailable), kept
 
 
-@then('the next platform read over HTTP is answered at once')
+@then('the next platform read over HTTP is answered immediately')
 def step_next_answered(context):
     outcome = result_of(context.http.get('config', 'm'))
     assert outcome == Absent('config', 'm'), outcome
-    assert context.forgetful.unanswered == 1
+    assert context.dropping.unanswered == 1
 
 
-@given('a platform server that answers 404 with a page of its own')
+@given('a platform server that answers 404 with an HTML page')
 def step_wrong_page(context):
-    _connect(context, serving(Page(404, b'<h1>no route</h1>')))
+    _use_port(context, serve_resource(FixedResponse(404, b'<h1>no route</h1>')))
 
 
 @given('a platform server that answers 200 with 5 million bytes')
 def step_endless(context):
-    _connect(context, serving(Page(200, b' ' * 5_000_000)))
+    _use_port(context, serve_resource(FixedResponse(200, b' ' * 5_000_000)))
 
 
 @then('over HTTP the platform store creates, conflicts, reads and deletes')
@@ -155,7 +155,7 @@
     assert [event.value for event in kept[0].events] == [{'a': 'ö'}]
 
 
-@then('over HTTP a compacted platform watch is told so')
+@then('over HTTP a platform watch from a compacted revision is rejected')
 def step_compacted(context):
     context.world.store.objects.compact()
     revision = context.world.store.objects.revision
@@ -175,21 +175,23 @@
     assert result_of(context.http.get('a', 'b')).value == largest
 
 
-@then('a bare platform put over HTTP is "{bare}" and a settled one "{settled}"')
-def step_bare_and_settled(context, bare, settled):
+@then(
+    'a single platform put over HTTP is "{single}" and one with read-back "{read_back}"'
+)
+def step_put_and_read_back(context, single, read_back):
     store = context.world.store
     outcome = result_of(context.http.put('config', 'bare', 1))
-    assert type(outcome).__name__ == bare, outcome
+    assert type(outcome).__name__ == single, outcome
     store.lose_answers = 1
-    kept = kept_result(context.world.settled('w', 0, context.http))
+    kept = kept_result(context.world.put_manifest('w', 0, context.http))
     turned_until(lambda: store.calls['get'])
     turned_until(lambda: kept)
-    assert type(kept[0]).__name__ == settled, kept
+    assert type(kept[0]).__name__ == read_back, kept
     assert store.objects.revision == 2
 
 
-@then('a bare platform put over HTTP is "{name}"')
-def step_bare(context, name):
+@then('a single platform put over HTTP is "{name}"')
+def step_single_put(context, name):
     outcome = result_of(context.http.put('config', 'bare', 1))
     assert type(outcome).__name__ == name, outcome
 
@@ -200,7 +202,7 @@
     assert type(outcome).__name__ == name, outcome
 
 
-@then('a raw platform call over HTTP is broken off')
+@then('a raw platform call over HTTP is aborted')
 def step_broken(context):
     outcome = result_of(context.http.client.call('GET', '/v1/any'))
     assert isinstance(outcome, Broken) and outcome.connected, type(outcome)
@@ -212,7 +214,7 @@
         kept_result(context.http.put('config', 'm', 1)),
         kept_result(context.http.get('config', 'm')),
     ]
-    turned_until(lambda: context.silence.taken == 2)
+    turned_until(lambda: context.unresponsive.received == 2)
     context.clock.advance(19)
     assert kept == [[], []]
     context.clock.advance(2)
@@ -221,14 +223,14 @@
     assert names == [write, read], kept
 
 
-@then('the silent platform server has lost its connections')
+@then('the connections of the silent platform server are closed')
 def step_connections_lost(context):
-    turned_until(lambda: context.silence.lost == 2)
+    turned_until(lambda: context.unresponsive.disconnected == 2)
 
 
 @then("over HTTP the platform's host list shows a change after its lag")
 def step_hosts(context):
-    client = http_caller(context.port)
+    client = http_client(context.port)
     entry = HostEntry('e1', '10.0.0.1:80', 'clark', 3, 'leaving')
     context.hosts.change(entry)
     assert result_of(listed_hosts(client)).hosts == ()
@@ -239,7 +241,7 @@
 
 @then("over HTTP the platform's weight store throttles by its rate")
 def step_weights(context):
-    client = http_caller(context.port)
+    client = http_client(context.port)
     first = result_of(weight_ticket(client, 'org/draft', '3'))
     assert first == Ticket('org/draft', '3'), first
     assert result_of(weight_ticket(client, 'd', '3')) == Throttled(2.0)
@@ -249,10 +251,10 @@
 
 
 @given('a platform server that answers in parts')
-def step_trickle(context):
+def step_partwise(context):
     context.clock = Clock()
-    context.trickle = Trickle()
-    _connect(context, serving(context.trickle), context.clock)
+    context.partwise = PartwiseServer()
+    _use_port(context, serve_resource(context.partwise), context.clock)
 
 
 @when(
@@ -265,7 +267,7 @@
     turned_until(lambda: client.bodies_in_progress == 1)
 
 
-@when('{count:d} further parts come, {gap:g} seconds apart')
+@when('{count:d} further parts arrive, {gap:g} seconds apart')
 def step_parts(context, count, gap):
     for _ in range(count):
         context.clock.advance(gap)
@@ -275,37 +277,37 @@
 
 
 def _send_part(context):
-    before = _gives_up_at(context)
-    context.trickle.part()
-    turned_until(lambda: _gives_up_at(context) != before)
+    before = _timeout_times(context)
+    context.partwise.send_part()
+    turned_until(lambda: _timeout_times(context) != before)
 
 
-def _gives_up_at(context):
+def _timeout_times(context):
     return [call.getTime() for call in context.clock.getDelayedCalls()]
 
 
-@when('no further part comes for {seconds:g} seconds')
+@when('no further part arrives for {seconds:g} seconds')
 def step_no_part(context, seconds):
     context.clock.advance(seconds)
 
 
-@when('the last part comes')
+@when('the last part arrives')
 def step_last(context):
-    context.trickle.end()
+    context.partwise.send_last_part()
     turned_until(lambda: context.kept)
 
 
-@then('an answer is coming in')
+@then('a response body is being received')
 def step_coming(context):
     assert context.http.is_answering()
 
 
-@then('no answer is coming in')
+@then('no response body is being received')
 def step_not_coming(context):
     assert not context.http.is_answering()
 
 
-@then('the raw platform call over HTTP has its whole answer')
+@then('the raw platform call over HTTP has its complete response')
 def step_whole_answer(context):
     assert context.kept[0].body == b'[1,1,1,1,1]', context.kept
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps of writes, budget and brown-outs of the platform client."""
+"""Steps for writes, budget and brown-outs of the platform client."""
 
 from behave import given, then, when
 
@@ -9,7 +9,7 @@
 _KINDS = ('claims', 'leases', 'config', 'status')
 
 
-def _name(kept):
+def _outcome_name(kept):
     assert kept, 'no outcome yet'
     return type(kept[0]).__name__
 
@@ -17,15 +17,15 @@
 @given('a platform store with the manifest of "{writer}"')
 def step_store(context, writer):
     context.world = World()
-    kept_result(context.world.settled(writer, 0))
+    kept_result(context.world.put_manifest(writer, 0))
 
 
-@given('the platform store loses the next answer')
+@given('the platform store loses the next response')
 def step_lose_answer(context):
     context.world.store.lose_answers = 1
 
 
-@given('the platform store loses the next {count:d} answers')
+@given('the platform store loses the next {count:d} responses')
 def step_lose_answers(context, count):
     context.world.store.lose_answers = count
 
@@ -43,10 +43,10 @@
 @when('writer "{writer}" puts the manifest over its version')
 @when('writer "{writer}" starts to put the manifest over its version')
 def step_put(context, writer):
-    context.results = kept_result(context.world.settled(writer, 1))
+    context.results = kept_result(context.world.put_manifest(writer, 1))
 
 
-@when('the platform store answers at once again after {seconds:g} seconds')
+@when('the platform store answers immediately again after {seconds:g} seconds')
 def step_fast_again(context, seconds):
     advanced(context.world.clock, seconds)
     assert not context.results
@@ -63,19 +63,21 @@
     world = context.world
     world.store.latency = 0.01
     context.racing = [
-        kept_result(world.settled(one, 1)),
-        kept_result(world.settled(other, 1)),
+        kept_result(world.put_manifest(one, 1)),
+        kept_result(world.put_manifest(other, 1)),
     ]
     advanced(world.clock, 10)
 
 
-@when('writer "{one}" puts the manifest and "{other}" follows before it reads')
+@when(
+    'writer "{one}" puts the manifest and "{other}" overwrites it before the read-back'
+)
 def step_follow(context, one, other):
     world = context.world
     world.store.latency = 0.1
-    context.results = kept_result(world.settled(one, 1))
+    context.results = kept_result(world.put_manifest(one, 1))
     world.clock.advance(0.06)
-    kept_result(world.settled(other, world.store.objects.revision))
+    kept_result(world.put_manifest(other, world.store.objects.revision))
     advanced(world.clock, 10)
 
 
@@ -83,7 +85,7 @@
 def step_put_down(context, writer):
     world = context.world
     world.store.latency = 0.1
-    context.results = kept_result(world.settled(writer, 1))
+    context.results = kept_result(world.put_manifest(writer, 1))
     world.clock.advance(0.06)
     world.store.down = True
     advanced(world.clock, 30)
@@ -93,8 +95,8 @@
 def step_put_budget(context, writer):
     world = context.world
     before = world.store.calls.total()
-    paced = world.paced(rate=0.001, burst=5)
-    context.results = kept_result(world.settled(writer, 1, paced))
+    client = world.make_paced(rate=0.001, burst=5)
+    context.results = kept_result(world.put_manifest(writer, 1, client))
     advanced(world.clock, 30)
     assert world.store.calls.total() - before == 2, world.store.calls
 
@@ -106,19 +108,19 @@
 
 @then('the platform write ends as "{name}"')
 def step_ends(context, name):
-    assert _name(context.results) == name, context.results
+    assert _outcome_name(context.results) == name, context.results
 
 
 @then('the racing platform writes end as "{one}" and "{other}"')
 def step_racing_end(context, one, other):
-    ends = [_name(kept) for kept in context.racing]
+    ends = [_outcome_name(kept) for kept in context.racing]
     assert ends == [one, other], context.racing
 
 
 @then(
     'the platform store has the manifest of "{writer}", written {count:d} times'
 )
-def step_stands(context, writer, count):
+def step_has_manifest(context, writer, count):
     objects = context.world.store.objects
     assert objects.found('config', 'manifest').value['writer'] == writer
     assert objects.revision == count, objects.revision
@@ -127,39 +129,41 @@
 @given('a paced platform client')
 def step_paced(context):
     context.world = World()
-    context.clients = [context.world.paced()]
+    context.clients = [context.world.make_paced()]
 
 
 @given('{count:d} paced platform clients')
 def step_paced_many(context, count):
     context.world = World()
-    context.clients = [context.world.paced(seed=seed) for seed in range(count)]
+    context.clients = [
+        context.world.make_paced(seed=seed) for seed in range(count)
+    ]
 
 
 @given(
-    'a paced platform client of {rate:d} calls a second and a burst of {burst:d}'
+    'a paced platform client of {rate:d} calls per second and a burst of {burst:d}'
 )
 def step_paced_budget(context, rate, burst):
     context.world = World()
-    context.clients = [context.world.paced(rate, burst)]
+    context.clients = [context.world.make_paced(rate, burst)]
 
 
 @given(
-    'a paced platform client of {rate:d} calls and {writes:d} writes a second'
+    'a paced platform client of {rate:d} calls and {writes:d} writes per second'
 )
 def step_paced_writes(context, rate, writes):
     context.world = World()
-    context.clients = [context.world.paced(rate, rate)]
+    context.clients = [context.world.make_paced(rate, rate)]
     context.clients[0].write_budget = Budget(writes, 8, 0.0)
 
 
-@then('a platform read is served at once')
+@then('a platform read is answered immediately')
 def step_read_served(context):
     kept = kept_result(context.clients[0].get('claims', 'one'))
-    assert _name(kept) == 'Found', kept
+    assert _outcome_name(kept) == 'Found', kept
 
 
-def _demand(context, seconds, rate, kinds=_KINDS):
+def _run_calls(context, seconds, rate, kinds=_KINDS):
     world = context.world
     context.calls = []
     context.ticks = []
@@ -177,36 +181,40 @@
         )
 
 
-def _served(calls):
-    return {kind for kind, kept in calls if kept and _name(kept) == 'Written'}
+def _written_kinds(calls):
+    return {
+        kind
+        for kind, kept in calls
+        if kept and _outcome_name(kept) == 'Written'
+    }
 
 
 @when(
-    'the platform store is down for {seconds:d} seconds of {rate:d} calls a second'
+    'the platform store is down for {seconds:d} seconds with {rate:d} calls per second'
 )
 def step_down(context, seconds, rate):
     context.world.store.down = True
-    _demand(context, seconds, rate)
+    _run_calls(context, seconds, rate)
 
 
 @when(
-    'the platform store is down for {seconds:d} seconds of {rate:d} claims'
-    ' a second',
+    'the platform store is down for {seconds:d} seconds with {rate:d} claims'
+    ' per second',
 )
 def step_down_claims(context, seconds, rate):
     context.world.store.down = True
-    _demand(context, seconds, rate, ('claims',))
+    _run_calls(context, seconds, rate, ('claims',))
 
 
 @when(
-    'the platform store is slow for {seconds:d} seconds of {rate:d} calls a second'
+    'the platform store is slow for {seconds:d} seconds with {rate:d} calls per second'
 )
 def step_slow(context, seconds, rate):
-    _demand(context, seconds, rate)
+    _run_calls(context, seconds, rate)
 
 
 @when(
-    '"{one}" asks {often:d} and "{other}" {less:d} times a second for {seconds:d} seconds'
+    '"{one}" is called {often:d} and "{other}" {less:d} times per second for {seconds:d} seconds'
 )
 def step_two_kinds(context, one, often, other, less, seconds):
     world = context.world
@@ -222,16 +230,16 @@
         world.clock.advance(1 / often)
 
 
-@then('the platform store saw at most {count:d} calls meanwhile')
-def step_saw(context, count):
+@then('the platform store received at most {count:d} calls in that time')
+def step_received(context, count):
     seen = context.world.store.calls.total()
     assert 0 < seen <= count, seen
 
 
-@then('each platform call got its answer at once or within its timeout')
+@then('each platform call was answered immediately or within its timeout')
 def step_all_answered(context):
     assert all(kept for _, kept in context.calls)
-    assert not _served(context.calls)
+    assert not _written_kinds(context.calls)
 
 
 @then('the platform client logged "{name}" once')
@@ -241,32 +249,32 @@
 
 
 @then(
-    '{seconds:d} seconds after the platform store is back each kind is served'
+    '{seconds:d} seconds after the platform store recovers each kind is served'
 )
 def step_back(context, seconds):
     context.world.store.down = False
     context.world.store.latency = 0
-    _demand(context, seconds, 50)
-    assert _served(context.calls) == set(_KINDS), _served(context.calls)
+    _run_calls(context, seconds, 50)
+    assert _written_kinds(context.calls) == set(_KINDS), _written_kinds(
+        context.calls
+    )
 
 
 @then(
     'the platform store had at most {count:d} calls in flight after 20 seconds'
 )
 def step_in_flight(context, count):
-    settled = context.pending[20 * 50 :]
-    assert 0 < max(settled) <= count, max(settled)
+    later = context.pending[20 * 50 :]
+    assert 0 < max(later) <= count, max(later)
 
 
-@then(
-    'no platform tick of a quarter second after 20 seconds saw {count:d} calls'
-)
+@then('after 20 seconds no quarter of a second had {count:d} platform calls')
 def step_no_burst(context, count):
-    settled = context.ticks[20 * 4 :]
-    assert 0 < max(settled) < count, max(settled)
+    later = context.ticks[20 * 4 :]
+    assert 0 < max(later) < count, max(later)
 
 
 @then('platform calls of "{kind}" were all sent')
 def step_all_sent(context, kind):
-    names = [_name(kept) for one, kept in context.calls if one == kind]
+    names = [_outcome_name(kept) for one, kept in context.calls if one == kind]
     assert names and set(names) == {'Written'}, names
--- a/features/steps/platform_watch_steps.py
+++ b/features/steps/platform_watch_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the platform client's watch loop."""
+"""Steps for the watch loop of the platform client."""
 
 from behave import given, then, when
 
@@ -15,16 +15,16 @@
 def step_watch(context, writer):
     context.world = World()
     _put(context.world.store, 'manifest', writer)
-    context.watch = context.world.watching()
+    context.watch = context.world.start_watch()
 
 
-@given('watches of the platform store fall silent')
+@given('watch calls of the platform store get no response')
 def step_silent(context):
     context.world.store.silent_watches = True
 
 
-@given('watches of the platform store go deaf')
-def step_deaf(context):
+@given('watch calls of the platform store report no changes')
+def step_no_changes(context):
     context.world.store.deaf_watches = True
 
 
@@ -34,7 +34,7 @@
     advanced(context.world.clock, 1)
 
 
-@given('a replica of the watched platform store that stands still')
+@given('a stale replica of the watched platform store')
 def step_replica(context):
     context.replica = MemoryStore(context.world.clock)
     _put(context.replica, 'manifest', 'first')
@@ -51,14 +51,14 @@
     kept_result(context.world.store.delete('config', 'extra'))
 
 
-@given('the taker of the platform watch fails on "{writer}"')
-def step_failing_taker(context, writer):
-    take = context.watch.callback
+@given('the callback of the platform watch fails on "{writer}"')
+def step_failing_callback(context, writer):
+    callback = context.watch.callback
 
     def failing(change):
         if change.value['writer'] == writer:
             raise ValueError(writer)
-        take(change)
+        callback(change)
 
     context.watch.callback = failing
 
@@ -66,7 +66,7 @@
 @given('{count:d} further platform watches')
 def step_more_watches(context, count):
     for _ in range(count):
-        context.world.watching()
+        context.world.start_watch()
 
 
 @when('the manifest of "{writer}" is put on the watched platform store')
@@ -74,7 +74,7 @@
     _put(context.world.store, 'manifest', writer)
 
 
-@when('watches of the platform store work again')
+@when('watch calls of the platform store work again')
 def step_work_again(context):
     assert len(context.world.recorder.changes) == 1
     context.world.store.silent_watches = False
@@ -103,7 +103,7 @@
     context.world.store.stale_watches = count
 
 
-@when('the platform lists come from the replica for {seconds:d} seconds')
+@when('the replica answers the platform lists for {seconds:d} seconds')
 def step_old_lists(context, seconds):
     context.watch.store = SplitStore(context.replica, context.world.store)
     advanced(context.world.clock, seconds)
@@ -115,23 +115,23 @@
     context.watch.stop()
 
 
-@then('the platform watch showed the writers "{writers}"')
-def step_showed(context, writers):
-    shown = [
+@then('the platform watch reported the writers "{writers}"')
+def step_reported(context, writers):
+    reported = [
         change.value['writer'] if change.value else 'gone'
         for change in context.world.recorder.changes
     ]
-    assert shown == writers.split(', '), shown
+    assert reported == writers.split(', '), reported
     assert not context.world.store.stale_watches
 
 
-@then('the watched platform store saw at most {count:d} calls')
+@then('the watched platform store received at most {count:d} calls')
 def step_few_calls(context, count):
     seen = context.world.store.calls.total()
     assert seen <= count, seen
 
 
-@then('no platform tick of 10 milliseconds sees more than {count:d} watches')
+@then('no interval of 10 milliseconds has more than {count:d} platform watches')
 def step_spread(context, count):
     world = context.world
     world.clock.advance(0)
@@ -144,7 +144,7 @@
     assert max(ticks) <= count, ticks
 
 
-@then('no platform call is waiting on the clock')
-def step_nothing_waits(context):
+@then('no platform call is pending')
+def step_nothing_pending(context):
     assert not context.world.clock.getDelayedCalls()
     assert not context.world.store.waiting
