--- a/features/steps/platform_http_steps.py
+++ b/features/steps/platform_http_steps.py
@@ -12,16 +12,16 @@
     World,
     http_client,
     http_store,
-    listening,
+    listen_on_loopback,
     serve_resource,
 )
 from pollenstile.platform import (
     VALUE_LIMIT,
     Absent,
-    Broken,
     Changes,
     Compacted,
     Conflict,
+    FailedCall,
     Found,
     HostEntry,
     NotApplied,
@@ -29,9 +29,9 @@
     Ticket,
     Unavailable,
     Written,
-    listed_hosts,
-    listed_whole,
-    weight_ticket,
+    list_all,
+    read_host_list,
+    request_ticket,
 )
 from pollenstile.standin.hostlist import MemoryHosts, hostlist_resource
 from pollenstile.standin.objectapi import platform_site
@@ -59,12 +59,12 @@
         hostlist_resource(context.hosts),
         weightstore_resource(context.weights),
     )
-    _use_port(context, listening(site))
+    _use_port(context, listen_on_loopback(site))
 
 
 @given('a platform server on the loopback that has stopped')
 def step_ended(context):
-    port = listening(platform_site(World().store))
+    port = listen_on_loopback(platform_site(World().store))
     context.http = http_store(port)
     result_of(port.stopListening())
 
@@ -133,8 +133,8 @@
     names = [f'{shard}/{number}' for shard in 'a%b' for number in range(300)]
     for name in names:
         context.world.store.objects.put('claims', name, b'{}', 0)
-    whole = result_of(listed_whole(store, 'claims'))
-    assert [found.name for found in whole.objects] == sorted(names)
+    listing = result_of(list_all(store, 'claims'))
+    assert [found.name for found in listing.objects] == sorted(names)
     some = result_of(store.listed('claims', '%/', '%/298', 5))
     expected = ['%/299', '%/3', '%/30', '%/31', '%/32']
     assert [found.name for found in some.objects] == expected, some
@@ -205,7 +205,7 @@
 @then('a raw platform call over HTTP is aborted')
 def step_broken(context):
     outcome = result_of(context.http.client.call('GET', '/v1/any'))
-    assert isinstance(outcome, Broken) and outcome.connected, type(outcome)
+    assert isinstance(outcome, FailedCall) and outcome.connected, type(outcome)
 
 
 @then('platform calls over HTTP time out as "{write}" and "{read}"')
@@ -233,20 +233,20 @@
     client = http_client(context.port)
     entry = HostEntry('e1', '10.0.0.1:80', 'clark', 3, 'leaving')
     context.hosts.change(entry)
-    assert result_of(listed_hosts(client)).hosts == ()
+    assert result_of(read_host_list(client)).hosts == ()
     context.world.clock.advance(5)
-    assert result_of(listed_hosts(client)).hosts == (entry,)
+    assert result_of(read_host_list(client)).hosts == (entry,)
     result_of(client.close())
 
 
 @then("over HTTP the platform's weight store throttles by its rate")
 def step_weights(context):
     client = http_client(context.port)
-    first = result_of(weight_ticket(client, 'org/draft', '3'))
+    first = result_of(request_ticket(client, 'org/draft', '3'))
     assert first == Ticket('org/draft', '3'), first
-    assert result_of(weight_ticket(client, 'd', '3')) == Throttled(2.0)
+    assert result_of(request_ticket(client, 'd', '3')) == Throttled(2.0)
     context.world.clock.advance(2)
-    assert isinstance(result_of(weight_ticket(client, 'd', '3')), Ticket)
+    assert isinstance(result_of(request_ticket(client, 'd', '3')), Ticket)
     result_of(client.close())
 
 
@@ -298,21 +298,21 @@
 
 
 @then('a response body is being received')
-def step_coming(context):
+def step_receiving(context):
     assert context.http.is_answering()
 
 
 @then('no response body is being received')
-def step_not_coming(context):
+def step_not_receiving(context):
     assert not context.http.is_answering()
 
 
 @then('the raw platform call over HTTP has its complete response')
-def step_whole_answer(context):
+def step_complete_response(context):
     assert context.kept[0].body == b'[1,1,1,1,1]', context.kept
 
 
 @then('the raw platform call over HTTP timed out')
 def step_timed_out(context):
     turned_until(lambda: context.kept)
-    assert context.kept == [Broken(connected=True, reason='TimeoutError')]
+    assert context.kept == [FailedCall(connected=True, reason='TimeoutError')]
--- a/pollenstile/fleet/_apply.py
+++ b/pollenstile/fleet/_apply.py
@@ -10,8 +10,8 @@
     Superseded,
     Written,
     field_mark,
-    settled_put,
-    unpaused,
+    no_pause,
+    put_with_readback,
 )
 
 MARK_FIELD = 'apply'
@@ -108,7 +108,7 @@
     )
 
 
-async def applied(store, text, reviewed, apply_id, pause=unpaused):
+async def applied(store, text, reviewed, apply_id, pause=no_pause):
     """Write a manifest over the version that it was reviewed against.
 
     Explanation
@@ -130,7 +130,7 @@
     apply_id : str
         Never used for another write.
     pause : function
-        See :func:`~pollenstile.platform.settled_put`.
+        See :func:`~pollenstile.platform.put_with_readback`.
 
     Returns
     =======
@@ -143,7 +143,7 @@
     if current.version != reviewed:
         return RaceLost(current.version)
     history = [*current.history, apply_id][-_MOST_HISTORY:]
-    outcome = await settled_put(
+    outcome = await put_with_readback(
         store,
         CONFIG_KIND,
         CONFIG_NAME,
--- a/pollenstile/placement/_assembly.py
+++ b/pollenstile/placement/_assembly.py
@@ -8,7 +8,7 @@
 from pollenstile.placement._placer import Placer
 from pollenstile.placement._records import Holds
 from pollenstile.placement._service import Placement
-from pollenstile.platform import pauses, weight_ticket
+from pollenstile.platform import make_pause, request_ticket
 
 
 def built_placement(core, boot, store, orders, ticket, suspend_clock):
@@ -37,7 +37,7 @@
         store,
         suspend_clock,
         core.log,
-        pauses(core.clock, core.rng),
+        make_pause(core.clock, core.rng),
     )
     placer = Placer(
         core.domain,
@@ -68,7 +68,7 @@
     """
 
     def ticket(model, version):
-        return Deferred.fromCoroutine(weight_ticket(caller, model, version))
+        return Deferred.fromCoroutine(request_ticket(caller, model, version))
 
     return ticket
 
--- a/pollenstile/placement/_placer.py
+++ b/pollenstile/placement/_placer.py
@@ -73,7 +73,7 @@
         which return Deferreds.
     ticket : function
         Takes a model and a version, returns a Deferred as of
-        :func:`~pollenstile.platform.weight_ticket`.
+        :func:`~pollenstile.platform.request_ticket`.
     clock : IReactorTime
         For drains, loads and plans.
     random : random.Random
--- a/pollenstile/platform/_hosts.py
+++ b/pollenstile/platform/_hosts.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from pollenstile.platform._http import Broken
+from pollenstile.platform._http import FailedCall
 from pollenstile.platform._outcome import Unavailable
 
 
@@ -38,17 +38,17 @@
     hosts: tuple[HostEntry, ...]
 
 
-async def listed_hosts(client):
+async def read_host_list(client):
     """Read the host list; return ``HostList`` or ``Unavailable``.
 
     Parameters
     ==========
 
-    client : Caller
+    client : ServerClient
         Client of the platform's server.
     """
     reply = await client.call('GET', '/v1/hosts')
-    if isinstance(reply, Broken):
+    if isinstance(reply, FailedCall):
         return Unavailable('hosts', client.peer, reply.reason)
     if reply.status != 200:
         reason = f'status {reply.status}'
--- a/pollenstile/platform/_http.py
+++ b/pollenstile/platform/_http.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Broken:
+class FailedCall:
     """A call without a complete response.
 
     Parameters
@@ -68,7 +68,7 @@
     reason: str
 
 
-class Caller:
+class ServerClient:
     """HTTP client of one server.
 
     Parameters
@@ -187,7 +187,7 @@
         # work. Each pooled connection would then cost one more timeout, so all
         # of them are closed after a failure.
         self.close()
-        return Broken(connected, kind.__name__)
+        return FailedCall(connected, kind.__name__)
 
 
 class _TimeLimit:
--- a/pollenstile/platform/_httpstore.py
+++ b/pollenstile/platform/_httpstore.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from pollenstile.platform._http import Broken, Reply
+from pollenstile.platform._http import FailedCall, Reply
 from pollenstile.platform._outcome import (
     Absent,
     Changes,
@@ -33,7 +33,7 @@
     Parameters
     ==========
 
-    client : Caller
+    client : ServerClient
         HTTP client of the store; its timeout applies to all calls but watches.
     watch_margin : float
         Seconds that the response to a watch may take beyond its poll time.
@@ -96,7 +96,7 @@
 
     def _read_outcome(self, step, reply, types):
         peer = self.client.peer
-        if isinstance(reply, Broken):
+        if isinstance(reply, FailedCall):
             return Unavailable(step, peer, reply.reason)
         if reply.status not in types:
             reason = f'status {reply.status}'
@@ -107,7 +107,7 @@
 
     def _write_outcome(self, step, reply):
         peer = self.client.peer
-        if isinstance(reply, Broken):
+        if isinstance(reply, FailedCall):
             outcome = InDoubt if reply.connected else NotApplied
             return outcome(step, peer, reply.reason)
         if reply.status in _WRITE:
--- a/pollenstile/platform/_settle.py
+++ b/pollenstile/platform/_settle.py
@@ -9,7 +9,7 @@
     Unavailable,
     Written,
 )
-from pollenstile.platform._pause import unpaused
+from pollenstile.platform._pause import no_pause
 
 
 def field_mark(field):
@@ -28,14 +28,14 @@
     return mark
 
 
-async def settled_put(
+async def put_with_readback(
     store,
     kind,
     name,
     value,
     if_version,
     mark,
-    pause=unpaused,
+    pause=no_pause,
     attempts=6,
 ):
     """Write conditionally and determine the outcome of an in-doubt write.
@@ -71,7 +71,7 @@
         write and the same in all of its attempts.
     pause : function
         Takes the number of the failed attempt and returns a Deferred that
-        fires when the next one may start; see :func:`pauses`.
+        fires when the next one may start; see :func:`make_pause`.
     attempts : int
         Maximum number of attempts; each but the first one reads back first.
 
--- a/pollenstile/platform/_watch.py
+++ b/pollenstile/platform/_watch.py
@@ -4,14 +4,14 @@
 
 from twisted.internet.defer import CancelledError, Deferred
 
+from pollenstile.platform._outcome import Compacted, Unavailable
+from pollenstile.platform._pages import list_all
+from pollenstile.platform._pause import make_pause, paused
 from pollenstile.platform._seenversions import (
     SeenVersions,
     changes_from_listing,
     filter_new_events,
 )
-from pollenstile.platform._outcome import Compacted, Unavailable
-from pollenstile.platform._pages import listed_whole
-from pollenstile.platform._pause import paused, pauses
 from pollenstile.platform.events import (
     WATCH_CALLBACK_FAILED,
     WATCH_LISTED_AGAIN,
@@ -157,7 +157,7 @@
 
 async def _run(state):
     timing = state.timing
-    pause = pauses(
+    pause = make_pause(
         state.clock,
         state.random,
         timing.backoff,
@@ -179,7 +179,7 @@
 async def _list(state):
     timing = state.timing
     call = Deferred.fromCoroutine(
-        listed_whole(state.store, state.kind, state.prefix),
+        list_all(state.store, state.kind, state.prefix),
     )
     listing = await _with_timeout(state, call, timing.list_within, 'list')
     if isinstance(listing, Unavailable):
--- a/pollenstile/platform/_weights.py
+++ b/pollenstile/platform/_weights.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from urllib.parse import quote
 
-from pollenstile.platform._http import Broken
+from pollenstile.platform._http import FailedCall
 from pollenstile.platform._outcome import Unavailable
 
 _DEFAULT_WAIT = 1.0
@@ -24,7 +24,7 @@
     retry_after: float
 
 
-async def weight_ticket(client, model, version):
+async def request_ticket(client, model, version):
     """Request a ticket; return ``Ticket``, ``Throttled`` or ``Unavailable``.
 
     A ticket whose response is lost can't be used and still counts against the
@@ -32,7 +32,7 @@
     """
     path = f'/v1/weights/{quote(model, safe="")}/{quote(version, safe="")}'
     reply = await client.call('POST', f'{path}/tickets', b'', fresh=True)
-    if isinstance(reply, Broken):
+    if isinstance(reply, FailedCall):
         return Unavailable('ticket', client.peer, reply.reason)
     if reply.status == 200:
         return Ticket(model, version)
--- a/pollenstile/relay/_store.py
+++ b/pollenstile/relay/_store.py
@@ -12,7 +12,7 @@
     Found,
     Listing,
     Unavailable,
-    branched,
+    fork_deferred,
     paused,
 )
 
@@ -265,7 +265,7 @@
     def _news(self, feed):
         if feed.waiting is None:
             feed.waiting = Deferred(lambda _: None)
-        return branched(feed.waiting)
+        return fork_deferred(feed.waiting)
 
     def _wake(self):
         # What was told and not yet taken is dropped here, and told whole when
