--- a/features/builders/fleet.py
+++ b/features/builders/fleet.py
@@ -7,7 +7,7 @@
     fleet_manifest,
     started_world,
 )
-from pollenstile.fleet import HOST, Record, applied, by_domain
+from pollenstile.fleet import HOST, Record, apply_manifest, by_domain
 from pollenstile.peer import neighbours
 from pollenstile.platform import make_pause
 
@@ -29,7 +29,7 @@
     """Apply a changed manifest; return the list that gets the outcome."""
     told = []
     pause = make_pause(world.clock, world.random, 0.2, 2.0)
-    call = applied(
+    call = apply_manifest(
         world.store,
         next_text(world, name),
         reviewed,
--- a/features/steps/placement_http_steps.py
+++ b/features/steps/placement_http_steps.py
@@ -70,7 +70,7 @@
 
 
 def _look(context):
-    return result_of(context.orders.look('e1', context.upstream))
+    return result_of(context.orders.read_state('e1', context.upstream))
 
 
 @then('a placement look over HTTP shows fence {fence:d}')
@@ -89,7 +89,7 @@
 @then('a call for "{model}" there is answered that placement lacks it, not run')
 def step_call(context, model):
     caller = ServerClient(reactor, reactor, '127.0.0.1', context.port)
-    body = wire.encoded(wire.CompletionCall(model, 'a leak', 4))
+    body = wire.encode_json(wire.CompletionCall(model, 'a leak', 4))
     reply = result_of(caller.call('POST', wire.COMPLETIONS_PATH, body))
     assert reply.status == 503, reply
     assert b'"outcome":"not-run"' in reply.body, reply
--- a/pollenstile/bench/live.py
+++ b/pollenstile/bench/live.py
@@ -16,7 +16,12 @@
 from twisted.internet.defer import Deferred, gatherResults
 from twisted.internet.task import deferLater
 
-from pollenstile.fleet import Accepted, Current, applied, current_config
+from pollenstile.fleet import (
+    Accepted,
+    CurrentConfig,
+    apply_manifest,
+    current_config,
+)
 from pollenstile.ops._admin import admin_at
 from pollenstile.ops._statuscmd import entries_from
 from pollenstile.ops._stores import store_at
@@ -99,10 +104,10 @@
 async def _spread(reactor, store, readers):
     """Apply the manifest in force anew; return a Spread, or None."""
     before = await current_config(store)
-    if not isinstance(before, Current) or not before.text:
+    if not isinstance(before, CurrentConfig) or not before.text:
         return None
     started = reactor.seconds()
-    outcome = await applied(
+    outcome = await apply_manifest(
         store,
         before.text,
         before.version,
--- a/pollenstile/forward/_assembly.py
+++ b/pollenstile/forward/_assembly.py
@@ -17,7 +17,7 @@
 from pollenstile.forward._stagecalls import StageCalls
 from pollenstile.ops.logs import silent_log
 from pollenstile.ops.settings import shown
-from pollenstile.peer import LEAST_VERSION, VERSION, Hello, Hub, tcp_connect
+from pollenstile.peer import MIN_VERSION, VERSION, Hello, Hub, tcp_connect
 from pollenstile.quarantine import (
     QUARANTINE_KIND,
     Quarantine,
@@ -25,7 +25,7 @@
     VerdictSharing,
 )
 from pollenstile.relay import (
-    ASK,
+    RELAY_SUBJECT,
     Follower,
     Readers,
     RelayStore,
@@ -201,7 +201,7 @@
     configuration = core.configuration
     ident = f'{settings.host}/{hub.hello.boot}'
     source = Source(ident, clock, suspend_clock, configuration)
-    hub.requests.subjects[ASK] = source.answer
+    hub.requests.subjects[RELAY_SUBJECT] = source.answer
     readers = Readers(hub, settings.host, settings.domain, settings.capacity)
     follower = Follower(
         clock,
@@ -211,15 +211,15 @@
         readers.current,
         core.log,
     )
-    follower.place = readers.place
+    follower.rank = readers.rank
     follower.word_seconds = update_seconds(settings)
     relayed = RelayStore(
         store,
         clock,
         follower,
         (UPSTREAMS, HOSTS, DRAINED, QUARANTINE_KIND),
-        early=HOSTS,
-        late=(DRAINED, QUARANTINE_KIND),
+        immediate_kind=HOSTS,
+        deferred_kinds=(DRAINED, QUARANTINE_KIND),
     )
 
     def can_skip_reads():
@@ -233,10 +233,10 @@
     loop = configuration.loop
 
     def is_away():
-        return loop.is_failing() or loop.read_at < follower.direct_at
+        return loop.is_failing() or loop.read_at < follower.direct_since
 
     relayed.is_away = is_away
-    follower.on_direct.append(loop.wake)
+    follower.direct_listeners.append(loop.wake)
     loop.can_skip_reads = can_skip_reads
     loop.is_answering = store.is_answering
     loop.has_followers = source.is_followed
@@ -246,7 +246,7 @@
 def _build_hub(reactor, rng, settings, log):
     hello = Hello(
         version=VERSION,
-        least=LEAST_VERSION,
+        least=MIN_VERSION,
         host=settings.host,
         domain=settings.domain,
         address=shown(settings.peers),
--- a/pollenstile/ops/_applycmd.py
+++ b/pollenstile/ops/_applycmd.py
@@ -8,10 +8,10 @@
 
 from pollenstile.fleet import (
     Accepted,
-    Current,
+    CurrentConfig,
     RaceLost,
     Replaced,
-    applied,
+    apply_manifest,
     current_config,
     hosts_behind,
 )
@@ -93,9 +93,9 @@
 
 async def _run(reactor, store, text, manifest, entries, arguments):
     before = await current_config(store)
-    if isinstance(before, Current):
+    if isinstance(before, CurrentConfig):
         _print_diff(before, manifest)
-    outcome = await applied(
+    outcome = await apply_manifest(
         store,
         text,
         arguments.reviewed_against,
--- a/pollenstile/placement/_demand.py
+++ b/pollenstile/placement/_demand.py
@@ -9,7 +9,7 @@
 _STALE_SECONDS = 180.0
 
 
-class Demand:
+class DemandCounter:
     """Calls a second by model, smoothed.
 
     Explanation
@@ -57,7 +57,7 @@
         return rates
 
 
-class DemandBoard:
+class DemandExchange:
     """What a host has told the others of its demand, and seen of theirs.
 
     Parameters
--- a/pollenstile/placement/_http.py
+++ b/pollenstile/placement/_http.py
@@ -34,7 +34,7 @@
     def __init__(self, reactor):
         self.reactor = reactor
 
-    def look(self, name, upstream):
+    def read_state(self, name, upstream):
         """Return a Deferred of ``EngineState`` or ``Lost``."""
         return Deferred.fromCoroutine(self._look(upstream))
 
--- a/pollenstile/placement/_keeper.py
+++ b/pollenstile/placement/_keeper.py
@@ -25,7 +25,7 @@
 _FOLLOW = 4.0
 
 
-class Keeper:
+class LeaseManager:
     """One host's side of one lease.
 
     Parameters
--- a/pollenstile/relay/_source.py
+++ b/pollenstile/relay/_source.py
@@ -12,7 +12,7 @@
     word_bytes,
 )
 
-ASK = 'store-word'
+RELAY_SUBJECT = 'store-word'
 # Seconds since this host's own read of the configuration after which it says
 # that it knows nothing. A follower then reads the store itself: 1.2 s, one
 # turn of its own watch and the way are under the 2 s within which a host in
