--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -13,7 +13,7 @@
 )
 from pollenstile.manifest import Model
 from pollenstile.placement import LeaseTiming, _enginesteps, _leasemanager
-from pollenstile.platform import unpaused
+from pollenstile.platform import no_pause
 
 use_step_matcher('parse')
 
@@ -139,7 +139,7 @@
 @when('a placement renewal of "{name}" stays in doubt for {seconds:d} seconds')
 def step_in_doubt(context, name, seconds):
     host = context.world.hosts[name]
-    host.lease_manager.pause = unpaused
+    host.lease_manager.pause = no_pause
     context.old_fence = host.fence
     host.store.cut_on_lease_write = True
     context.world.advance_until(lambda: host.store.cut)
--- a/pollenstile/platform/_weights.py
+++ b/pollenstile/platform/_weights.py
@@ -1,9 +1,9 @@
-"""Tickets of the weight store, which is rate-limited."""
+"""Client of the rate-limited weight store."""
 
 from dataclasses import dataclass
 from urllib.parse import quote
 
-from pollenstile.platform._http import Broken
+from pollenstile.platform._http import FailedCall
 from pollenstile.platform._outcome import Unavailable
 
 _DEFAULT_WAIT = 1.0
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ticket:
-    """The weight store lets one engine load a model's version now."""
+    """Permission for one engine to load a version of a model now."""
 
     model: str
     version: str
@@ -19,23 +19,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Throttled:
-    """Not now; ask again after ``retry_after`` seconds."""
+    """Refusal of a ticket; retry after ``retry_after`` seconds."""
 
     retry_after: float
 
 
-async def weight_ticket(caller, model, version):
-    """Return ``Ticket``, ``Throttled`` or ``Unavailable``.
+async def request_ticket(client, model, version):
+    """Request a ticket; return ``Ticket``, ``Throttled`` or ``Unavailable``.
 
-    A ticket whose answer is lost is lost too: it costs one of the rate.
+    A ticket whose response is lost can't be used and still counts against the
+    rate.
     """
     path = f'/v1/weights/{quote(model, safe="")}/{quote(version, safe="")}'
-    reply = await caller.call('POST', f'{path}/tickets', b'', fresh=True)
-    if isinstance(reply, Broken):
-        return Unavailable('ticket', caller.peer, reply.reason)
+    reply = await client.call('POST', f'{path}/tickets', b'', fresh=True)
+    if isinstance(reply, FailedCall):
+        return Unavailable('ticket', client.peer, reply.reason)
     if reply.status == 200:
         return Ticket(model, version)
     if reply.status == 429:
         return Throttled(reply.retry_after or _DEFAULT_WAIT)
     reason = f'status {reply.status}'
-    return Unavailable('ticket', caller.peer, reason, reply.retry_after)
+    return Unavailable('ticket', client.peer, reason, reply.retry_after)
