--- a/pollenstile/ops/__init__.py
+++ b/pollenstile/ops/__init__.py
@@ -1,1 +1,1 @@
-"""Settings, command line, events and metrics."""
+"""Command line, settings, log events, metrics and HTTP utilities."""
--- a/pollenstile/ops/__main__.py
+++ b/pollenstile/ops/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m pollenstile.ops`` is the command ``pollenstile``."""
+"""Entry point of ``python -m pollenstile.ops``, the ``pollenstile`` command."""
 
 import sys
 
--- a/pollenstile/ops/_admin.py
+++ b/pollenstile/ops/_admin.py
@@ -1,4 +1,4 @@
-"""Asking an entry host's admin face, for commands."""
+"""Client of entry hosts' admin frontends, used by commands."""
 
 import msgspec
 
@@ -9,13 +9,13 @@
 
 
 def admin_at(reactor, address):
-    """Return a function that reads a path of an admin face.
+    """Return a function that reads a path of an admin frontend.
 
     Explanation
     ===========
 
-    The function takes a path and returns a coroutine of the document, or of
-    None when nothing answered.
+    The function takes a path and returns a coroutine that yields the decoded
+    document, or None when no valid answer was received.
     """
     caller = caller_at(reactor, address)
 
@@ -32,13 +32,13 @@
 
 
 def caller_at(reactor, address):
-    """Return a caller of a host's face for operators."""
+    """Return an HTTP client of a host's frontend for operators."""
     host, port = address
     return Caller(reactor, reactor, host, port, _SECONDS)
 
 
 async def body_of(caller, path):
-    """Return the bytes of a page, or None when nothing answered with one."""
+    """Return the body of a page, or None unless the status is 200."""
     reply = await caller.call('GET', path, fresh=True)
     if isinstance(reply, Broken) or reply.status != _OK:
         return None
@@ -46,7 +46,7 @@
 
 
 async def first_answer(readers, path):
-    """Return the first document that one of several faces answers."""
+    """Return the first document received from several frontends, or None."""
     for read in readers:
         document = await read(path)
         if document is not None:
--- a/pollenstile/ops/_applycmd.py
+++ b/pollenstile/ops/_applycmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile apply``: puts a reviewed manifest in force."""
+"""``pollenstile apply``: applies a reviewed manifest to the fleet."""
 
 import random
 import secrets
@@ -36,7 +36,7 @@
 
 def add_parser(commands):
     """Add the subcommand."""
-    parser = commands.add_parser('apply', help='put a manifest in force')
+    parser = commands.add_parser('apply', help='apply a manifest to the fleet')
     parser.add_argument('file', help='YAML or JSON document')
     parser.add_argument(
         '--platform',
@@ -47,25 +47,25 @@
         '--reviewed-against',
         type=int,
         required=True,
-        help='version that the change was reviewed against; 0 for none',
+        help='version that the change was reviewed against; 0 if none',
     )
     parser.add_argument(
         '--wait',
         type=float,
         default=0,
         metavar='SECONDS',
-        help='wait until every entry host has it in force',
+        help='wait until the manifest is in force at every entry host',
     )
     parser.add_argument(
         '--entry',
         default='',
-        help="IP:PORT of entry hosts' admin faces, for --wait",
+        help="IP:PORT of entry hosts' admin frontends, for --wait",
     )
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Apply the file; return the exit code."""
+    """Apply the manifest in the file and return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
     text = text_of_file(arguments.file)
@@ -125,18 +125,19 @@
     if isinstance(outcome, RaceLost):
         sys.stderr.write(
             f'conflict: reviewed against version {reviewed}, '
-            f'but version {outcome.version} is there; nothing was changed\n',
+            f'but the store has version {outcome.version}; '
+            'nothing was changed\n',
         )
         return BAD_RESULT
     if isinstance(outcome, Replaced):
         sys.stderr.write(
-            f'accepted, and replaced since: version {outcome.version} '
-            'is there\n',
+            f'accepted, but replaced since: the store has version '
+            f'{outcome.version}\n',
         )
         return BAD_RESULT
     sys.stderr.write(
-        f'not settled ({outcome.step} at {outcome.peer}: {outcome.reason}); '
-        'read the version before you apply again\n',
+        f'outcome unknown ({outcome.step} at {outcome.peer}: '
+        f'{outcome.reason}); read the current version before applying again\n',
     )
     return UNREACHED
 
--- a/pollenstile/ops/_benchcmd.py
+++ b/pollenstile/ops/_benchcmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile bench``: measurements."""
+"""``pollenstile bench``: runs benchmarks."""
 
 from pollenstile.bench import (
     claims,
@@ -28,8 +28,8 @@
 
 
 def add_parser(commands):
-    """Add the subcommand and one for each bench."""
-    parser = commands.add_parser('bench', help='run a measurement')
+    """Add the subcommand and a nested subcommand for each benchmark."""
+    parser = commands.add_parser('bench', help='run a benchmark')
     benches = parser.add_subparsers(dest='bench', required=True)
     for bench in _BENCHES:
         bench.add_parser(benches)
--- a/pollenstile/ops/_callcmd.py
+++ b/pollenstile/ops/_callcmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile call``: sends a request as a caller would."""
+"""``pollenstile call``: sends a request to an entry host as a caller."""
 
 import sys
 
@@ -12,22 +12,30 @@
 def add_parser(commands):
     """Add the subcommand."""
     parser = commands.add_parser('call', help='send a request')
-    parser.add_argument('pipeline', help='its name in the manifest')
-    parser.add_argument('input', help='JSON; - reads standard input')
+    parser.add_argument('pipeline', help='name of the pipeline in the manifest')
+    parser.add_argument(
+        'input', help='request input as JSON; - reads standard input'
+    )
     parser.add_argument(
         '--base',
         default='http://127.0.0.1:8080',
         help="an entry host's address for callers",
     )
     parser.add_argument('--key', default='', help="the team's key")
-    parser.add_argument('--idempotency-key', default='', help='for repeats')
-    parser.add_argument('--deadline-ms', type=int, default=0, help='less time')
-    parser.add_argument('--stream', action='store_true', help='token by token')
+    parser.add_argument(
+        '--idempotency-key', default='', help='identifies repeats'
+    )
+    parser.add_argument(
+        '--deadline-ms', type=int, default=0, help='shorter deadline'
+    )
+    parser.add_argument(
+        '--stream', action='store_true', help='print tokens as received'
+    )
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Send it and print the answer; return the exit code."""
+    """Send the request, print the answer and return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
     text = arguments.input
@@ -66,4 +74,4 @@
 
 
 def _print_nothing(received):
-    """Print nothing before the answer is whole."""
+    """Ignore partial data; the complete answer is printed at the end."""
--- a/pollenstile/ops/_democmd.py
+++ b/pollenstile/ops/_democmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile demo``: the whole path in one process."""
+"""``pollenstile demo``: runs hosts, stand-ins and a load in one process."""
 
 import random
 
@@ -35,15 +35,19 @@
     parser.add_argument(
         '--manifest',
         default='examples/kowalczyk.yaml',
-        help='file whose teams have the example keys',
+        help='manifest whose teams use the example keys',
+    )
+    parser.add_argument(
+        '--total', type=int, default=200, help='number of requests'
+    )
+    parser.add_argument(
+        '--rate', type=float, default=20, help='requests per second'
     )
-    parser.add_argument('--total', type=int, default=200, help='requests')
-    parser.add_argument('--rate', type=float, default=20, help='a second')
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Run the demo and print its summary; return the exit code."""
+    """Run the demo, print its summary and return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
     configure_logs('error')
@@ -73,7 +77,7 @@
 
 
 async def _started(reactor, manifest):
-    """Return two running hosts, with stand-ins of all that they need."""
+    """Start and return two hosts with stand-ins of all their dependencies."""
     _, placed = started_anywhere(reactor, manifest)
     store = MemoryStore(reactor)
     site = platform_site(store, weights=weightstore(reactor))
--- a/pollenstile/ops/_draincmd.py
+++ b/pollenstile/ops/_draincmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile drain``: keeps new work from a failure domain's upstreams."""
+"""``pollenstile drain``: stops new work at a failure domain's upstreams."""
 
 import sys
 from dataclasses import dataclass
@@ -24,19 +24,19 @@
 
 @dataclass(slots=True, frozen=True)
 class HostDrain:
-    """What one host says of a drained domain.
+    """State of a drained domain as one host reports it.
 
     Parameters
     ==========
 
     host : str
-        Address of its measures.
+        Address of its metrics.
     answers : bool
-        Whether it answered.
+        Whether the host answered.
     drained_for : float or None
-        Seconds since it heard of the drain; None when it has not.
+        Seconds since the host received the drain; None if it has not.
     under_way : int
-        Requests and pieces that it still has there.
+        Requests and pieces that the host still runs in the domain.
     """
 
     host: str
@@ -49,31 +49,31 @@
     """Add the subcommand."""
     parser = commands.add_parser(
         'drain',
-        help="keep new work from a failure domain's upstreams",
+        help="stop new work at a failure domain's upstreams",
     )
     parser.add_argument('domain', help='the failure domain')
     parser.add_argument('--platform', default='', help='IP:PORT of the store')
     parser.add_argument(
         '--end',
         action='store_true',
-        help='let the domain have work again',
+        help='end the drain: send work to the domain again',
     )
     parser.add_argument(
         '--metrics',
         default='',
-        help="IP:PORT of hosts' measures: show what is left there",
+        help="IP:PORT of hosts' metrics: show the remaining work",
     )
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Write the drain, or show what is left; return the exit code."""
+    """Write the drain or show the remaining work; return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
     domain = parsed('domain', identifier, arguments.domain)
     if bool(arguments.platform) == bool(arguments.metrics):
-        sys.stderr.write('pollenstile drain: --platform to write it, or ')
-        sys.stderr.write('--metrics to see what is left\n')
+        sys.stderr.write('pollenstile drain: give either --platform to write ')
+        sys.stderr.write('the drain or --metrics to show the remaining work\n')
         return BAD_INPUT
     if arguments.metrics:
         hosts = entries_from(arguments.metrics, '--metrics')
@@ -118,7 +118,7 @@
 
 
 def drain_of(host, domain, text):
-    """Return what a host's measures say of a domain."""
+    """Return the drain state of a domain, read from a host's metrics."""
     values = {}
     for family in text_string_to_metric_families(text):
         for sample in family.samples:
@@ -141,7 +141,7 @@
 
 
 def exit_code(hosts):
-    """Return whether a domain is empty and all hosts obey, as an exit code."""
+    """Return the exit code; GOOD if all hosts drained the empty domain."""
     if not any(one.answers for one in hosts):
         return UNREACHED
     is_empty = all(
@@ -163,7 +163,7 @@
 
 
 async def written_drain(store, domain, *, ends):
-    """Write or delete a domain's entry; what stands as asked is kept.
+    """Write or delete a domain's drain entry unless it is already so.
 
     Returns
     =======
--- a/pollenstile/ops/_entrycmd.py
+++ b/pollenstile/ops/_entrycmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile entry``: the daemon."""
+"""``pollenstile entry``: runs an entry host of the pipeline system."""
 
 import random
 
@@ -35,7 +35,7 @@
     """Run the daemon until SIGTERM or SIGINT; return the exit code."""
     settings = settings_from(arguments, ENTRY)
     configure_logs(settings.log_level)
-    # The one place where the global reactor is taken.
+    # The only use of the global reactor; importing the module installs it.
     from twisted.internet import reactor  # noqa: WPS433
 
     run_steadily(reactor)
@@ -48,7 +48,7 @@
 
 
 def built_daemon(reactor, settings):
-    """Return a daemon with real connections, store and metrics."""
+    """Return a daemon with real connections, object store and metrics."""
     rng = random.Random(settings.seed or None)
     log = event_log(host=settings.host)
     store = paced_store(reactor, rng, settings, log)
--- a/pollenstile/ops/_explaincmd.py
+++ b/pollenstile/ops/_explaincmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile explain``: one request's story, from the logs of many hosts."""
+"""``pollenstile explain``: one request's timeline from several hosts' logs."""
 
 import importlib
 import sys
@@ -8,14 +8,14 @@
 from pollenstile.ops.events import catalogue
 from pollenstile.ops.exits import BAD_INPUT, BAD_RESULT, GOOD
 
-# Modules whose events stand in the lines of an entry host that forwards.
+# Modules that define the events logged by a forwarding entry host.
 _EVENT_MODULES = (
     'pollenstile.forward.events',
     'pollenstile.stagework.events',
     'pollenstile.peer.events',
     'pollenstile.platform.events',
 )
-# Fields that stand elsewhere in the story, or say nothing in it.
+# Fields that the timeline shows elsewhere or that add no information.
 _LEFT_OUT = ('event', 'host', 'number', 'request', 'timestamp')
 
 
@@ -23,14 +23,16 @@
     """Add the subcommand."""
     parser = commands.add_parser(
         'explain',
-        help="tell a request's story from logs on standard input",
+        help="show a request's timeline from logs on standard input",
+    )
+    parser.add_argument(
+        'request', help='attempt identifier that the caller sent'
     )
-    parser.add_argument('request', help='the attempt that its caller named')
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Print the story; return the exit code."""
+    """Print the timeline and return the exit code."""
     lines, number = _lines_of(sys.stdin, arguments.request)
     if not number:
         sys.stderr.write('pollenstile explain: no log lines on the input\n')
@@ -47,13 +49,13 @@
 
 
 def story(lines):
-    """Return a request's lines in order of time, told for people.
+    """Return a request's timeline: log lines by time, with meanings.
 
     Parameters
     ==========
 
     lines : list of dict
-        Log lines that name the request.
+        Decoded log lines that name the request.
     """
     for module in _EVENT_MODULES:
         importlib.import_module(module)
@@ -75,12 +77,12 @@
 
 
 def _moment(line):
-    # Hosts' clocks differ a little; what a host says of itself stays in order.
+    # Clocks of hosts differ slightly; the lines of one host stay in order.
     return line.get('timestamp', '')
 
 
 def _lines_of(stream, request):
-    """Return the lines that name a request, and how many lines there were."""
+    """Return the lines that name a request, and the count of all log lines."""
     found = []
     number = 0
     for text in stream:
@@ -95,9 +97,9 @@
 
 
 def decoded_line(text):
-    """Return a log line's fields; None for what is no log line.
+    """Return a log line's fields, or None when the text is not a log line.
 
-    A collector may have put a time or a host before the line.
+    A log collector may have prefixed the line with a time or a host.
     """
     start = text.find('{')
     if start < 0:
--- a/pollenstile/ops/_forwardcmd.py
+++ b/pollenstile/ops/_forwardcmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile forward``: an entry host that forwards opaque requests."""
+"""``pollenstile forward``: runs an entry host that forwards opaque requests."""
 
 import random
 import sys
@@ -27,7 +27,7 @@
 
 
 def decode_upstream(ident, value):
-    """Return the upstream of a registry entry; None when it is none."""
+    """Return the upstream of a registry entry, or None if it is malformed."""
     if not isinstance(value, dict):
         return None
     try:
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Adapter:
-    """The project's own names and documents."""
+    """Adapter of the project's own header names and document formats."""
 
     names: HeaderNames = field(default_factory=HeaderNames)
     codec: PlainCodec = field(default_factory=PlainCodec)
@@ -60,7 +60,7 @@
     """Run the daemon until SIGTERM or SIGINT; return the exit code."""
     settings = settings_from(arguments, FORWARD)
     configure_logs(stream=LineStream(sys.stdout.fileno()))
-    # The one place where the global reactor is taken.
+    # The only use of the global reactor; importing the module installs it.
     from twisted.internet import reactor  # noqa: WPS433
 
     run_steadily(reactor)
--- a/pollenstile/ops/_losses.py
+++ b/pollenstile/ops/_losses.py
@@ -1,41 +1,43 @@
-"""What callers lost, and where, from the log lines of entry hosts."""
+"""Classifies missed targets and failures from entry hosts' log lines."""
 
 from dataclasses import dataclass, field
 
-# Causes of an answer that was not in its aim, in the order of the tables.
+# Causes of answers, in the order of the tables; all but the first missed
+# the target latency or have none.
 IN_AIM = 'in aim'
 CAME_BACK = 'late: refused first'
 PAUSED = 'late: paused'
 READ_LATE = 'late: read late'
 NOT_TOLD = 'whole, no aim known'
-# Events that the tables are made of.
+# Events from which the tables are computed.
 _ENDED = 'forward-ended'
 _MADE = 'stage-made'
 _CALLED = 'stage-called'
 _REFUSED = 'stage-refused'
 _ROOM = 'stage-room'
 USED_EVENTS = frozenset((_ENDED, _MADE, _CALLED, _REFUSED, _ROOM))
-# Share of an answer's time that its longest wait must have taken for the
-# answer to count as late by it.
+# Least share of an answer's time that its longest queue wait must take for
+# the answer to be attributed to that queue.
 _MAIN_SHARE = 0.25
-# Seconds of one row of the table by moments.
+# Seconds covered by one row of the table by time of day.
 _ROW_SECONDS = 2
 _MS = 1000
 
 
 @dataclass(slots=True)
 class RouteRow:
-    """What became of the requests of one route.
+    """Outcomes of the requests of one route.
 
     Attributes
     ==========
 
     causes : dict
-        Requests by cause: in aim, late by, refused by, failed by.
+        Number of requests by cause: on target, late, refused, failed.
     refusals : list of tuple
-        Step, milliseconds of wait and to spare that decided, pieces ahead.
+        Stage service, estimated wait and time to spare in ms at the refusal,
+        pieces ahead in the queue.
     crossed, unused : int
-        Bytes read in another failure domain, and results given up unread.
+        Bytes read from another failure domain, and results discarded unread.
     """
 
     name: str
@@ -48,16 +50,16 @@
 
 @dataclass(slots=True)
 class StageRow:
-    """What became of the calls of one stage service.
+    """Statistics of the calls of one stage service.
 
     Attributes
     ==========
 
     pieces, waiting, free : list of int
-        Of each call: what it held, what waited behind it, bytes that were
-        free at its upstream.
+        For each call: pieces in it, pieces queued behind it, and free result
+        memory of its upstream in bytes.
     no_room : int
-        Pieces that an upstream had no room for.
+        Pieces refused because an upstream had no free result memory.
     """
 
     name: str
@@ -69,7 +71,7 @@
 
 @dataclass(slots=True)
 class Losses:
-    """The tables.
+    """Tables of outcomes by route, stage and time of day.
 
     Attributes
     ==========
@@ -77,7 +79,8 @@
     routes, stages : dict
         Rows by name.
     moments : dict
-        Requests asked and in aim, by second of the day in steps of two.
+        Requests asked and requests on target, by second of the day in steps
+        of two.
     """
 
     routes: dict = field(default_factory=dict)
@@ -86,13 +89,13 @@
 
 
 class Reading:
-    """Takes log lines in any order, and makes the tables of them.
+    """Collects log lines in any order and computes the tables.
 
     Attributes
     ==========
 
     lines : int
-        Of entry hosts so far.
+        Number of log lines collected so far.
     """
 
     __slots__ = ('ended', 'lines', 'refused', 'stages', 'waits')
@@ -105,7 +108,7 @@
         self.stages = {}
 
     def take(self, line):
-        """Take one decoded line."""
+        """Add one decoded log line."""
         self.lines += 1
         event = line.get('event')
         if event == _ENDED:
@@ -119,7 +122,7 @@
             self._take_call(line, event)
 
     def losses(self):
-        """Return :class:`Losses` of the lines so far."""
+        """Return the :class:`Losses` of the lines added so far."""
         found = Losses(stages=self.stages)
         for line in self.ended:
             name = line.get('route', '')
@@ -179,7 +182,7 @@
 
 
 def moment_of(line):
-    """Return the second of the day in which a line was written, in steps.
+    """Return the second of the day of a line, rounded down to the row's start.
 
     Examples
     ========
@@ -198,7 +201,7 @@
 
 
 def document_of(losses):
-    """Return the tables as plain data, for JSON and for ``report``."""
+    """Return the tables as a document, for JSON output and for ``report``."""
     return {
         'bench': 'losses',
         'routes': [_route_document(row) for row in losses.routes.values()],
@@ -211,7 +214,7 @@
 
 
 def _quantile(numbers, share):
-    """Return the number below which a share lies; 0 for none."""
+    """Return the quantile of numbers at a share, or 0 without numbers."""
     if not numbers:
         return 0
     return sorted(numbers)[int(share * (len(numbers) - 1))]
--- a/pollenstile/ops/_lossescmd.py
+++ b/pollenstile/ops/_lossescmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile losses``: what callers lost and where, from logs."""
+"""``pollenstile losses``: late, refused and failed requests by cause."""
 
 import argparse
 import sys
@@ -10,7 +10,7 @@
 from pollenstile.ops._losses import USED_EVENTS, Reading, document_of
 from pollenstile.ops.exits import BAD_INPUT, GOOD
 
-# Seconds between lines that tell how far a long input is read.
+# Seconds between progress lines while a long input is read.
 _PROGRESS_SECONDS = 3.0
 _MOST_CAUSES = 6
 _EPILOG = """example:
@@ -22,7 +22,7 @@
     """Add the subcommand."""
     parser = commands.add_parser(
         'losses',
-        help='tell what callers lost and where, from logs on standard input',
+        help='count late, refused and failed requests, from logs on standard input',
         epilog=_EPILOG,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -36,12 +36,12 @@
 
 
 def run(arguments):
-    """Print the tables; return the exit code."""
+    """Print the tables and return the exit code."""
     reading = read_lines(sys.stdin, sys.stderr, time.monotonic)
     if not reading.lines:
         sys.stderr.write(
             'pollenstile losses: no log lines of entry hosts on the input;'
-            ' give it what `pollenstile forward` writes\n',
+            ' pipe in the output of `pollenstile forward`\n',
         )
         return BAD_INPUT
     document = document_of(reading.losses())
@@ -60,9 +60,9 @@
     ==========
 
     progress : file
-        Gets a line every three seconds of reading.
+        Receives a progress line every three seconds.
     seconds : function
-        Returns the time.
+        Returns the current time in seconds.
     """
     reading = Reading()
     told_at = seconds()
@@ -77,7 +77,7 @@
 
 
 def table_of(document):
-    """Return the lines of the tables, 80 columns at most."""
+    """Return the lines of the tables, each at most 80 columns wide."""
     lines = []
     for row in document['routes']:
         lines.extend(_route_lines(row))
--- a/pollenstile/ops/_quarantinecmd.py
+++ b/pollenstile/ops/_quarantinecmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile quarantine``: what crashes upstreams, listed or released."""
+"""``pollenstile quarantine``: lists or lifts requests that crash upstreams."""
 
 import json
 import sys
@@ -18,17 +18,17 @@
 
 @dataclass(slots=True, frozen=True)
 class HeldRequest:
-    """A request in quarantine, as its entry in the store says.
+    """A request in quarantine, as its store entry describes it.
 
     Parameters
     ==========
 
     fingerprint, team, service : str
-        Which request, whose, and of which service.
+        Fingerprint of the request, its team and the service that it called.
     crashes : int
-        Upstreams that had crashed under it.
+        Number of upstreams that crashed while they ran it.
     held_s : int
-        Seconds since then.
+        Seconds since it was quarantined.
     """
 
     fingerprint: str
@@ -42,7 +42,7 @@
     """Add the subcommand."""
     parser = commands.add_parser(
         'quarantine',
-        help='list requests that crash upstreams, or lift one',
+        help='list quarantined requests, or lift the quarantine of one',
     )
     parser.add_argument(
         '--platform', required=True, help='IP:PORT of the store'
@@ -51,16 +51,16 @@
         '--lift',
         default='',
         metavar='FINGERPRINT',
-        help='let this request go to upstreams again',
+        help='allow this request to reach upstreams again',
     )
     parser.add_argument(
-        '--json', action='store_true', help='an object a line, for programs'
+        '--json', action='store_true', help='print one JSON object per line'
     )
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """List what is held, or lift it; return the exit code."""
+    """List held requests, or lift one; return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
     store = store_at(reactor, parsed('--platform', address, arguments.platform))
@@ -69,7 +69,7 @@
         return _lifted(name, result_of(reactor, lambda: lifted(store, name)))
     listing = result_of(reactor, lambda: listed_whole(store, QUARANTINE_KIND))
     if not isinstance(listing, Listing):
-        sys.stderr.write(f'{_NAME}: the store does not answer; try again\n')
+        sys.stderr.write(f'{_NAME}: the store did not answer; try again\n')
         return UNREACHED
     held = held_requests(listing.objects, int(time.time() * _MS))
     shown = _json_lines(held) if arguments.json else table_lines(held)
@@ -78,7 +78,7 @@
 
 
 def held_requests(entries, now_ms):
-    """Return what entries say; those of another form are left out."""
+    """Return the requests of store entries; malformed entries are skipped."""
     found = []
     for entry in entries:
         fields = entry.value
@@ -126,7 +126,7 @@
 
 
 async def lifted(store, name):
-    """Delete an entry; return ``Absent`` where there is none.
+    """Delete a quarantine entry; return ``Absent`` if there is none.
 
     Returns
     =======
@@ -140,7 +140,7 @@
 
 
 def _lifted(name, outcome):
-    """Say what became of a release; return the exit code."""
+    """Report the outcome of lifting a quarantine; return the exit code."""
     if isinstance(outcome, Written):
         print(f'{name} goes to upstreams again')
         return GOOD
--- a/pollenstile/ops/_reportcmd.py
+++ b/pollenstile/ops/_reportcmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile report``: a page from a bench's result file."""
+"""``pollenstile report``: renders a benchmark's result file as a page."""
 
 import sys
 
@@ -13,15 +13,17 @@
     """Add the subcommand."""
     parser = commands.add_parser(
         'report',
-        help='make a page from a result file; plots need the extra "report"',
+        help='render a result file as a page; plots need the extra "report"',
+    )
+    parser.add_argument('file', help='result file written by bench --output')
+    parser.add_argument(
+        '--output', default='report.html', help='HTML file to write'
     )
-    parser.add_argument('file', help='written by bench --output')
-    parser.add_argument('--output', default='report.html', help='the page')
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Write the page; return the exit code."""
+    """Write the page and return the exit code."""
     text = text_of_file(arguments.file)
     if text is None:
         return BAD_INPUT
--- a/pollenstile/ops/_soakcmd.py
+++ b/pollenstile/ops/_soakcmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile soak``: randomised runs with invariants."""
+"""``pollenstile soak``: randomised runs that check invariants."""
 
 import argparse
 import pathlib
@@ -20,11 +20,11 @@
         help='run hosts, upstreams and callers under random faults',
         description=(
             'Runs several entry hosts in virtual time under random faults, '
-            'and checks what must always hold. The same seed gives the same '
-            'run and the same digest. Exit code 1 when something was broken.'
+            'and checks invariants. The same seed gives the same run and the '
+            'same digest. Exit code 1 when an invariant was broken.'
         ),
     )
-    parser.add_argument('--seed', type=int, default=1, help='first or only')
+    parser.add_argument('--seed', type=int, default=1, help='seed of the run')
     parser.add_argument(
         '--seeds',
         type=_seed_range,
@@ -35,29 +35,29 @@
         '--steps',
         type=_positive,
         default=400,
-        help='how many times something happens in a run [400]',
+        help='number of random steps in a run [400]',
     )
     parser.add_argument(
         '--live',
         action='store_true',
-        help='real processes on this machine, struck by signals and proxies',
+        help='run real processes, with faults by signals and proxies',
     )
     parser.add_argument(
         '--seconds',
         type=float,
         default=8.0,
-        help='with --live: for which faults go on [8]',
+        help='with --live: duration of the faults [8]',
     )
     parser.add_argument(
         '--logs',
         type=pathlib.Path,
-        help="with --live: a folder for each seed's log of all hosts",
+        help="with --live: folder for each seed's combined host log",
     )
     parser.add_argument(
         '--hosts',
         type=_positive,
         default=4,
-        help='with --live: entry hosts [4]',
+        help='with --live: number of entry hosts [4]',
     )
     parser.set_defaults(run=run)
 
@@ -74,12 +74,12 @@
     if not (dash and first.isdigit() and last.isdigit()):
         raise argparse.ArgumentTypeError(f'{text!r} is not A-B')
     if int(last) < int(first):
-        raise argparse.ArgumentTypeError(f'{text!r} has no seed in it')
+        raise argparse.ArgumentTypeError(f'{text!r} is an empty range')
     return range(int(first), int(last) + 1)
 
 
 def run(arguments):
-    """Run each seed and print a line for it; return the exit code."""
+    """Run each seed, print a line for each and return the exit code."""
     configure_logs('error')
     seeds = arguments.seeds or [arguments.seed]
     if arguments.live:
@@ -101,7 +101,7 @@
 
 
 def _run_live(seeds, arguments):
-    # The one place where the global reactor is taken.
+    # The only use of the global reactor; importing the module installs it.
     from twisted.internet import reactor  # noqa: WPS433
 
     run_steadily(reactor)
--- a/pollenstile/ops/_standincmd.py
+++ b/pollenstile/ops/_standincmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile standin``: small fakes of the outside systems."""
+"""``pollenstile standin``: runs stand-ins of external systems."""
 
 from pollenstile.entry import address_of
 from pollenstile.manifest import manifest_from_text, text_from_manifest
@@ -19,19 +19,21 @@
     """Add the subcommand."""
     parser = commands.add_parser(
         'standin',
-        help='run a stand-in of an outside system',
+        help='run a stand-in of an external system',
     )
     kinds = parser.add_subparsers(dest='kind', required=True)
     for kind in ('objectapi', 'engine', 'stage', 'service'):
         one = kinds.add_parser(kind, help=f'a stand-in of kind {kind}')
         one.add_argument('--listen', default='127.0.0.1:0', help='IP:PORT')
-        one.add_argument('--name', default=kind, help='stated in answers')
-        one.add_argument('--slots', type=int, default=8, help='calls at once')
+        one.add_argument('--name', default=kind, help='name sent in answers')
+        one.add_argument(
+            '--slots', type=int, default=8, help='concurrent calls'
+        )
         one.add_argument(
             '--work-ms',
             type=float,
             default=20,
-            help='time of a call, or until the first token',
+            help='duration of a call, or time until the first token',
         )
         one.add_argument(
             '--gap-ms',
@@ -39,19 +41,23 @@
             default=5,
             help='time between tokens',
         )
-    whole = kinds.add_parser('fleet', help='every upstream of a manifest')
-    whole.add_argument('manifest', help='file')
+    whole = kinds.add_parser(
+        'fleet', help='run a stand-in of every upstream of a manifest'
+    )
+    whole.add_argument('manifest', help='manifest file')
     whole.add_argument(
         '--anywhere',
         metavar='FILE',
         help='listen on free ports; write the manifest with them to FILE',
     )
-    whole.add_argument('--scale', type=float, default=1.0, help='of all times')
+    whole.add_argument(
+        '--scale', type=float, default=1.0, help='factor of all times'
+    )
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Run the stand-in until it is told to stop."""
+    """Run the stand-in until SIGTERM or SIGINT; return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
     if arguments.kind == 'fleet':
--- a/pollenstile/ops/_statuscmd.py
+++ b/pollenstile/ops/_statuscmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile status``: which host has which version in force."""
+"""``pollenstile status``: shows the manifest version of each host."""
 
 import json
 import sys
@@ -13,19 +13,19 @@
     """Add the subcommand."""
     parser = commands.add_parser(
         'status',
-        help='show which host has which version in force',
+        help='show the manifest version in force at each host',
     )
     parser.add_argument(
         '--entry',
         required=True,
-        help="IP:PORT of an entry host's admin face; several with commas",
+        help="IP:PORT of an entry host's admin frontend, or a comma-separated list",
     )
     parser.add_argument('--json', action='store_true', help='print JSON')
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Print the fleet's status; return the exit code."""
+    """Print the fleet's status and return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
     entries = entries_from(arguments.entry)
@@ -43,7 +43,7 @@
 
 
 def entries_from(text, flag='--entry'):
-    """Return the addresses of a flag that needs one."""
+    """Return the addresses of a flag that requires at least one."""
     found = parsed(flag, addresses, text)
     if not found:
         raise SettingsError([f'{flag}: no address'])
@@ -51,7 +51,7 @@
 
 
 def is_settled(document):
-    """Return whether all hosts that stay have the version asked about."""
+    """Return whether all remaining hosts run the asked host's version."""
     for host in document['hosts']:
         if not host['leaving'] and host['version'] != document['version']:
             return False
@@ -59,7 +59,7 @@
 
 
 def status_lines(document):
-    """Return lines for a terminal.
+    """Return the lines of the status table.
 
     Examples
     ========
--- a/pollenstile/ops/_stores.py
+++ b/pollenstile/ops/_stores.py
@@ -1,4 +1,4 @@
-"""The platform's object API, as commands and the daemon reach it."""
+"""Clients of the platform's object API, for commands and the daemon."""
 
 from twisted.internet.defer import Deferred
 
@@ -16,7 +16,7 @@
 
 
 def store_at(reactor, address):
-    """Return a store that speaks HTTP to an address.
+    """Return a store client that uses HTTP to an address.
 
     Parameters
     ==========
@@ -29,12 +29,13 @@
 
 
 def paced_store(reactor, random, settings, log):
-    """Return the daemon's store, or None when there is no platform.
+    """Return the daemon's rate-limited store, or None without a platform.
 
     Explanation
     ===========
 
-    All parts of a host share it, so that together they keep its budget.
+    All components of a host share it, so that together they stay within
+    its budget.
     """
     if settings.platform is None:
         return None
@@ -49,13 +50,13 @@
 
 
 def tickets_asker(reactor, settings):
-    """Return a function that asks the platform's weight store."""
+    """Return a function that requests tickets from the weight store."""
     host, port = settings.platform
     return http_tickets(Caller(reactor, reactor, host, port))
 
 
 def hosts_reader(reactor, settings):
-    """Return a function that reads the host list, or None without one."""
+    """Return a function that reads the host list, or None if not configured."""
     if settings.hosts is None:
         return None
     host, port = settings.hosts
--- a/pollenstile/ops/_validatecmd.py
+++ b/pollenstile/ops/_validatecmd.py
@@ -19,12 +19,12 @@
 
 
 def run(arguments):
-    """Check each file; return the exit code."""
+    """Check each file and return the worst exit code."""
     if arguments.schema:
         print(manifest_schema())
         return GOOD
     if not arguments.files:
-        sys.stderr.write('pollenstile validate: name a file or --schema\n')
+        sys.stderr.write('pollenstile validate: give a file or --schema\n')
         return BAD_INPUT
     codes = [_checked(path) for path in arguments.files]
     return max(codes)
@@ -42,7 +42,7 @@
 
 
 def text_of_file(path):
-    """Return a file's bytes, or None after one line on standard error."""
+    """Return a file's bytes, or write an error line and return None."""
     try:
         with open(path, 'rb') as source:
             return source.read()
--- a/pollenstile/ops/agents.py
+++ b/pollenstile/ops/agents.py
@@ -1,4 +1,4 @@
-"""HTTP client agents that connect to IP numbers."""
+"""HTTP client agents that connect to IP addresses without name resolution."""
 
 from twisted.internet.endpoints import TCP4ClientEndpoint, TCP6ClientEndpoint
 from twisted.web.client import Agent
@@ -8,13 +8,14 @@
 
 @implementer(IAgentEndpointFactory)
 class _Endpoints:
-    """Endpoints without name resolution.
+    """Endpoint factory without name resolution.
 
     Explanation
     ===========
 
-    The library's default resolves names in threads, even of IP numbers. All
-    addresses here are IP numbers, and there is one loop on one thread.
+    The library's default factory resolves names in threads, even for IP
+    addresses. All addresses here are IP addresses, and the process runs one
+    event loop on one thread.
     """
 
     __slots__ = ('connect_timeout', 'reactor')
@@ -24,7 +25,7 @@
         self.connect_timeout = connect_timeout
 
     def endpointForURI(self, uri):
-        """Return the endpoint of an address; called by twisted."""
+        """Return the endpoint of a URI; called by twisted."""
         host = uri.host.decode('ascii').strip('[]')
         kind = TCP6ClientEndpoint if ':' in host else TCP4ClientEndpoint
         return kind(
@@ -36,15 +37,15 @@
 
 
 def agent_for(reactor, pool=None, connect_timeout=1.0):
-    """Return an agent whose addresses are IP numbers.
+    """Return an HTTP agent for URIs whose hosts are IP addresses.
 
     Parameters
     ==========
 
     reactor : IReactorTCP
-        Makes the connections.
+        Opens the connections.
     pool : twisted.web.client.HTTPConnectionPool or None
-        Keeps idle connections; None keeps none.
+        Pool of idle connections; None closes each after use.
     connect_timeout : float
         In seconds.
     """
--- a/pollenstile/ops/body.py
+++ b/pollenstile/ops/body.py
@@ -1,4 +1,4 @@
-"""A request body that is known whole."""
+"""Request bodies that are held in memory."""
 
 from twisted.internet.defer import succeed
 from twisted.web.iweb import IBodyProducer
@@ -7,7 +7,7 @@
 
 @implementer(IBodyProducer)
 class BytesProducer:
-    """Writes a small body at once."""
+    """Writes a small body in one piece."""
 
     __slots__ = ('content', 'length')
 
@@ -16,7 +16,7 @@
         self.length = len(content)
 
     def startProducing(self, consumer):
-        """Write all; called by twisted."""
+        """Write the complete body; called by twisted."""
         consumer.write(self.content)
         return succeed(None)
 
--- a/pollenstile/ops/channels.py
+++ b/pollenstile/ops/channels.py
@@ -1,21 +1,21 @@
-"""Connections of callers, and closing them without cutting an answer off."""
+"""Open caller connections, closed gracefully after their last answer."""
 
 from twisted.internet.defer import Deferred, succeed
 from twisted.web.http import HTTPChannel
 
 
 class Channels:
-    """Open connections of one site.
+    """Tracks the open connections of one site.
 
     Attributes
     ==========
 
     open : set of CountedChannel
-        Connections that are open.
+        Open connections.
     closing : bool
-        Whether each connection closes after the answer it is at.
+        Whether each connection closes after its current answer.
     waiters : list of Deferred
-        Fire when none is open.
+        Fire when no connection is open.
     """
 
     __slots__ = ('closing', 'open', 'waiters')
@@ -26,7 +26,7 @@
         self.waiters = []
 
     def ended(self, channel):
-        """Note that a connection is closed."""
+        """Remove a closed connection; fire the waiters after the last one."""
         self.open.discard(channel)
         if self.open:
             return
@@ -37,16 +37,17 @@
                 waiter.callback(None)
 
     def drained(self):
-        """Return a Deferred that fires when all connections are closed.
+        """Close connections gracefully; return a Deferred that fires when done.
 
         Explanation
         ===========
 
-        A request has ended for the entry host when its answer was handed to
-        the connection; a slow caller has not received it by then. If the
-        process ended at that moment, the kernel would drop what it had not
-        been given. Such a connection is closed only after the last byte is
-        written; an idle one at once.
+        An entry host counts a request as ended when its answer is in the
+        connection's write buffer; a slow caller has not received it by then.
+        If the process exited at that moment, bytes that were not yet written
+        to the kernel would be lost. A connection with a request is therefore
+        closed only after its last byte is written; an idle connection is
+        closed at once.
         """
         self.closing = True
         for channel in list(self.open):
@@ -61,7 +62,7 @@
         return waiter
 
     def abort(self):
-        """Close all connections at once; return how many there were."""
+        """Close all connections at once and return their number."""
         channels = list(self.open)
         for channel in channels:
             channel.forceAbortClient()
@@ -69,27 +70,27 @@
 
 
 class CountedChannel(HTTPChannel):
-    """An HTTP connection that its site's :class:`Channels` knows of."""
+    """An HTTP connection registered with its site's :class:`Channels`."""
 
     def connectionMade(self):
-        """Begin; called by twisted."""
+        """Register the new connection; called by twisted."""
         self.factory.channels.open.add(self)
         super().connectionMade()
 
     def connectionLost(self, reason):
-        """End; called by twisted."""
+        """Remove the closed connection; called by twisted."""
         super().connectionLost(reason)
         self.factory.channels.ended(self)
 
     def checkPersistence(self, request, version):
-        """Return whether to keep the connection; called by twisted.
+        """Return whether to keep the connection open; called by twisted.
 
         Explanation
         ===========
 
-        Callers that keep a connection to a leaving host are told to close it
-        with their next answer, so that none sends a request into a connection
-        that is being closed.
+        While the host shuts down, an answer on a persistent connection
+        carries ``Connection: close``, so that the caller does not send a
+        request into a connection that is being closed.
         """
         if self.factory.channels.closing:
             request.responseHeaders.setRawHeaders(b'connection', [b'close'])
--- a/pollenstile/ops/client.py
+++ b/pollenstile/ops/client.py
@@ -1,4 +1,4 @@
-"""A caller's side of the callers' protocol."""
+"""HTTP client for the callers' protocol."""
 
 from dataclasses import dataclass
 
@@ -19,22 +19,23 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """What a caller got.
+    """Answer that a caller received.
 
     Parameters
     ==========
 
     status : int
-        HTTP status; 0 when nothing answered or the answer broke off.
+        HTTP status; 0 when there was no answer or it was incomplete.
     outcome : str
-        ``'answered'``, or the problem's outcome; ``'unknown'`` when the
-        connection broke, because the caller can't know more.
+        ``'answered'``, or the outcome of the problem document; ``'unknown'``
+        when the connection was lost, because the caller cannot know whether
+        the request ran.
     document : dict
-        The whole answer, or the problem.
+        The complete answer, or the problem document.
     text : str
-        Tokens that were streamed.
+        Concatenated streamed tokens.
     retry_after : float
-        In seconds; 0 when none was given.
+        In seconds; 0 when the header is absent.
     """
 
     status: int
@@ -45,7 +46,7 @@
 
 
 class _Collector(Protocol):
-    """Collects a body until it ends or breaks."""
+    """Collects a response body until it ends or the connection is lost."""
 
     def __init__(self, done, on_bytes):
         self.done = done
@@ -53,22 +54,22 @@
         self.parts = []
 
     def dataReceived(self, data):
-        """Keep a part; called by twisted."""
+        """Append received data; called by twisted."""
         self.parts.append(data)
         self.on_bytes(data)
 
     def connectionLost(self, reason):
-        """Hand over the body; called by twisted."""
+        """Deliver the body and whether it is complete; called by twisted."""
         whole = bool(reason.check(ResponseDone))
         self.done.callback((b''.join(self.parts), whole))
 
 
 def _ignore_bytes(received):
-    """Take bytes that nobody watches."""
+    """Ignore received bytes."""
 
 
 def caller_for(reactor, persistent=True, connect_timeout=2.0):
-    """Return a function that calls pipelines.
+    """Return a function that sends requests to pipelines.
 
     Explanation
     ===========
@@ -120,7 +121,7 @@
 
 def _answer(response, received, whole, *, stream):
     if not whole:
-        return Answer(0, 'unknown', {'title': 'the answer broke off'})
+        return Answer(0, 'unknown', {'title': 'the answer is incomplete'})
     if response.code == _OK and stream:
         return _streamed(received)
     try:
@@ -141,7 +142,9 @@
 def _streamed(received):
     head, found, tail = received.partition(_DONE)
     if not found:
-        return Answer(0, 'unknown', {'title': 'the stream has no end'})
+        return Answer(
+            0, 'unknown', {'title': 'the stream ended without its last event'}
+        )
     document = msgspec.json.decode(tail.strip()[len(_DATA) :])
     parts = []
     for line in head.split(b'\n'):
--- a/pollenstile/ops/clock.py
+++ b/pollenstile/ops/clock.py
@@ -1,41 +1,40 @@
-"""Clocks that neither jump nor stand still."""
+"""Monotonic clock that also counts suspended time."""
 
 import time
 
 
 def boot_clock():
-    """Return seconds since the start of the host, suspended time included.
+    """Return seconds since boot, including time spent suspended.
 
     Explanation
     ===========
 
-    A host that is suspended and resumed sees no time pass on the usual
-    monotonic clock. Its lease would look valid long after a successor took
-    over. ``CLOCK_BOOTTIME`` goes on meanwhile.
+    The usual monotonic clock stops while a host is suspended. After the host
+    resumes, its lease would look valid long after a successor took over.
+    ``CLOCK_BOOTTIME`` advances during suspension.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def run_steadily(reactor, clock=boot_clock):
-    """Let a reactor's timers run by the boot clock.
+    """Make a reactor's timers use the boot clock.
 
     Explanation
     ===========
 
-    The reactor measures by the time of day unless it is told otherwise. When
-    that jumps forward by seconds, every deadline of a request in flight passes
-    at once and sound requests are answered 504; when it jumps back, nothing
-    that waits happens for as long: no timeout, no heartbeat, no read of the
-    configuration, until keys can't be trusted any more. The boot clock never
-    jumps, and a deadline that passed while the host was suspended has passed
-    when it wakes.
+    By default the reactor uses the time of day. When that jumps forward by
+    seconds, every deadline of a request in flight passes at once, and valid
+    requests are answered 504. When it jumps back, no timer fires for as long:
+    no timeout, no heartbeat and no read of the configuration, until keys can
+    no longer be trusted. The boot clock never jumps, and a deadline that
+    passed while the host was suspended has passed when it resumes.
 
     Parameters
     ==========
 
     reactor : ReactorBase
-        Before its first timer is set.
+        A reactor without timers yet.
     clock : function
-        Returns seconds; another one under test.
+        Returns seconds; replaced in tests.
     """
     reactor.seconds = clock
--- a/pollenstile/ops/collector.py
+++ b/pollenstile/ops/collector.py
@@ -1,25 +1,26 @@
-"""The interpreter's collector of reference cycles, set for a server.
+"""Garbage collector settings for a server process.
 
 Explanation
 ===========
 
-The default looks at young objects each 700 allocations. A host that streams
-allocates that many in a few chunks, though nearly all are freed by their
-reference counts. ``bench floor`` showed the cost: a third of the processor
-time of a streamed answer, and runs that differ by as much.
+By default the cyclic collector examines young objects every 700 allocations.
+A streaming host allocates that many objects in a few chunks, though reference
+counting frees nearly all of them. ``bench floor`` showed the cost: a third of
+the processor time of a streamed answer, and an equal variation between runs.
 """
 
 import gc
 
-# Allocations, less frees, until young objects are looked at; then how many
-# looks until the next older generation is.
+# Allocations minus deallocations that start a collection of the young
+# generation, then the numbers of collections of a generation before the next
+# older one is collected.
 _YOUNG = 20000
 _MIDDLE = 20
 _OLD = 20
 
 
 def set_collector():
-    """Look for cycles less often, and not at what start-up has made."""
+    """Collect less often, and exclude objects created at start-up."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(_YOUNG, _MIDDLE, _OLD)
--- a/pollenstile/ops/events.py
+++ b/pollenstile/ops/events.py
@@ -1,12 +1,12 @@
-"""Numbered log events.
+"""Catalogue of numbered log events.
 
 Explanation
 ===========
 
-Each package defines its events in a module of its own, from its own hundred:
+Each package defines its events in its ``events`` module, in its own range:
 1000 pipeline and routing, 2000 limits, 3000 claims, 4000 fleet, 5000
 placement, 6000 peer, 7000 platform, 8000 entry and ops, 9000 invariants.
-``docs/EVENTS.md`` is the catalogue; a test holds it against :func:`catalogue`.
+A test checks that ``docs/EVENTS.md`` agrees with :func:`catalogue`.
 """
 
 from dataclasses import dataclass
@@ -16,19 +16,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Event:
-    """A kind of log line.
+    """Kind of log line.
 
     Parameters
     ==========
 
     number : int
-        Never used again for something else.
+        Unique; never reused for another event.
     name : str
-        Short and stable, for searching.
+        Short and stable, for searches.
     meaning : str
         What happened, for operators.
     action : str
-        What to do about it; empty when nothing is to be done.
+        What operators should do; empty when no action is needed.
     """
 
     number: int
@@ -38,13 +38,13 @@
 
 
 def define(number, name, meaning, action=''):
-    """Return a new event and enter it in the catalogue.
+    """Return a new event and add it to the catalogue.
 
     Raises
     ======
 
     ValueError
-        When the number is taken.
+        When another event has the number.
     """
     if number in _CATALOGUE:
         raise ValueError(f'event {number} is defined twice')
@@ -54,5 +54,5 @@
 
 
 def catalogue():
-    """Return every event that is defined, by number."""
+    """Return all defined events, ordered by number."""
     return [_CATALOGUE[number] for number in sorted(_CATALOGUE)]
--- a/pollenstile/ops/exits.py
+++ b/pollenstile/ops/exits.py
@@ -3,26 +3,26 @@
 import sys
 
 GOOD = 0
-# The thing asked for was not reached: a refusal, a conflict, a failed check.
+# The command ran but did not succeed: a refusal, a conflict, a failed check.
 BAD_RESULT = 1
-# The command, a setting or a document is wrong.
+# The command line, a setting or a document is invalid.
 BAD_INPUT = 2
-# Nothing answered.
+# No server answered.
 UNREACHED = 3
 
 
 def unsure(command, outcome):
-    """Say that a write may have been done or not; return the exit code.
+    """Report a write whose outcome is unknown; return the exit code.
 
     Parameters
     ==========
 
     command : str
-        As it was called.
+        Name of the command.
     outcome : Conflict, NotApplied, InDoubt or Unavailable
-        Of the store.
+        Outcome of the store call.
     """
     reason = getattr(outcome, 'reason', repr(outcome))
-    sys.stderr.write(f'{command}: not sure that it was done: {reason}')
-    sys.stderr.write('; say it again\n')
+    sys.stderr.write(f'{command}: the outcome is unknown: {reason}')
+    sys.stderr.write('; run the command again\n')
     return UNREACHED
--- a/pollenstile/ops/http.py
+++ b/pollenstile/ops/http.py
@@ -1,4 +1,4 @@
-"""HTTP plumbing that all faces and stand-ins share."""
+"""HTTP server utilities shared by all frontends and stand-ins."""
 
 from io import BytesIO
 
@@ -13,18 +13,19 @@
 
 
 class BoundedRequest(Request):
-    """A request whose body is kept in memory and bounded.
+    """A request whose body is held in memory and limited in size.
 
     Explanation
     ===========
 
-    The library keeps large bodies in files; hosts have no disks. A body that
-    states or reaches more than ``site.most_body`` bytes is refused with 413
-    and its connection closed, before it is read whole.
+    The library stores large bodies in files, but hosts have no disks. A body
+    whose stated or received length exceeds ``site.most_body`` bytes is
+    rejected with 413 and its connection closed, before it is read
+    completely.
     """
 
     def gotLength(self, length):
-        """Prepare for a body of a stated length; called by twisted."""
+        """Prepare for a body with an optional length; called by twisted."""
         self.too_large = False
         self.received = 0
         self.content = BytesIO()
@@ -32,7 +33,7 @@
             self._refuse()
 
     def handleContentChunk(self, data):
-        """Keep a part of the body; called by twisted."""
+        """Append a part of the body; called by twisted."""
         self.received += len(data)
         if self.received > self.channel.site.most_body:
             self._refuse()
@@ -40,7 +41,7 @@
         self.content.write(data)
 
     def requestReceived(self, command, path, version):
-        """Handle a request that is whole; called by twisted."""
+        """Handle a complete request; called by twisted."""
         if self.too_large:
             return
         super().requestReceived(command, path, version)
@@ -62,22 +63,23 @@
 
 
 def site_for(resource, reactor, most_body=262144, timeout=60):
-    """Return a Site that bounds bodies, and takes its clock as an argument.
+    """Return a Site that limits request bodies and uses a given clock.
 
     Explanation
     ===========
 
-    Its ``channels`` are a :class:`~pollenstile.ops.channels.Channels`.
+    Its ``channels`` attribute is a
+    :class:`~pollenstile.ops.channels.Channels`.
 
     Parameters
     ==========
 
     resource : twisted.web.resource.Resource
-        Serves all requests.
+        Handles all requests.
     reactor : IReactorTime
-        For idle connections' timeouts.
+        Clock for timeouts of idle connections.
     most_body : int
-        Largest body, in bytes.
+        Maximum body size in bytes.
     timeout : float
         Seconds after which an idle connection is closed.
     """
@@ -95,13 +97,13 @@
 
 
 def quiet(site):
-    """Return a site that writes no access log."""
+    """Disable the access log of a site and return it."""
     site.log = _log_nothing
     return site
 
 
 def _log_nothing(request):
-    """Write no access log: events take its place."""
+    """Write no access log; log events replace it."""
 
 
 def problem_body(status, title, outcome, **members):
@@ -112,7 +114,7 @@
 
 
 def answer_json(request, document, status=200):
-    """Answer with a JSON document and finish."""
+    """Send a JSON document and finish the request."""
     body = msgspec.json.encode(document)
     request.setResponseCode(status)
     request.setHeader(b'content-type', _JSON)
@@ -123,13 +125,14 @@
 
 
 def answer_problem(http, status, title, outcome, **members):
-    """Answer with a problem document and finish.
+    """Send a problem document and finish the request.
 
     Parameters
     ==========
 
     members : dict
-        Further members; ``retry_after`` in seconds becomes a header as well.
+        Additional members; ``retry_after`` in seconds is also sent as a
+        header.
     """
     body = problem_body(status, title, outcome, **members)
     http.setResponseCode(status)
@@ -145,12 +148,12 @@
 
 
 def abort(request):
-    """Close a request's connection at once, in mid-answer.
+    """Close a request's connection at once, in the middle of its answer.
 
     Explanation
     ===========
 
-    A stream that can't be finished must not look whole. Its caller sees the
-    connection break before the last chunk of the body.
+    A stream that cannot be completed must not look complete. Its caller sees
+    the connection close before the last chunk of the body.
     """
     request.channel.forceAbortClient()
--- a/pollenstile/ops/linestream.py
+++ b/pollenstile/ops/linestream.py
@@ -1,4 +1,4 @@
-"""A stream for log lines that never blocks and is bounded."""
+"""Non-blocking, rate-limited output stream for log lines."""
 
 import os
 import time
@@ -8,41 +8,41 @@
 LINES_DROPPED = define(
     8010,
     'lines-dropped',
-    'Log lines were dropped: too many in a second, or nobody reads them.',
-    'Look at the collector of logs; measures count all events.',
+    'Log lines were dropped: too many in a second, or they are not read.',
+    'Check the log collector; the metrics count all events.',
 )
 _NOTE = b'{"number": %d, "lines": %d, "event": "lines-dropped"}\n'
-# Lines that a process may write in a second; on played days one wrote 165 at
-# most. A fault that logs in a loop must not take the processor.
+# Lines that a process may write in a second; replayed days reached 165 at
+# most. A fault that logs in a loop must not use up the processor.
 MOST_LINES = 500
 
 
 class LineStream:
-    """Writes lines to a descriptor, and drops what nobody takes.
+    """Writes lines to a file descriptor, and drops lines that do not fit.
 
     Explanation
     ===========
 
-    A collector of logs that hangs leaves its pipe full. A blocking write
-    would then stop the loop, and with it all requests. Lines that do not fit
-    are dropped and counted; a line that was written in part is finished first,
-    so that none is torn.
+    A log collector that hangs leaves its pipe full. A blocking write would
+    then stop the event loop and with it all requests. Lines that do not fit
+    are dropped and counted. A partly written line is completed first, so that
+    every line in the output is complete.
 
     Parameters
     ==========
 
     descriptor : int
-        Set to not block.
+        File descriptor; set to non-blocking mode.
     clock : function
         Returns seconds.
     most_lines : int
-        Lines a second.
+        Maximum number of lines per second.
 
     Attributes
     ==========
 
     dropped : int
-        Lines that were dropped since the last note of that.
+        Lines dropped since the last ``lines-dropped`` line.
     """
 
     # The log library keeps a weak reference to its stream.
@@ -68,7 +68,7 @@
         self.tail = b''
 
     def write(self, text):
-        """Write a line with its end, or drop it."""
+        """Write a newline-terminated line, or drop it."""
         if not self._may_write() or not self._finish_tail():
             self.dropped += 1
             return
@@ -81,7 +81,7 @@
         self._put(text.encode(errors='replace'))
 
     def flush(self):
-        """Do nothing: each line is written at once."""
+        """Do nothing; each line is written at once."""
 
     def _may_write(self):
         second = int(self.clock())
@@ -105,6 +105,6 @@
             self.tail = data
             return
         except OSError:
-            # The reader has closed its end: nobody will read any more.
+            # The reader has closed its end of the pipe; drop the data.
             return
         self.tail = data[written:]
--- a/pollenstile/ops/logs.py
+++ b/pollenstile/ops/logs.py
@@ -1,4 +1,4 @@
-"""Structured log lines, one for each event."""
+"""Structured logging with one line per event."""
 
 import sys
 
@@ -8,7 +8,7 @@
 
 
 def configure_logs(level='info', stream=None):
-    """Write JSON lines of a level and above to a stream (standard error)."""
+    """Write JSON log lines of at least a level to a stream."""
     target = stream or sys.stderr
     structlog.configure(
         processors=[
@@ -28,14 +28,14 @@
     ===========
 
     The function takes an :class:`~pollenstile.ops.events.Event` and the
-    line's fields. It is handed to every part that decides something, so that
-    tests can record lines instead of writing them.
+    line's fields. Every component that makes decisions receives it as an
+    argument, so that tests can record lines instead of writing them.
 
     Parameters
     ==========
 
     context : dict
-        Fields that each line carries, such as the host.
+        Fields added to each line, such as the host.
     """
     logger = structlog.get_logger(**context)
 
@@ -46,4 +46,4 @@
 
 
 def silent_log(event, level='info', **fields):
-    """Write nothing; the neutral log of tests and benches."""
+    """Discard the event; default of components, tests and benchmarks."""
--- a/pollenstile/ops/main.py
+++ b/pollenstile/ops/main.py
@@ -1,4 +1,4 @@
-"""The command ``pollenstile``."""
+"""Command line of ``pollenstile``."""
 
 import argparse
 import sys
@@ -25,10 +25,10 @@
 from pollenstile.ops.settings import SettingsError
 
 _EPILOG = """exit codes:
-  0  done
-  1  the thing asked for was not reached: a refusal, a conflict, a failed check
-  2  the command, a setting or a document is wrong
-  3  nothing answered"""
+  0  success
+  1  the command did not succeed: a refusal, a conflict, a failed check
+  2  the command line, a setting or a document is invalid
+  3  no server answered"""
 
 _COMMANDS = (
     _entrycmd,
@@ -50,7 +50,7 @@
 
 
 def built_parser():
-    """Return the parser of the whole command line."""
+    """Return the argument parser with all subcommands."""
     parser = argparse.ArgumentParser(
         prog='pollenstile',
         description='Serving system for multi-stage model pipelines.',
@@ -69,13 +69,13 @@
 
 
 def main(arguments=None):
-    """Run the command line; return the exit code.
+    """Run the command line and return the exit code.
 
     Parameters
     ==========
 
     arguments : list of str or None
-        ``sys.argv`` without the program when None.
+        Command line arguments; None for those of the process.
     """
     parsed = built_parser().parse_args(arguments)
     try:
--- a/pollenstile/ops/measures.py
+++ b/pollenstile/ops/measures.py
@@ -1,11 +1,11 @@
-"""Counters, histograms and gauges, in the usual text format.
+"""Metrics (counters, histograms and gauges) in the Prometheus text format.
 
 Explanation
 ===========
 
-Every decision is a log event already. Measures are taken from the events as
-they pass, so that a count and a line can't tell different stories, and lines
-that are dropped under load are still counted.
+Every decision is already a log event. Counters and histograms are updated
+from these events, so that metrics and log lines cannot disagree, and events
+whose lines are dropped under load are still counted.
 """
 
 from prometheus_client import (
@@ -19,34 +19,35 @@
 from twisted.web.resource import Resource
 
 _MS = 1000
-# Seconds: from a plain lookup to the deadline of a long draft.
+# Seconds; the range covers a plain lookup up to the deadline of a long draft.
 _BUCKETS = (0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 1.7, 2.3, 3, 5, 8, 12, 20)
-# A field that is missing or empty is counted under this.
+# Label value for a missing or empty field.
 _NONE = 'none'
 
 
 def shown_name(name):
-    """Return a measure's name as it is served."""
+    """Return a metric's name with the prefix under which it is served."""
     return f'pollenstile_{name}'
 
 
 class Measures:
-    """Counts the events of a log, and measures times in their fields.
+    """Counts log events and records the durations in their fields.
 
     Parameters
     ==========
 
     log : function
-        Writes the events.
+        Writes the events to the log.
     times : tuple of tuple
-        Event's name, the field with milliseconds, and the field that tells
-        apart; a histogram of seconds each.
+        For each histogram: the event's name, the field with the duration in
+        milliseconds, and the field that gives the label. Histograms are in
+        seconds.
 
     Attributes
     ==========
 
     registry : prometheus_client.CollectorRegistry
-        Of this process.
+        Metrics of this process.
     """
 
     __slots__ = ('events', 'histograms', 'log', 'registry')
@@ -56,7 +57,7 @@
         self.registry = CollectorRegistry()
         self.events = Counter(
             'pollenstile_events',
-            'Log events, those whose lines were dropped included.',
+            'Log events, including those whose lines were dropped.',
             ('event', 'outcome'),
             registry=self.registry,
         )
@@ -68,23 +69,23 @@
             )
 
     def gauge(self, name, meaning, value):
-        """Add a gauge whose value a function returns."""
+        """Add a gauge whose value is returned by a function."""
         gauge = Gauge(shown_name(name), meaning, registry=self.registry)
         gauge.set_function(value)
 
     def gauges(self, name, meaning, label, values):
-        """Add gauges that one label tells apart.
+        """Add a family of gauges distinguished by one label.
 
         Parameters
         ==========
 
         values : function
-            Returns a number for each value that the label has now.
+            Returns a mapping from each current label value to a number.
         """
         self.registry.register(_Family(name, meaning, label, values))
 
     def write(self, event, level='info', **fields):
-        """Count an event, measure its times, and log it."""
+        """Count an event, record its durations and log it."""
         outcome = fields.get('outcome') or fields.get('reason') or _NONE
         self.events.labels(event.name, str(outcome)[:40]).inc()
         for field, label, histogram in self.histograms.get(event.name, ()):
@@ -94,13 +95,13 @@
         self.log(event, level, **fields)
 
     def text(self):
-        """Return all measures as text, as bytes."""
+        """Return all metrics in the text format, as bytes."""
         return generate_latest(self.registry)
 
     def _histogram(self, name, label):
         return Histogram(
             shown_name(f'{name}_seconds'),
-            'Seconds, from the field of the event that names it.',
+            'Duration in seconds, from the event field in its name.',
             (label,),
             buckets=_BUCKETS,
             registry=self.registry,
@@ -108,7 +109,7 @@
 
 
 class _Family:
-    """Gauges whose labels are known only when they are read."""
+    """Family of gauges whose label values are known only when read."""
 
     __slots__ = ('label', 'meaning', 'name', 'values')
 
@@ -119,7 +120,7 @@
         self.values = values
 
     def collect(self):
-        """Return the gauges as they are now; called by the library."""
+        """Return the current gauges; called by the library."""
         family = GaugeMetricFamily(
             shown_name(self.name),
             self.meaning,
@@ -131,13 +132,13 @@
 
 
 class MeasuresFace(Resource):
-    """Serves measures as text.
+    """HTTP resource that serves metrics in the text format.
 
     Parameters
     ==========
 
     measures : Measures
-        What is served.
+        Metrics to serve.
     """
 
     isLeaf = True
@@ -147,6 +148,6 @@
         self.measures = measures
 
     def render(self, request):
-        """Answer; called by twisted."""
+        """Return the response body; called by twisted."""
         request.setHeader(b'content-type', b'text/plain; version=0.0.4')
         return self.measures.text()
--- a/pollenstile/ops/metrics.py
+++ b/pollenstile/ops/metrics.py
@@ -1,17 +1,17 @@
-"""Counters and timings, sent to statsd in batches."""
+"""Counters and timings that are sent to statsd in batches."""
 
 _MOST_TIMINGS = 2000
 
 
 class Metrics:
-    """Counts since the last flush, and totals since the start.
+    """Counters since the last flush, and totals since the start.
 
     Explanation
     ===========
 
-    A packet for each count would cost more than the count. Counts are added
-    up here and sent once a second; of timings at most a bounded number is
-    kept between two flushes.
+    A packet per count would cost more than counting. Counts are accumulated
+    and sent once a second; the number of timings kept between two flushes
+    is bounded.
 
     Examples
     ========
@@ -31,33 +31,33 @@
         self.timings = []
 
     def count(self, name, number=1):
-        """Add to a counter."""
+        """Increase a counter."""
         self.counts[name] = self.counts.get(name, 0) + number
 
     def timing(self, name, milliseconds):
-        """Keep a timing, in milliseconds."""
+        """Record a timing in milliseconds."""
         if len(self.timings) < _MOST_TIMINGS:
             self.timings.append((name, milliseconds))
 
     def total(self, name):
-        """Return a counter's value since the start."""
+        """Return a counter's total since the start."""
         return self.totals.get(name, 0) + self.counts.get(name, 0)
 
     def all_totals(self):
-        """Return every counter since the start."""
+        """Return the totals of all counters since the start."""
         totals = dict(self.totals)
         for name, number in self.counts.items():
             totals[name] = totals.get(name, 0) + number
         return totals
 
     def flush(self, client=None):
-        """Send what was kept, and start anew.
+        """Send the counts and timings, add them to the totals and reset.
 
         Parameters
         ==========
 
         client : statsd.StatsClient or None
-            None only adds up the totals.
+            None only updates the totals.
         """
         if client is not None:
             self._send(client)
--- a/pollenstile/ops/numbers.py
+++ b/pollenstile/ops/numbers.py
@@ -1,16 +1,16 @@
-"""Numbers in texts that come from outside."""
+"""Parsing of numbers in untrusted text."""
 
 _MOST_DIGITS = 18
 
 
 def whole_number(text):
-    """Return the whole number that a text is, or None.
+    """Return the non-negative integer in a text, or None.
 
     Explanation
     ===========
 
-    Superscripts pass for digits, and thousands of digits are no number that
-    the language reads: converting either would raise.
+    ``str.isdigit`` accepts superscripts, and ``int`` rejects numbers of
+    thousands of digits; converting either would raise.
 
     Examples
     ========
--- a/pollenstile/ops/rendezvous.py
+++ b/pollenstile/ops/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: who of many is meant by a key, the same at every host."""
+"""Rendezvous hashing: maps keys to members equally at every host."""
 
 import xxhash
 
@@ -9,8 +9,8 @@
     Explanation
     ===========
 
-    Every host finds the same order of the same members, and one that comes or
-    goes moves only what falls to itself.
+    Every host computes the same order of the same members. Adding or
+    removing a member moves only the keys of that member.
 
     Examples
     ========
--- a/pollenstile/ops/running.py
+++ b/pollenstile/ops/running.py
@@ -1,24 +1,24 @@
-"""Running one coroutine on the reactor, for commands that end."""
+"""Runs one coroutine on the reactor, for commands that terminate."""
 
 from twisted.internet.defer import Deferred
 
 
 def result_of(reactor, coroutine_function):
-    """Run the reactor until a coroutine ends; return its result.
+    """Run the reactor until a coroutine ends and return its result.
 
     Parameters
     ==========
 
     reactor : IReactorCore
-        Not running yet.
+        A reactor that has not been started.
     coroutine_function : function
-        Without arguments; returns the coroutine.
+        Takes no arguments and returns the coroutine.
 
     Raises
     ======
 
     Exception
-        Whatever the coroutine raised.
+        Any exception that the coroutine raised.
     """
     ends = []
 
--- a/pollenstile/ops/settings.py
+++ b/pollenstile/ops/settings.py
@@ -1,10 +1,11 @@
-"""Settings from flags and environment variables, validated together.
+"""Settings from command line flags and environment variables.
 
 Explanation
 ===========
 
-A setting has one flag and one environment variable; the flag wins. All values
-are checked at the start, and every mistake gives one line.
+A setting has one flag and one environment variable; the flag takes
+precedence. All values are validated at the start, and each mistake gives one
+error line.
 """
 
 import os
@@ -21,7 +22,7 @@
 
 
 class SettingsError(Exception):
-    """Settings have mistakes; ``mistakes`` holds a line for each."""
+    """Raised for invalid settings; ``mistakes`` holds a line for each."""
 
     def __init__(self, mistakes):
         super().__init__('; '.join(mistakes))
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Setting:
-    """One setting.
+    """Definition of one setting.
 
     Parameters
     ==========
@@ -38,11 +39,11 @@
     name : str
         Attribute name; the flag is ``--name`` with dashes.
     parse : function
-        From text to value; raises ValueError with the reason.
+        Converts text to the value; raises ValueError with the reason.
     default : str or None
-        As text; None when a value must be given.
+        Default as text; None when the setting is required.
     meaning : str
-        For help and docs, with the unit.
+        Description for the help text and docs, with the unit.
     """
 
     name: str
@@ -52,17 +53,17 @@
 
     @property
     def flag(self):
-        """The command line flag."""
+        """Return the command line flag."""
         return '--{}'.format(self.name.replace('_', '-'))
 
     @property
     def environment_name(self):
-        """The environment variable."""
+        """Return the name of the environment variable."""
         return PREFIX + self.name.upper()
 
 
 def address(text):
-    """Return ``(ip, port)`` from ``'IP:PORT'``; port 0 means any.
+    """Return ``(ip, port)`` from ``'IP:PORT'``; port 0 means any free port.
 
     Examples
     ========
@@ -97,13 +98,13 @@
 
 
 def parsed(name, parse, text):
-    """Return what a text of the command line says.
+    """Parse the text of a command line argument and return its value.
 
     Raises
     ======
 
     SettingsError
-        With one line that names the flag or argument.
+        When the text is invalid; the line names the flag or argument.
     """
     try:
         return parse(text)
@@ -112,32 +113,32 @@
 
 
 def optional_address(text):
-    """Return an address, or None from an empty text."""
+    """Return an address, or None for an empty text."""
     return address(text) if text else None
 
 
 def addresses(text):
-    """Return a tuple of addresses from a list parted by commas."""
+    """Return a tuple of addresses from a comma-separated list."""
     parts = [part.strip() for part in text.split(',')]
     return tuple(address(part) for part in parts if part)
 
 
 def identifier(text):
-    """Return a name of lower-case letters, digits, dots and dashes."""
+    """Return a valid name of lower-case letters, digits, dots and dashes."""
     if not _NAME.fullmatch(text):
         raise ValueError(f'{text!r} is not a name like erie-hall-1')
     return text
 
 
 def level(text):
-    """Return a log level's name."""
+    """Return a valid log level name."""
     if text not in _LEVELS:
         raise ValueError(f'{text!r} is none of {", ".join(_LEVELS)}')
     return text
 
 
 def number_from(least, most, kind=int):
-    """Return a parser of numbers in a range, both ends included."""
+    """Return a function that parses numbers in an inclusive range."""
 
     def parse(text):
         try:
@@ -152,22 +153,22 @@
 
 
 def text_of(text):
-    """Return a text as it is."""
+    """Return a text unchanged."""
     return text
 
 
 ENTRY = (
-    Setting('host', identifier, None, 'name of this host, unique'),
+    Setting('host', identifier, None, 'unique name of this host'),
     Setting('domain', identifier, None, 'failure domain of this host'),
-    Setting('listen', address, '127.0.0.1:8080', "callers' address"),
-    Setting('admin', address, '127.0.0.1:8081', "operators' address"),
-    Setting('peer_listen', address, '127.0.0.1:8082', "peers' address"),
-    Setting('peers', addresses, '', 'peer addresses known from the start'),
+    Setting('listen', address, '127.0.0.1:8080', 'address for callers'),
+    Setting('admin', address, '127.0.0.1:8081', 'address for operators'),
+    Setting('peer_listen', address, '127.0.0.1:8082', 'address for peers'),
+    Setting('peers', addresses, '', 'initially known peer addresses'),
     Setting(
         'peer_key',
         text_of,
         '',
-        'key shared by all entry hosts; NEW,OLD while it is changed',
+        'key shared by all entry hosts; NEW,OLD during a key rotation',
     ),
     Setting('platform', optional_address, '', "the platform's object API"),
     Setting('hosts', optional_address, '', "the platform's host list"),
@@ -175,63 +176,80 @@
         'store_calls',
         number_from(1, 10000, float),
         '20',
-        'calls to the object API, a second',
+        'calls to the object API per second',
     ),
     Setting(
         'store_writes',
         number_from(1, 10000, float),
         '10',
-        'of these, writes a second',
+        'writes among these calls per second',
     ),
-    Setting('statsd', optional_address, '', 'statsd server; empty for none'),
-    Setting('log_level', level, 'info', 'least level that is logged'),
+    Setting(
+        'statsd',
+        optional_address,
+        '',
+        'address of the statsd server; empty for none',
+    ),
+    Setting('log_level', level, 'info', 'lowest level that is logged'),
     Setting(
         'max_running',
         number_from(1, 100000),
         '2000',
-        'requests that run side by side',
+        'requests that run concurrently',
+    ),
+    Setting(
+        'seed',
+        number_from(0, 2**63),
+        '0',
+        'random seed; 0 for an arbitrary one',
     ),
-    Setting('seed', number_from(0, 2**63), '0', 'random seed; 0 for any'),
 )
 
 
 FORWARD = (
-    Setting('host', identifier, None, 'name of this host, unique'),
+    Setting('host', identifier, None, 'unique name of this host'),
     Setting('domain', identifier, None, 'failure domain of this host'),
     Setting('store', address, None, "the platform's object API"),
-    Setting('callers', address, '127.0.0.1:8080', "callers' address"),
-    Setting('ready', address, '127.0.0.1:8081', "the balancer's question"),
-    Setting('peers', address, '127.0.0.1:8082', "peers' address"),
+    Setting('callers', address, '127.0.0.1:8080', 'address for callers'),
+    Setting(
+        'ready',
+        address,
+        '127.0.0.1:8081',
+        "address for the load balancer's readiness check",
+    ),
+    Setting('peers', address, '127.0.0.1:8082', 'address for peers'),
     Setting(
         'peers_seen',
         optional_address,
         '',
-        'where peers reach this host, when that is another address',
+        'address at which peers reach this host, if different',
+    ),
+    Setting(
+        'metrics', optional_address, '', 'address for metrics; empty for none'
     ),
-    Setting('metrics', optional_address, '', 'measures; empty for none'),
     Setting(
         'revoke_seconds',
         number_from(1, 60, float),
         '5',
-        'seconds after which a key that was taken away has stopped working',
+        'seconds until a revoked key no longer works',
     ),
     Setting(
         'apply_seconds',
         number_from(1, 60, float),
         '2',
-        'seconds after which a change of the configuration is in force',
+        'seconds until a change of the configuration is in force',
     ),
     Setting(
         'leave_seconds',
         number_from(1, 60, float),
         '2',
-        'seconds after which an upstream that leaves gets nothing more',
+        'seconds until a leaving upstream gets no new work',
     ),
     Setting(
         'drain_seconds',
         number_from(1, 60, float),
         '5',
-        'seconds after which a drained failure domain gets nothing more',
+        'seconds until a drained failure domain gets no new work',
     ),
     Setting(
         'grace_seconds',
@@ -243,13 +261,13 @@
         'capacity',
         number_from(0.01, 1024, float),
         '1',
-        'cores; larger hosts take the shared work first',
+        'cores of this host; larger hosts run shared work first',
     ),
 )
 
 
 class Settings:
-    """Validated values, one attribute for each setting."""
+    """Validated values with one attribute per setting."""
 
     def __init__(self, values):
         for name, value in values.items():
@@ -271,15 +289,15 @@
 
 
 def settings_from(arguments, table, environment=None):
-    """Return validated settings.
+    """Read and validate settings.
 
     Parameters
     ==========
 
     arguments : argparse.Namespace
-        With an attribute for each setting, None where no flag was given.
+        One attribute per setting; None where the flag is absent.
     table : tuple of Setting
-        What to read.
+        Settings to read.
     environment : mapping
         ``os.environ`` unless given.
 
@@ -287,7 +305,7 @@
     ======
 
     SettingsError
-        With one line for each mistake.
+        When settings are invalid, with one line for each mistake.
     """
     variables = os.environ if environment is None else environment
     values = {}
--- a/pollenstile/ops/usage.py
+++ b/pollenstile/ops/usage.py
@@ -1,4 +1,4 @@
-"""What this process has used of the machine."""
+"""Resource usage of this process."""
 
 import resource
 import time
@@ -7,7 +7,7 @@
 
 
 def process_usage():
-    """Return processor seconds and the most memory held, as a document.
+    """Return processor seconds and peak memory as a document.
 
     Examples
     ========
--- a/pollenstile/report/_page.py
+++ b/pollenstile/report/_page.py
@@ -1,4 +1,4 @@
-"""One HTML page of tables, with plots where the plotting library is there."""
+"""Renders charts as an HTML page of tables, with plots if available."""
 
 import base64
 import io
@@ -19,15 +19,15 @@
 
 
 def page_of(title, charts):
-    """Return a page with a table, and a plot if possible, for each chart.
+    """Return an HTML page with a table for each chart, and a plot if possible.
 
     Parameters
     ==========
 
     title : str
-        The page's.
+        Title of the page.
     charts : list of Chart
-        What it shows.
+        Charts to show.
     """
     parts = [_HEAD.format(title=escape(title))]
     for chart in charts:
@@ -52,7 +52,7 @@
 
 
 def _plot(chart):
-    """Return an image element, or nothing without the plotting library."""
+    """Return an image element, or an empty text without matplotlib."""
     try:
         from matplotlib.figure import Figure  # noqa: WPS433
     except ImportError:
--- a/pollenstile/report/_results.py
+++ b/pollenstile/report/_results.py
@@ -1,4 +1,4 @@
-"""What a result file of a bench holds, as tables and series."""
+"""Converts result files of benchmarks to charts."""
 
 from dataclasses import dataclass
 
@@ -14,22 +14,22 @@
 
 
 class UnknownResult(Exception):
-    """The file is no result that a page can be made of."""
+    """Raised for a file that is not a supported result."""
 
 
 @dataclass(slots=True, frozen=True)
 class Chart:
-    """One table, drawn as bars for each series.
+    """A table that is plotted as a bar chart.
 
     Parameters
     ==========
 
     title : str
-        What is shown, with its unit.
+        Title with the unit.
     labels : list of str
-        The rows.
+        Names of the rows.
     series : dict
-        Name to a list of numbers, one for each label.
+        Maps the name of a column to a list of numbers, one per label.
     """
 
     title: str
@@ -38,7 +38,7 @@
 
 
 def charts_of(document):
-    """Return the charts of a bench's result file.
+    """Return the charts of a benchmark's result file.
 
     Parameters
     ==========
@@ -70,7 +70,7 @@
         return _fleet_charts(document)
     if isinstance(document, dict) and 'moments' in document:
         return _losses_charts(document)
-    raise UnknownResult('no result of bench policy, bench fleet or losses')
+    raise UnknownResult('not a result of bench policy, bench fleet or losses')
 
 
 def _policy_charts(runs):
