--- a/features/steps/logs_steps.py
+++ b/features/steps/logs_steps.py
@@ -17,13 +17,13 @@
 class _Pipe:
     """A pipe with a log stream at its writing end."""
 
-    def __init__(self, most_lines=10000):
+    def __init__(self, max_lines_per_second=10000):
         ends = os.pipe()
         self.reading = ends[0]
         self.writing = ends[1]
         os.set_blocking(self.reading, False)
         self.now = 1.0
-        self.stream = LineStream(self.writing, self.clock, most_lines)
+        self.stream = LineStream(self.writing, self.clock, max_lines_per_second)
         self.logger = structlog.WriteLogger(self.stream)
         self.written = 0
 
--- a/pollenstile/ops/_admin.py
+++ b/pollenstile/ops/_admin.py
@@ -4,7 +4,7 @@
 
 from pollenstile.platform import Broken, Caller
 
-_SECONDS = 4.0
+_TIMEOUT_SECONDS = 4.0
 _OK = 200
 
 
@@ -17,10 +17,10 @@
     The function takes a path and returns a coroutine that yields the decoded
     document, or None when no valid answer was received.
     """
-    caller = caller_at(reactor, address)
+    caller = http_client_at(reactor, address)
 
     async def read(path):
-        body = await body_of(caller, path)
+        body = await fetch_body(caller, path)
         if body is None:
             return None
         try:
@@ -31,13 +31,13 @@
     return read
 
 
-def caller_at(reactor, address):
+def http_client_at(reactor, address):
     """Return an HTTP client of a host's frontend for operators."""
     host, port = address
-    return Caller(reactor, reactor, host, port, _SECONDS)
+    return Caller(reactor, reactor, host, port, _TIMEOUT_SECONDS)
 
 
-async def body_of(caller, path):
+async def fetch_body(caller, path):
     """Return the body of a page, or None unless the status is 200."""
     reply = await caller.call('GET', path, fresh=True)
     if isinstance(reply, Broken) or reply.status != _OK:
@@ -45,7 +45,7 @@
     return reply.body
 
 
-async def first_answer(readers, path):
+async def first_document(readers, path):
     """Return the first document received from several frontends, or None."""
     for read in readers:
         document = await read(path)
--- a/pollenstile/ops/_applycmd.py
+++ b/pollenstile/ops/_applycmd.py
@@ -21,17 +21,17 @@
     manifest_diff,
     manifest_from_text,
 )
-from pollenstile.ops._admin import admin_at, first_answer
+from pollenstile.ops._admin import admin_at, first_document
 from pollenstile.ops._statuscmd import entries_from
 from pollenstile.ops._stores import store_at
-from pollenstile.ops._validatecmd import text_of_file
+from pollenstile.ops._validatecmd import read_file
 from pollenstile.ops.exits import BAD_INPUT, BAD_RESULT, GOOD, UNREACHED
 from pollenstile.ops.running import result_of
-from pollenstile.ops.settings import address, parsed
+from pollenstile.ops.settings import address, parse_argument
 from pollenstile.platform import pauses
 
 _MARK_BYTES = 8
-_LOOK_SECONDS = 0.5
+_POLL_SECONDS = 0.5
 
 
 def add_parser(commands):
@@ -68,7 +68,7 @@
     """Apply the manifest in the file and return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
-    text = text_of_file(arguments.file)
+    text = read_file(arguments.file)
     if text is None:
         return BAD_INPUT
     try:
@@ -78,7 +78,7 @@
             sys.stderr.write(f'{arguments.file}: {mistake.path}: ')
             sys.stderr.write(f'{mistake.text}\n')
         return BAD_INPUT
-    platform = parsed('--platform', address, arguments.platform)
+    platform = parse_argument('--platform', address, arguments.platform)
     store = store_at(reactor, platform)
     entries = ()
     if arguments.wait:
@@ -92,9 +92,9 @@
 
 
 async def _run(reactor, store, text, manifest, entries, arguments):
-    before = await current_config(store)
-    if isinstance(before, CurrentConfig):
-        _print_diff(before, manifest)
+    previous = await current_config(store)
+    if isinstance(previous, CurrentConfig):
+        _print_diff(previous, manifest)
     outcome = await apply_manifest(
         store,
         text,
@@ -102,29 +102,31 @@
         secrets.token_hex(_MARK_BYTES),
         pauses(reactor, random.Random(), 0.2, 2.0),
     )
-    code = _told(outcome, arguments.reviewed_against)
+    code = _report_outcome(outcome, arguments.reviewed_against)
     if code != GOOD or not arguments.wait:
         return code
     readers = [admin_at(reactor, entry) for entry in entries]
-    return await _waited(reactor, readers, outcome.version, arguments.wait)
+    return await _wait_until_applied(
+        reactor, readers, outcome.version, arguments.wait
+    )
 
 
-def _print_diff(before, manifest):
+def _print_diff(previous, manifest):
     try:
-        old = manifest_from_text(before.text) if before.text else None
+        old = manifest_from_text(previous.text) if previous.text else None
     except ManifestError:
         old = None
     for line in diff_lines(manifest_diff(old, manifest)):
         print(line)
 
 
-def _told(outcome, reviewed):
+def _report_outcome(outcome, reviewed_version):
     if isinstance(outcome, Accepted):
         print(f'version {outcome.version} is accepted')
         return GOOD
     if isinstance(outcome, RaceLost):
         sys.stderr.write(
-            f'conflict: reviewed against version {reviewed}, '
+            f'conflict: reviewed against version {reviewed_version}, '
             f'but the store has version {outcome.version}; '
             'nothing was changed\n',
         )
@@ -142,17 +144,17 @@
     return UNREACHED
 
 
-async def _waited(reactor, readers, version, seconds):
-    ends = reactor.seconds() + seconds
+async def _wait_until_applied(reactor, readers, version, seconds):
+    deadline = reactor.seconds() + seconds
     document = None
     while True:
-        document = await first_answer(readers, '/fleet') or document
+        document = await first_document(readers, '/fleet') or document
         if document is not None and not hosts_behind(document, version):
             print(f'in force at {len(document["hosts"])} hosts')
             return GOOD
-        if reactor.seconds() >= ends:
+        if reactor.seconds() >= deadline:
             break
-        await deferLater(reactor, _LOOK_SECONDS)
+        await deferLater(reactor, _POLL_SECONDS)
     if document is None:
         sys.stderr.write('no entry host answered\n')
         return UNREACHED
--- a/pollenstile/ops/_democmd.py
+++ b/pollenstile/ops/_democmd.py
@@ -9,8 +9,8 @@
 from pollenstile.entry import address_of
 from pollenstile.fleet import CONFIG_KIND, CONFIG_NAME
 from pollenstile.manifest import manifest_from_text, text_from_manifest
-from pollenstile.ops._entrycmd import built_daemon
-from pollenstile.ops._validatecmd import text_of_file
+from pollenstile.ops._entrycmd import build_daemon
+from pollenstile.ops._validatecmd import read_file
 from pollenstile.ops.client import caller_for
 from pollenstile.ops.exits import BAD_INPUT, BAD_RESULT, GOOD
 from pollenstile.ops.logs import configure_logs
@@ -51,22 +51,26 @@
     from twisted.internet import reactor  # noqa: WPS433
 
     configure_logs('error')
-    text = text_of_file(arguments.manifest)
+    text = read_file(arguments.manifest)
     if text is None:
         return BAD_INPUT
     manifest = manifest_from_text(text)
-    load = result_of(reactor, lambda: _demo(reactor, manifest, arguments))
+    load = result_of(reactor, lambda: _run_demo(reactor, manifest, arguments))
     for line in summary_lines(manifest, load.results):
         print(line)
-    answered = [one for one in load.results if one.answer.status == 200]
+    answered = [
+        result for result in load.results if result.answer.status == 200
+    ]
     return GOOD if answered else BAD_RESULT
 
 
-async def _demo(reactor, manifest, arguments):
-    daemons = await _started(reactor, manifest)
-    await _ready(reactor, daemons)
+async def _run_demo(reactor, manifest, arguments):
+    daemons = await _start_hosts(reactor, manifest)
+    await _wait_until_ready(reactor, daemons)
     load = Load(
-        bases=[f'http://{address_of(one.caller_port)}' for one in daemons],
+        bases=[
+            f'http://{address_of(daemon.caller_port)}' for daemon in daemons
+        ],
         kinds=_kinds(manifest),
         rate=arguments.rate,
         total=arguments.total,
@@ -76,7 +80,7 @@
     return load
 
 
-async def _started(reactor, manifest):
+async def _start_hosts(reactor, manifest):
     """Start and return two hosts with stand-ins of all their dependencies."""
     _, placed = started_anywhere(reactor, manifest)
     store = MemoryStore(reactor)
@@ -87,13 +91,13 @@
     daemons = []
     peers = ''
     for number, domain in enumerate(list(manifest.domains)[:2]):
-        daemon = _entry(reactor, number, domain, address_of(port), peers)
+        daemon = _start_host(reactor, number, domain, address_of(port), peers)
         peers = address_of(daemon.peer_port)
         daemons.append(daemon)
     return daemons
 
 
-def _entry(reactor, number, domain, platform, peers):
+def _start_host(reactor, number, domain, platform, peers):
     environment = {
         'POLLENSTILE_HOST': f'{domain}-{number}',
         'POLLENSTILE_DOMAIN': domain,
@@ -105,12 +109,12 @@
         'POLLENSTILE_PEERS': peers,
     }
     settings = settings_from(None, ENTRY, environment)
-    daemon = built_daemon(reactor, settings)
+    daemon = build_daemon(reactor, settings)
     daemon.start()
     return daemon
 
 
-async def _ready(reactor, daemons):
+async def _wait_until_ready(reactor, daemons):
     for daemon in daemons:
         while daemon.node.refusal() is not None:
             await deferLater(reactor, 0.02)
--- a/pollenstile/ops/_draincmd.py
+++ b/pollenstile/ops/_draincmd.py
@@ -6,7 +6,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from pollenstile.forward import DRAINED, DRAINED_SECONDS, UNDER_WAY
-from pollenstile.ops._admin import body_of, caller_at
+from pollenstile.ops._admin import fetch_body, http_client_at
 from pollenstile.ops._statuscmd import entries_from
 from pollenstile.ops._stores import store_at
 from pollenstile.ops.exits import (
@@ -14,11 +14,11 @@
     BAD_RESULT,
     GOOD,
     UNREACHED,
-    unsure,
+    report_unknown_outcome,
 )
-from pollenstile.ops.measures import shown_name
+from pollenstile.ops.measures import metric_name
 from pollenstile.ops.running import result_of
-from pollenstile.ops.settings import address, identifier, parsed, shown
+from pollenstile.ops.settings import address, identifier, parse_argument, shown
 from pollenstile.platform import Absent, Found, Written
 
 
@@ -70,17 +70,19 @@
     """Write the drain or show the remaining work; return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
-    domain = parsed('domain', identifier, arguments.domain)
+    domain = parse_argument('domain', identifier, arguments.domain)
     if bool(arguments.platform) == bool(arguments.metrics):
         sys.stderr.write('pollenstile drain: give either --platform to write ')
         sys.stderr.write('the drain or --metrics to show the remaining work\n')
         return BAD_INPUT
     if arguments.metrics:
         hosts = entries_from(arguments.metrics, '--metrics')
-        drains = result_of(reactor, lambda: _drains(reactor, hosts, domain))
+        drains = result_of(
+            reactor, lambda: _read_drains(reactor, hosts, domain)
+        )
         print(*drain_lines(domain, drains), sep='\n')
         return exit_code(drains)
-    platform = parsed('--platform', address, arguments.platform)
+    platform = parse_argument('--platform', address, arguments.platform)
     store = store_at(reactor, platform)
     written = result_of(
         reactor, lambda: written_drain(store, domain, ends=arguments.end)
@@ -89,7 +91,7 @@
         verb = 'has work again' if arguments.end else 'is drained'
         print(f'{domain} {verb}, revision {written.version}')
         return GOOD
-    return unsure('pollenstile drain', written)
+    return report_unknown_outcome('pollenstile drain', written)
 
 
 def drain_lines(domain, hosts):
@@ -106,14 +108,14 @@
     a:1  drained for 4.2 s, 3 left
     b:1  has not heard of it, 0 left
     """
-    left = sum(one.under_way for one in hosts)
-    obey = sum(one.drained_for is not None for one in hosts)
+    remaining = sum(host.under_way for host in hosts)
+    drained_hosts = sum(host.drained_for is not None for host in hosts)
     lines = [
-        f'{domain}: {left} requests and pieces left, '
-        f'{obey} of {len(hosts)} hosts obey',
+        f'{domain}: {remaining} requests and pieces left, '
+        f'{drained_hosts} of {len(hosts)} hosts obey',
     ]
-    for one in hosts:
-        lines.append(f'{one.host}  {_state(one)}')
+    for host in hosts:
+        lines.append(f'{host.host}  {_host_state(host)}')
     return lines
 
 
@@ -127,12 +129,12 @@
     return HostDrain(
         host,
         answers=True,
-        drained_for=values.get(shown_name(DRAINED_SECONDS)),
-        under_way=int(values.get(shown_name(UNDER_WAY), 0)),
+        drained_for=values.get(metric_name(DRAINED_SECONDS)),
+        under_way=int(values.get(metric_name(UNDER_WAY), 0)),
     )
 
 
-def _state(host):
+def _host_state(host):
     if not host.answers:
         return 'no answer'
     if host.drained_for is None:
@@ -142,18 +144,18 @@
 
 def exit_code(hosts):
     """Return the exit code; GOOD if all hosts drained the empty domain."""
-    if not any(one.answers for one in hosts):
+    if not any(host.answers for host in hosts):
         return UNREACHED
     is_empty = all(
-        one.drained_for is not None and not one.under_way for one in hosts
+        host.drained_for is not None and not host.under_way for host in hosts
     )
     return GOOD if is_empty else BAD_RESULT
 
 
-async def _drains(reactor, hosts, domain):
+async def _read_drains(reactor, hosts, domain):
     found = []
     for host in hosts:
-        body = await body_of(caller_at(reactor, host), '/')
+        body = await fetch_body(http_client_at(reactor, host), '/')
         name = shown(host)
         if body is None:
             found.append(HostDrain(name, answers=False))
@@ -170,10 +172,10 @@
 
     Written, Conflict, NotApplied or InDoubt
     """
-    standing = await store.get(DRAINED, domain)
-    if isinstance(standing, Found) and not ends:
-        return Written(standing.version)
-    if isinstance(standing, Absent) and ends:
+    existing = await store.get(DRAINED, domain)
+    if isinstance(existing, Found) and not ends:
+        return Written(existing.version)
+    if isinstance(existing, Absent) and ends:
         return Written(0)
     if ends:
         return await store.delete(DRAINED, domain)
--- a/pollenstile/ops/_entrycmd.py
+++ b/pollenstile/ops/_entrycmd.py
@@ -15,7 +15,7 @@
 from pollenstile.ops.exits import GOOD
 from pollenstile.ops.logs import configure_logs, event_log
 from pollenstile.ops.settings import ENTRY, add_flags, settings_from
-from pollenstile.ops._stores import hosts_reader, paced_store, tickets_asker
+from pollenstile.ops._stores import hosts_reader, paced_store, ticket_requester
 from pollenstile.peer import tcp_connect
 from pollenstile.ops.clock import boot_clock, run_steadily
 from pollenstile.placement import http_orders
@@ -39,7 +39,7 @@
     from twisted.internet import reactor  # noqa: WPS433
 
     run_steadily(reactor)
-    daemon = built_daemon(reactor, settings)
+    daemon = build_daemon(reactor, settings)
     set_collector()
     reactor.callWhenRunning(daemon.start)
     reactor.addSystemEventTrigger('before', 'shutdown', daemon.stop)
@@ -47,7 +47,7 @@
     return GOOD
 
 
-def built_daemon(reactor, settings):
+def build_daemon(reactor, settings):
     """Return a daemon with real connections, object store and metrics."""
     rng = random.Random(settings.seed or None)
     log = event_log(host=settings.host)
@@ -73,7 +73,7 @@
             node,
             store,
             http_orders(reactor),
-            tickets_asker(reactor, settings),
+            ticket_requester(reactor, settings),
             boot_clock,
         )
     return Daemon(reactor, node, settings, fleet, _statsd(settings))
--- a/pollenstile/ops/_explaincmd.py
+++ b/pollenstile/ops/_explaincmd.py
@@ -16,7 +16,7 @@
     'pollenstile.platform.events',
 )
 # Fields that the timeline shows elsewhere or that add no information.
-_LEFT_OUT = ('event', 'host', 'number', 'request', 'timestamp')
+_OMITTED_FIELDS = ('event', 'host', 'number', 'request', 'timestamp')
 
 
 def add_parser(commands):
@@ -33,7 +33,7 @@
 
 def run(arguments):
     """Print the timeline and return the exit code."""
-    lines, number = _lines_of(sys.stdin, arguments.request)
+    lines, number = _matching_lines(sys.stdin, arguments.request)
     if not number:
         sys.stderr.write('pollenstile explain: no log lines on the input\n')
         return BAD_INPUT
@@ -43,12 +43,12 @@
             f'pollenstile explain: {name} is in none of {number} lines\n',
         )
         return BAD_RESULT
-    for line in story(lines):
+    for line in timeline_lines(lines):
         print(line)
     return GOOD
 
 
-def story(lines):
+def timeline_lines(lines):
     """Return a request's timeline: log lines by time, with meanings.
 
     Parameters
@@ -60,43 +60,43 @@
     for module in _EVENT_MODULES:
         importlib.import_module(module)
     meanings = {event.number: event.meaning for event in catalogue()}
-    told = []
-    for line in sorted(lines, key=_moment):
+    timeline = []
+    for line in sorted(lines, key=_timestamp):
         fields = ' '.join(
             f'{name}={value}'
             for name, value in line.items()
-            if name not in _LEFT_OUT and str(value) not in {'', '0'}
+            if name not in _OMITTED_FIELDS and str(value) not in {'', '0'}
         )
-        moment = line.get('timestamp', '')
+        timestamp = line.get('timestamp', '')
         host = line.get('host', '')
-        told.append(f'{moment} {host} {line.get("event", "")} {fields}')
+        timeline.append(f'{timestamp} {host} {line.get("event", "")} {fields}')
         meaning = meanings.get(line.get('number'))
         if meaning:
-            told.append(f'    {meaning}')
-    return told
+            timeline.append(f'    {meaning}')
+    return timeline
 
 
-def _moment(line):
+def _timestamp(line):
     # Clocks of hosts differ slightly; the lines of one host stay in order.
     return line.get('timestamp', '')
 
 
-def _lines_of(stream, request):
+def _matching_lines(stream, request):
     """Return the lines that name a request, and the count of all log lines."""
-    found = []
+    matches = []
     number = 0
     for text in stream:
-        line = decoded_line(text)
+        line = decode_line(text)
         if line is None:
             continue
         number += 1
         named = line.get('request', '')
         if request == named or (isinstance(named, list) and request in named):
-            found.append(line)
-    return found, number
+            matches.append(line)
+    return matches, number
 
 
-def decoded_line(text):
+def decode_line(text):
     """Return a log line's fields, or None when the text is not a log line.
 
     A log collector may have prefixed the line with a time or a host.
--- a/pollenstile/ops/_losses.py
+++ b/pollenstile/ops/_losses.py
@@ -4,24 +4,26 @@
 
 # Causes of answers, in the order of the tables; all but the first missed
 # the target latency or have none.
-IN_AIM = 'in aim'
-CAME_BACK = 'late: refused first'
-PAUSED = 'late: paused'
-READ_LATE = 'late: read late'
-NOT_TOLD = 'whole, no aim known'
+ON_TARGET = 'in aim'
+LATE_REFUSED_FIRST = 'late: refused first'
+LATE_PAUSED = 'late: paused'
+LATE_READ = 'late: read late'
+NO_TARGET = 'whole, no aim known'
 # Events from which the tables are computed.
-_ENDED = 'forward-ended'
-_MADE = 'stage-made'
-_CALLED = 'stage-called'
-_REFUSED = 'stage-refused'
-_ROOM = 'stage-room'
-USED_EVENTS = frozenset((_ENDED, _MADE, _CALLED, _REFUSED, _ROOM))
+_FORWARD_ENDED = 'forward-ended'
+_STAGE_MADE = 'stage-made'
+_STAGE_CALLED = 'stage-called'
+_STAGE_REFUSED = 'stage-refused'
+_STAGE_ROOM = 'stage-room'
+USED_EVENTS = frozenset(
+    (_FORWARD_ENDED, _STAGE_MADE, _STAGE_CALLED, _STAGE_REFUSED, _STAGE_ROOM)
+)
 # Least share of an answer's time that its longest queue wait must take for
 # the answer to be attributed to that queue.
-_MAIN_SHARE = 0.25
+_QUEUED_SHARE = 0.25
 # Seconds covered by one row of the table by time of day.
 _ROW_SECONDS = 2
-_MS = 1000
+_BYTES_PER_KB = 1000
 
 
 @dataclass(slots=True)
@@ -36,7 +38,7 @@
     refusals : list of tuple
         Stage service, estimated wait and time to spare in ms at the refusal,
         pieces ahead in the queue.
-    crossed, unused : int
+    crossed_bytes, unused_results : int
         Bytes read from another failure domain, and results discarded unread.
     """
 
@@ -44,8 +46,8 @@
     asked: int = 0
     causes: dict = field(default_factory=dict)
     refusals: list = field(default_factory=list)
-    crossed: int = 0
-    unused: int = 0
+    crossed_bytes: int = 0
+    unused_results: int = 0
 
 
 @dataclass(slots=True)
@@ -55,7 +57,7 @@
     Attributes
     ==========
 
-    pieces, waiting, free : list of int
+    pieces, waiting, free_bytes : list of int
         For each call: pieces in it, pieces queued behind it, and free result
         memory of its upstream in bytes.
     no_room : int
@@ -65,7 +67,7 @@
     name: str
     pieces: list = field(default_factory=list)
     waiting: list = field(default_factory=list)
-    free: list = field(default_factory=list)
+    free_bytes: list = field(default_factory=list)
     no_room: int = 0
 
 
@@ -88,7 +90,7 @@
     moments: dict = field(default_factory=dict)
 
 
-class Reading:
+class LossCollector:
     """Collects log lines in any order and computes the tables.
 
     Attributes
@@ -107,44 +109,44 @@
         self.refused = {}
         self.stages = {}
 
-    def take(self, line):
+    def add_line(self, line):
         """Add one decoded log line."""
         self.lines += 1
         event = line.get('event')
-        if event == _ENDED:
+        if event == _FORWARD_ENDED:
             self.ended.append(line)
-        elif event == _MADE:
+        elif event == _STAGE_MADE:
             waited = (line.get('waited_ms', 0), line.get('service', ''))
             self.waits.setdefault(line.get('request'), []).append(waited)
-        elif event == _REFUSED:
+        elif event == _STAGE_REFUSED:
             self.refused.setdefault(line.get('request'), line)
-        elif event in {_CALLED, _ROOM}:
-            self._take_call(line, event)
+        elif event in {_STAGE_CALLED, _STAGE_ROOM}:
+            self._add_call(line, event)
 
     def losses(self):
         """Return the :class:`Losses` of the lines added so far."""
-        found = Losses(stages=self.stages)
+        losses = Losses(stages=self.stages)
         for line in self.ended:
             name = line.get('route', '')
             if not name:
                 continue
-            row = found.routes.setdefault(name, RouteRow(name))
-            self._count(row, line, found.moments)
-        return found
+            row = losses.routes.setdefault(name, RouteRow(name))
+            self._count(row, line, losses.moments)
+        return losses
 
     def _count(self, row, line, moments):
         cause = self._cause(line)
         row.asked += 1
         row.causes[cause] = row.causes.get(cause, 0) + 1
-        row.crossed += line.get('crossed', 0)
-        row.unused += line.get('unused', 0)
+        row.crossed_bytes += line.get('crossed', 0)
+        row.unused_results += line.get('unused', 0)
         refusal = self.refused.get(line.get('request'))
         if refusal is not None and 'wait_ms' in refusal:
             decided = (refusal['wait_ms'], refusal['due_ms'], refusal['ahead'])
             row.refusals.append((refusal.get('service', ''), *decided))
-        second = moment_of(line)
+        second = row_second(line)
         asked, in_aim = moments.get(second, (0, 0))
-        moments[second] = (asked + 1, in_aim + (cause == IN_AIM))
+        moments[second] = (asked + 1, in_aim + (cause == ON_TARGET))
 
     def _cause(self, line):
         outcome = line.get('outcome', '')
@@ -155,41 +157,41 @@
         if outcome != 'answered':
             return f'failed: {outcome} {line.get("reason", "")}'.strip()
         if 'aim_ms' not in line:
-            return NOT_TOLD
+            return NO_TARGET
         took = line.get('first_ms') or line.get('took_ms', 0)
         if took > line['aim_ms']:
             return self._late_cause(line, took)
         limit = line.get('pause_limit_ms', 0)
-        return PAUSED if 0 < limit < line.get('pause_ms', 0) else IN_AIM
+        return LATE_PAUSED if 0 < limit < line.get('pause_ms', 0) else ON_TARGET
 
     def _late_cause(self, line, took):
         if line.get('came_ms', 0) > 0:
-            return CAME_BACK
+            return LATE_REFUSED_FIRST
         waited, service = max(self.waits.get(line.get('request'), [(0, '')]))
-        if waited >= _MAIN_SHARE * took:
+        if waited >= _QUEUED_SHARE * took:
             return f'late: queued at {service}'
-        return READ_LATE
+        return LATE_READ
 
-    def _take_call(self, line, event):
+    def _add_call(self, line, event):
         name = line.get('service', '')
         row = self.stages.setdefault(name, StageRow(name))
-        if event == _ROOM:
+        if event == _STAGE_ROOM:
             row.no_room += line.get('refused', 0)
             return
         row.pieces.append(line.get('pieces', 0))
         row.waiting.append(line.get('waiting', 0))
-        row.free.append(line.get('free', 0))
+        row.free_bytes.append(line.get('free', 0))
 
 
-def moment_of(line):
+def row_second(line):
     """Return the second of the day of a line, rounded down to the row's start.
 
     Examples
     ========
 
-    >>> moment_of({'timestamp': '2026-01-02T00:01:03.5Z'})
+    >>> row_second({'timestamp': '2026-01-02T00:01:03.5Z'})
     62
-    >>> moment_of({})
+    >>> row_second({})
     0
     """
     clock = line.get('timestamp', '')[11:19].split(':')
@@ -200,7 +202,7 @@
     return second - second % _ROW_SECONDS
 
 
-def document_of(losses):
+def losses_document(losses):
     """Return the tables as a document, for JSON output and for ``report``."""
     return {
         'bench': 'losses',
@@ -221,10 +223,10 @@
 
 
 def _route_document(row):
-    by_number = sorted(row.causes.items(), key=lambda one: -one[1])
-    waits = [one[1] for one in row.refusals]
-    spares = [one[2] for one in row.refusals]
-    aheads = [one[3] for one in row.refusals]
+    by_number = sorted(row.causes.items(), key=lambda item: -item[1])
+    waits = [refusal[1] for refusal in row.refusals]
+    spares = [refusal[2] for refusal in row.refusals]
+    aheads = [refusal[3] for refusal in row.refusals]
     return {
         'route': row.name,
         'asked': row.asked,
@@ -232,8 +234,8 @@
         'refused_wait_ms': _quantile(waits, 0.5),
         'refused_spare_ms': _quantile(spares, 0.5),
         'refused_ahead': _quantile(aheads, 0.5),
-        'crossed_mb': row.crossed // 1_000_000,
-        'unused_results': row.unused,
+        'crossed_mb': row.crossed_bytes // 1_000_000,
+        'unused_results': row.unused_results,
     }
 
 
@@ -245,6 +247,6 @@
         'pieces_median': _quantile(row.pieces, 0.5),
         'waiting_median': _quantile(row.waiting, 0.5),
         'waiting_p90': _quantile(row.waiting, 0.9),
-        'free_kb_p10': _quantile(row.free, 0.1) // _MS,
+        'free_kb_p10': _quantile(row.free_bytes, 0.1) // _BYTES_PER_KB,
         'no_room': row.no_room,
     }
--- a/pollenstile/ops/_lossescmd.py
+++ b/pollenstile/ops/_lossescmd.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from pollenstile.ops._explaincmd import decoded_line
-from pollenstile.ops._losses import USED_EVENTS, Reading, document_of
+from pollenstile.ops._explaincmd import decode_line
+from pollenstile.ops._losses import USED_EVENTS, LossCollector, losses_document
 from pollenstile.ops.exits import BAD_INPUT, GOOD
 
 # Seconds between progress lines while a long input is read.
@@ -22,7 +22,7 @@
     """Add the subcommand."""
     parser = commands.add_parser(
         'losses',
-        help='count late, refused and failed requests, from logs on standard input',
+        help='count late, refused and failed requests in logs on stdin',
         epilog=_EPILOG,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -37,46 +37,46 @@
 
 def run(arguments):
     """Print the tables and return the exit code."""
-    reading = read_lines(sys.stdin, sys.stderr, time.monotonic)
-    if not reading.lines:
+    collector = read_lines(sys.stdin, sys.stderr, time.monotonic)
+    if not collector.lines:
         sys.stderr.write(
             'pollenstile losses: no log lines of entry hosts on the input;'
             ' pipe in the output of `pollenstile forward`\n',
         )
         return BAD_INPUT
-    document = document_of(reading.losses())
+    document = losses_document(collector.losses())
     if arguments.format == 'json':
         print(msgspec.json.encode(document).decode())
         return GOOD
-    for line in table_of(document):
+    for line in table_lines(document):
         print(line)
     return GOOD
 
 
-def read_lines(stream, progress, seconds):
-    """Return a :class:`Reading` of all log lines of a stream.
+def read_lines(stream, progress, clock):
+    """Return a :class:`LossCollector` of all log lines of a stream.
 
     Parameters
     ==========
 
     progress : file
         Receives a progress line every three seconds.
-    seconds : function
+    clock : function
         Returns the current time in seconds.
     """
-    reading = Reading()
-    told_at = seconds()
+    collector = LossCollector()
+    reported_at = clock()
     for number, text in enumerate(stream, 1):
-        line = decoded_line(text)
+        line = decode_line(text)
         if line is not None and line['event'] in USED_EVENTS:
-            reading.take(line)
-        if seconds() - told_at > _PROGRESS_SECONDS:
-            told_at = seconds()
+            collector.add_line(line)
+        if clock() - reported_at > _PROGRESS_SECONDS:
+            reported_at = clock()
             progress.write(f'{number} lines read\n')
-    return reading
+    return collector
 
 
-def table_of(document):
+def table_lines(document):
     """Return the lines of the tables, each at most 80 columns wide."""
     lines = []
     for row in document['routes']:
--- a/pollenstile/ops/_quarantinecmd.py
+++ b/pollenstile/ops/_quarantinecmd.py
@@ -6,13 +6,18 @@
 from dataclasses import asdict, dataclass
 
 from pollenstile.ops._stores import store_at
-from pollenstile.ops.exits import BAD_RESULT, GOOD, UNREACHED, unsure
+from pollenstile.ops.exits import (
+    BAD_RESULT,
+    GOOD,
+    UNREACHED,
+    report_unknown_outcome,
+)
 from pollenstile.ops.running import result_of
-from pollenstile.ops.settings import address, identifier, parsed
+from pollenstile.ops.settings import address, identifier, parse_argument
 from pollenstile.platform import Absent, Found, Listing, Written, listed_whole
 from pollenstile.quarantine import QUARANTINE_KIND
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 _NAME = 'pollenstile quarantine'
 
 
@@ -63,15 +68,19 @@
     """List held requests, or lift one; return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
-    store = store_at(reactor, parsed('--platform', address, arguments.platform))
+    store = store_at(
+        reactor, parse_argument('--platform', address, arguments.platform)
+    )
     if arguments.lift:
-        name = parsed('--lift', identifier, arguments.lift)
-        return _lifted(name, result_of(reactor, lambda: lifted(store, name)))
+        name = parse_argument('--lift', identifier, arguments.lift)
+        return _report_lift(
+            name, result_of(reactor, lambda: lifted(store, name))
+        )
     listing = result_of(reactor, lambda: listed_whole(store, QUARANTINE_KIND))
     if not isinstance(listing, Listing):
         sys.stderr.write(f'{_NAME}: the store did not answer; try again\n')
         return UNREACHED
-    held = held_requests(listing.objects, int(time.time() * _MS))
+    held = held_requests(listing.objects, int(time.time() * _MS_PER_SECOND))
     shown = _json_lines(held) if arguments.json else table_lines(held)
     print(*shown, sep='\n')
     return GOOD
@@ -93,7 +102,7 @@
                 str(fields.get('team', '')),
                 str(fields.get('service', '')),
                 int(fields.get('crashes', 0)),
-                max(0, now_ms - since) // _MS,
+                max(0, now_ms - since) // _MS_PER_SECOND,
             )
         )
     return found
@@ -117,10 +126,11 @@
         return ['no request is in quarantine']
     noun = 'request' if len(held) == 1 else 'requests'
     lines = [f'{len(held)} {noun} in quarantine']
-    for one in held:
+    for request in held:
         lines.append(
-            f'{one.fingerprint}  team {one.team}, service {one.service}: '
-            f'{one.crashes} upstreams crashed, held for {one.held_s} s',
+            f'{request.fingerprint}  team {request.team}, '
+            f'service {request.service}: '
+            f'{request.crashes} upstreams crashed, held for {request.held_s} s',
         )
     return lines
 
@@ -133,13 +143,13 @@
 
     Absent, Written, Conflict, NotApplied, InDoubt or Unavailable
     """
-    standing = await store.get(QUARANTINE_KIND, name)
-    if not isinstance(standing, Found):
-        return standing
+    existing = await store.get(QUARANTINE_KIND, name)
+    if not isinstance(existing, Found):
+        return existing
     return await store.delete(QUARANTINE_KIND, name)
 
 
-def _lifted(name, outcome):
+def _report_lift(name, outcome):
     """Report the outcome of lifting a quarantine; return the exit code."""
     if isinstance(outcome, Written):
         print(f'{name} goes to upstreams again')
@@ -147,8 +157,8 @@
     if isinstance(outcome, Absent):
         sys.stderr.write(f'{_NAME}: {name} is not in quarantine\n')
         return BAD_RESULT
-    return unsure(_NAME, outcome)
+    return report_unknown_outcome(_NAME, outcome)
 
 
 def _json_lines(held):
-    return [json.dumps(asdict(one)) for one in held]
+    return [json.dumps(asdict(request)) for request in held]
--- a/pollenstile/ops/_reportcmd.py
+++ b/pollenstile/ops/_reportcmd.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from pollenstile.ops._validatecmd import text_of_file
+from pollenstile.ops._validatecmd import read_file
 from pollenstile.ops.exits import BAD_INPUT, GOOD
-from pollenstile.report import UnknownResult, charts_of, page_of
+from pollenstile.report import UnknownResult, build_charts, render_page
 
 
 def add_parser(commands):
@@ -24,15 +24,15 @@
 
 def run(arguments):
     """Write the page and return the exit code."""
-    text = text_of_file(arguments.file)
+    text = read_file(arguments.file)
     if text is None:
         return BAD_INPUT
     try:
-        charts = charts_of(msgspec.json.decode(text))
+        charts = build_charts(msgspec.json.decode(text))
     except (msgspec.MsgspecError, UnknownResult) as error:
         sys.stderr.write(f'{arguments.file}: {error}\n')
         return BAD_INPUT
     with open(arguments.output, 'w', encoding='utf-8') as target:
-        target.write(page_of(arguments.file, charts))
+        target.write(render_page(arguments.file, charts))
     print(f'{arguments.output}: {len(charts)} charts')
     return GOOD
--- a/pollenstile/ops/_soakcmd.py
+++ b/pollenstile/ops/_soakcmd.py
@@ -88,15 +88,17 @@
     started = time.perf_counter()
     for seed in seeds:
         result = run_soak(seed, arguments.steps, event_log(seed=seed))
-        print(_line(result))
+        print(_result_line(result))
         if result.violations:
             broken.append(seed)
             _print_tail(result)
-    each = (time.perf_counter() - started) / len(seeds)
-    print(f'{len(seeds)} seeds, {len(broken)} broken, {each:.2f} s a seed')
+    seed_seconds = (time.perf_counter() - started) / len(seeds)
+    print(
+        f'{len(seeds)} seeds, {len(broken)} broken, {seed_seconds:.2f} s a seed'
+    )
     if not broken:
         return GOOD
-    print('broken seeds: {}'.format(' '.join(str(one) for one in broken)))
+    print('broken seeds: {}'.format(' '.join(str(seed) for seed in broken)))
     return BAD_RESULT
 
 
@@ -105,10 +107,12 @@
     from twisted.internet import reactor  # noqa: WPS433
 
     run_steadily(reactor)
-    return result_of(reactor, lambda: _all_live(reactor, seeds, arguments))
+    return result_of(
+        reactor, lambda: _run_live_seeds(reactor, seeds, arguments)
+    )
 
 
-async def _all_live(reactor, seeds, arguments):
+async def _run_live_seeds(reactor, seeds, arguments):
     from pollenstile.soak.live import run_live  # noqa: WPS433
 
     broken = []
@@ -137,10 +141,12 @@
 
 
 def _live_line(result):
-    ends = [f'{key} {result.outcomes[key]}' for key in sorted(result.outcomes)]
+    outcomes = [
+        f'{key} {result.outcomes[key]}' for key in sorted(result.outcomes)
+    ]
     return (
         f'seed {result.seed}: {len(result.faults)} faults; '
-        f'{", ".join(ends)}; {len(result.broken)} broken'
+        f'{", ".join(outcomes)}; {len(result.broken)} broken'
     )
 
 
@@ -151,7 +157,7 @@
         print(f'seed {result.seed} broken: {line}')
 
 
-def _line(result):
+def _result_line(result):
     tags = [f'{tag} {count}' for tag, count in sorted(result.outcomes.items())]
     return (
         f'seed {result.seed} digest {result.digest} '
--- a/pollenstile/ops/_standincmd.py
+++ b/pollenstile/ops/_standincmd.py
@@ -4,15 +4,15 @@
 from pollenstile.manifest import manifest_from_text, text_from_manifest
 from pollenstile.ops.exits import GOOD
 from pollenstile.ops.http import site_for
-from pollenstile.ops.settings import address, parsed
+from pollenstile.ops.settings import address, parse_argument
 from pollenstile.standin.engine import Engine, EngineResource
 from pollenstile.standin.fleet import started_anywhere, started_upstreams
 from pollenstile.standin.objectapi import MemoryStore, platform_site
 from pollenstile.standin.plain import PlainResource, PlainServer
 from pollenstile.standin.weightstore import weightstore
 
-_MS = 1000
-_MOST_BODY = 2097152
+_MS_PER_SECOND = 1000
+_MAX_BODY_BYTES = 2097152
 
 
 def add_parser(commands):
@@ -23,34 +23,38 @@
     )
     kinds = parser.add_subparsers(dest='kind', required=True)
     for kind in ('objectapi', 'engine', 'stage', 'service'):
-        one = kinds.add_parser(kind, help=f'a stand-in of kind {kind}')
-        one.add_argument('--listen', default='127.0.0.1:0', help='IP:PORT')
-        one.add_argument('--name', default=kind, help='name sent in answers')
-        one.add_argument(
+        kind_parser = kinds.add_parser(kind, help=f'a stand-in of kind {kind}')
+        kind_parser.add_argument(
+            '--listen', default='127.0.0.1:0', help='IP:PORT'
+        )
+        kind_parser.add_argument(
+            '--name', default=kind, help='name sent in answers'
+        )
+        kind_parser.add_argument(
             '--slots', type=int, default=8, help='concurrent calls'
         )
-        one.add_argument(
+        kind_parser.add_argument(
             '--work-ms',
             type=float,
             default=20,
             help='duration of a call, or time until the first token',
         )
-        one.add_argument(
+        kind_parser.add_argument(
             '--gap-ms',
             type=float,
             default=5,
             help='time between tokens',
         )
-    whole = kinds.add_parser(
+    fleet_parser = kinds.add_parser(
         'fleet', help='run a stand-in of every upstream of a manifest'
     )
-    whole.add_argument('manifest', help='manifest file')
-    whole.add_argument(
+    fleet_parser.add_argument('manifest', help='manifest file')
+    fleet_parser.add_argument(
         '--anywhere',
         metavar='FILE',
         help='listen on free ports; write the manifest with them to FILE',
     )
-    whole.add_argument(
+    fleet_parser.add_argument(
         '--scale', type=float, default=1.0, help='factor of all times'
     )
     parser.set_defaults(run=run)
@@ -63,7 +67,7 @@
     if arguments.kind == 'fleet':
         _start_fleet(reactor, arguments)
     else:
-        port = _listening(reactor, arguments)
+        port = _listen(reactor, arguments)
         print(f'{arguments.kind} listens on {address_of(port)}', flush=True)
     reactor.run()
     return GOOD
@@ -82,8 +86,8 @@
     print('fleet listens', flush=True)
 
 
-def _listening(reactor, arguments):
-    host, number = parsed('--listen', address, arguments.listen)
+def _listen(reactor, arguments):
+    host, number = parse_argument('--listen', address, arguments.listen)
     return reactor.listenTCP(
         number,
         _site(reactor, arguments),
@@ -95,17 +99,17 @@
     if arguments.kind == 'objectapi':
         store = MemoryStore(reactor)
         return platform_site(store, weights=weightstore(reactor))
-    return site_for(_resource(reactor, arguments), reactor, _MOST_BODY)
+    return site_for(_resource(reactor, arguments), reactor, _MAX_BODY_BYTES)
 
 
 def _resource(reactor, arguments):
-    work = arguments.work_ms / _MS
+    work = arguments.work_ms / _MS_PER_SECOND
     if arguments.kind == 'engine':
         engine = Engine(
             reactor,
             arguments.name,
             work,
-            arguments.gap_ms / _MS,
+            arguments.gap_ms / _MS_PER_SECOND,
             arguments.slots,
         )
         return EngineResource(engine)
--- a/pollenstile/ops/_statuscmd.py
+++ b/pollenstile/ops/_statuscmd.py
@@ -3,10 +3,10 @@
 import json
 import sys
 
-from pollenstile.ops._admin import admin_at, first_answer
+from pollenstile.ops._admin import admin_at, first_document
 from pollenstile.ops.exits import BAD_RESULT, GOOD, UNREACHED
 from pollenstile.ops.running import result_of
-from pollenstile.ops.settings import SettingsError, addresses, parsed
+from pollenstile.ops.settings import SettingsError, addresses, parse_argument
 
 
 def add_parser(commands):
@@ -18,7 +18,7 @@
     parser.add_argument(
         '--entry',
         required=True,
-        help="IP:PORT of an entry host's admin frontend, or a comma-separated list",
+        help="IP:PORT of entry hosts' admin frontends, comma-separated",
     )
     parser.add_argument('--json', action='store_true', help='print JSON')
     parser.set_defaults(run=run)
@@ -30,7 +30,7 @@
 
     entries = entries_from(arguments.entry)
     readers = [admin_at(reactor, entry) for entry in entries]
-    document = result_of(reactor, lambda: first_answer(readers, '/fleet'))
+    document = result_of(reactor, lambda: first_document(readers, '/fleet'))
     if document is None:
         sys.stderr.write('no entry host answered\n')
         return UNREACHED
@@ -44,10 +44,10 @@
 
 def entries_from(text, flag='--entry'):
     """Return the addresses of a flag that requires at least one."""
-    found = parsed(flag, addresses, text)
-    if not found:
+    entries = parse_argument(flag, addresses, text)
+    if not entries:
         raise SettingsError([f'{flag}: no address'])
-    return found
+    return entries
 
 
 def is_settled(document):
@@ -90,8 +90,8 @@
         )
     for upstream in document['upstreams']:
         state = 'leaving' if upstream['leaving'] else 'can not be reached'
-        by = ', '.join(upstream['witnesses'])
-        shown = f' by {by}' if by else ''
+        witnesses = ', '.join(upstream['witnesses'])
+        shown = f' by {witnesses}' if witnesses else ''
         lines.append(
             f'upstream {upstream["upstream"]} '
             f'({upstream["incarnation"]}): {state}{shown}',
--- a/pollenstile/ops/_stores.py
+++ b/pollenstile/ops/_stores.py
@@ -12,7 +12,7 @@
 )
 
 _BURST_SECONDS = 2.0
-_LEAST_BURST = 10.0
+_MIN_BURST_CALLS = 10.0
 
 
 def store_at(reactor, address):
@@ -49,7 +49,7 @@
     )
 
 
-def tickets_asker(reactor, settings):
+def ticket_requester(reactor, settings):
     """Return a function that requests tickets from the weight store."""
     host, port = settings.platform
     return http_tickets(Caller(reactor, reactor, host, port))
@@ -69,5 +69,5 @@
 
 
 def _budget(rate, reactor):
-    burst = max(rate * _BURST_SECONDS, _LEAST_BURST)
+    burst = max(rate * _BURST_SECONDS, _MIN_BURST_CALLS)
     return Budget(rate, burst, reactor.seconds())
--- a/pollenstile/ops/_validatecmd.py
+++ b/pollenstile/ops/_validatecmd.py
@@ -26,12 +26,12 @@
     if not arguments.files:
         sys.stderr.write('pollenstile validate: give a file or --schema\n')
         return BAD_INPUT
-    codes = [_checked(path) for path in arguments.files]
+    codes = [_check_file(path) for path in arguments.files]
     return max(codes)
 
 
-def _checked(path):
-    text = text_of_file(path)
+def _check_file(path):
+    text = read_file(path)
     if text is None:
         return BAD_INPUT
     lines, code = report_lines(path, text)
@@ -41,7 +41,7 @@
     return code
 
 
-def text_of_file(path):
+def read_file(path):
     """Return a file's bytes, or write an error line and return None."""
     try:
         with open(path, 'rb') as source:
--- a/pollenstile/ops/channels.py
+++ b/pollenstile/ops/channels.py
@@ -25,7 +25,7 @@
         self.closing = False
         self.waiters = []
 
-    def ended(self, channel):
+    def connection_closed(self, channel):
         """Remove a closed connection; fire the waiters after the last one."""
         self.open.discard(channel)
         if self.open:
@@ -80,7 +80,7 @@
     def connectionLost(self, reason):
         """Remove the closed connection; called by twisted."""
         super().connectionLost(reason)
-        self.factory.channels.ended(self)
+        self.factory.channels.connection_closed(self)
 
     def checkPersistence(self, request, version):
         """Return whether to keep the connection open; called by twisted.
--- a/pollenstile/ops/client.py
+++ b/pollenstile/ops/client.py
@@ -60,8 +60,8 @@
 
     def connectionLost(self, reason):
         """Deliver the body and whether it is complete; called by twisted."""
-        whole = bool(reason.check(ResponseDone))
-        self.done.callback((b''.join(self.parts), whole))
+        is_complete = bool(reason.check(ResponseDone))
+        self.done.callback((b''.join(self.parts), is_complete))
 
 
 def _ignore_bytes(received):
@@ -113,33 +113,33 @@
             return Answer(0, 'unknown', {'title': type(error).__name__})
         done = Deferred()
         response.deliverBody(_Collector(done, on_bytes))
-        received, whole = await done
-        return _answer(response, received, whole, stream=stream)
+        received, is_complete = await done
+        return _decode_answer(response, received, is_complete, stream=stream)
 
     return call
 
 
-def _answer(response, received, whole, *, stream):
-    if not whole:
+def _decode_answer(response, received, is_complete, *, stream):
+    if not is_complete:
         return Answer(0, 'unknown', {'title': 'the answer is incomplete'})
     if response.code == _OK and stream:
-        return _streamed(received)
+        return _decode_stream(received)
     try:
         document = msgspec.json.decode(received)
     except msgspec.MsgspecError:
         document = {'title': 'the answer is not JSON'}
     if response.code == _OK:
         return Answer(_OK, 'answered', document)
-    waits = response.headers.getRawHeaders('retry-after', ['0'])[0]
+    retry_after = response.headers.getRawHeaders('retry-after', ['0'])[0]
     return Answer(
         response.code,
         document.get('outcome', 'unknown'),
         document,
-        retry_after=whole_number(waits) or 0,
+        retry_after=whole_number(retry_after) or 0,
     )
 
 
-def _streamed(received):
+def _decode_stream(received):
     head, found, tail = received.partition(_DONE)
     if not found:
         return Answer(
--- a/pollenstile/ops/collector.py
+++ b/pollenstile/ops/collector.py
@@ -14,13 +14,13 @@
 # Allocations minus deallocations that start a collection of the young
 # generation, then the numbers of collections of a generation before the next
 # older one is collected.
-_YOUNG = 20000
-_MIDDLE = 20
-_OLD = 20
+_YOUNG_ALLOCATIONS = 20000
+_MIDDLE_COLLECTIONS = 20
+_OLD_COLLECTIONS = 20
 
 
 def set_collector():
     """Collect less often, and exclude objects created at start-up."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(_YOUNG, _MIDDLE, _OLD)
+    gc.set_threshold(_YOUNG_ALLOCATIONS, _MIDDLE_COLLECTIONS, _OLD_COLLECTIONS)
--- a/pollenstile/ops/exits.py
+++ b/pollenstile/ops/exits.py
@@ -11,7 +11,7 @@
 UNREACHED = 3
 
 
-def unsure(command, outcome):
+def report_unknown_outcome(command, outcome):
     """Report a write whose outcome is unknown; return the exit code.
 
     Parameters
--- a/pollenstile/ops/http.py
+++ b/pollenstile/ops/http.py
@@ -139,9 +139,9 @@
     http.setHeader(b'content-type', _PROBLEM)
     http.setHeader(b'x-outcome', outcome.encode())
     http.setHeader(b'content-length', str(len(body)).encode())
-    wait = members.get('retry_after')
-    if wait:
-        http.setHeader(b'retry-after', str(max(1, round(wait))).encode())
+    retry_after = members.get('retry_after')
+    if retry_after:
+        http.setHeader(b'retry-after', str(max(1, round(retry_after))).encode())
     http.write(body)
     http.finish()
     return NOT_DONE_YET
--- a/pollenstile/ops/linestream.py
+++ b/pollenstile/ops/linestream.py
@@ -11,10 +11,10 @@
     'Log lines were dropped: too many in a second, or they are not read.',
     'Check the log collector; the metrics count all events.',
 )
-_NOTE = b'{"number": %d, "lines": %d, "event": "lines-dropped"}\n'
+_LINES_DROPPED_LINE = b'{"number": %d, "lines": %d, "event": "lines-dropped"}\n'
 # Lines that a process may write in a second; replayed days reached 165 at
 # most. A fault that logs in a loop must not use up the processor.
-MOST_LINES = 500
+MAX_LINES_PER_SECOND = 500
 
 
 class LineStream:
@@ -35,7 +35,7 @@
         File descriptor; set to non-blocking mode.
     clock : function
         Returns seconds.
-    most_lines : int
+    max_lines_per_second : int
         Maximum number of lines per second.
 
     Attributes
@@ -51,34 +51,41 @@
         'clock',
         'descriptor',
         'dropped',
-        'most_lines',
-        'number',
+        'max_lines_per_second',
+        'lines_this_second',
         'second',
-        'tail',
+        'unwritten',
     )
 
-    def __init__(self, descriptor, clock=time.monotonic, most_lines=MOST_LINES):
+    def __init__(
+        self,
+        descriptor,
+        clock=time.monotonic,
+        max_lines_per_second=MAX_LINES_PER_SECOND,
+    ):
         os.set_blocking(descriptor, False)
         self.descriptor = descriptor
         self.clock = clock
-        self.most_lines = most_lines
+        self.max_lines_per_second = max_lines_per_second
         self.dropped = 0
-        self.number = 0
+        self.lines_this_second = 0
         self.second = 0
-        self.tail = b''
+        self.unwritten = b''
 
     def write(self, text):
         """Write a newline-terminated line, or drop it."""
-        if not self._may_write() or not self._finish_tail():
+        if not self._may_write() or not self._write_remainder():
             self.dropped += 1
             return
         if self.dropped:
-            self._put(_NOTE % (LINES_DROPPED.number, self.dropped))
+            self._write_bytes(
+                _LINES_DROPPED_LINE % (LINES_DROPPED.number, self.dropped)
+            )
             self.dropped = 0
-        if self.tail:
+        if self.unwritten:
             self.dropped += 1
             return
-        self._put(text.encode(errors='replace'))
+        self._write_bytes(text.encode(errors='replace'))
 
     def flush(self):
         """Do nothing; each line is written at once."""
@@ -87,24 +94,24 @@
         second = int(self.clock())
         if second != self.second:
             self.second = second
-            self.number = 0
-        self.number += 1
-        return self.number <= self.most_lines
-
-    def _finish_tail(self):
-        tail = self.tail
-        self.tail = b''
-        if tail:
-            self._put(tail)
-        return not self.tail
-
-    def _put(self, data):
+            self.lines_this_second = 0
+        self.lines_this_second += 1
+        return self.lines_this_second <= self.max_lines_per_second
+
+    def _write_remainder(self):
+        unwritten = self.unwritten
+        self.unwritten = b''
+        if unwritten:
+            self._write_bytes(unwritten)
+        return not self.unwritten
+
+    def _write_bytes(self, data):
         try:
             written = os.write(self.descriptor, data)
         except BlockingIOError:
-            self.tail = data
+            self.unwritten = data
             return
         except OSError:
             # The reader has closed its end of the pipe; drop the data.
             return
-        self.tail = data[written:]
+        self.unwritten = data[written:]
--- a/pollenstile/ops/measures.py
+++ b/pollenstile/ops/measures.py
@@ -18,14 +18,14 @@
 from prometheus_client.core import GaugeMetricFamily
 from twisted.web.resource import Resource
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 # Seconds; the range covers a plain lookup up to the deadline of a long draft.
 _BUCKETS = (0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 1.7, 2.3, 3, 5, 8, 12, 20)
 # Label value for a missing or empty field.
-_NONE = 'none'
+_NO_VALUE = 'none'
 
 
-def shown_name(name):
+def metric_name(name):
     """Return a metric's name with the prefix under which it is served."""
     return f'pollenstile_{name}'
 
@@ -70,7 +70,7 @@
 
     def gauge(self, name, meaning, value):
         """Add a gauge whose value is returned by a function."""
-        gauge = Gauge(shown_name(name), meaning, registry=self.registry)
+        gauge = Gauge(metric_name(name), meaning, registry=self.registry)
         gauge.set_function(value)
 
     def gauges(self, name, meaning, label, values):
@@ -82,16 +82,18 @@
         values : function
             Returns a mapping from each current label value to a number.
         """
-        self.registry.register(_Family(name, meaning, label, values))
+        self.registry.register(_GaugeFamily(name, meaning, label, values))
 
     def write(self, event, level='info', **fields):
         """Count an event, record its durations and log it."""
-        outcome = fields.get('outcome') or fields.get('reason') or _NONE
+        outcome = fields.get('outcome') or fields.get('reason') or _NO_VALUE
         self.events.labels(event.name, str(outcome)[:40]).inc()
         for field, label, histogram in self.histograms.get(event.name, ()):
             if fields.get(field):
-                seconds = fields[field] / _MS
-                histogram.labels(fields.get(label) or _NONE).observe(seconds)
+                seconds = fields[field] / _MS_PER_SECOND
+                histogram.labels(fields.get(label) or _NO_VALUE).observe(
+                    seconds
+                )
         self.log(event, level, **fields)
 
     def text(self):
@@ -100,7 +102,7 @@
 
     def _histogram(self, name, label):
         return Histogram(
-            shown_name(f'{name}_seconds'),
+            metric_name(f'{name}_seconds'),
             'Duration in seconds, from the event field in its name.',
             (label,),
             buckets=_BUCKETS,
@@ -108,7 +110,7 @@
         )
 
 
-class _Family:
+class _GaugeFamily:
     """Family of gauges whose label values are known only when read."""
 
     __slots__ = ('label', 'meaning', 'name', 'values')
@@ -122,12 +124,12 @@
     def collect(self):
         """Return the current gauges; called by the library."""
         family = GaugeMetricFamily(
-            shown_name(self.name),
+            metric_name(self.name),
             self.meaning,
             labels=(self.label,),
         )
-        for found, number in self.values().items():
-            family.add_metric((found,), number)
+        for label_value, number in self.values().items():
+            family.add_metric((label_value,), number)
         return (family,)
 
 
--- a/pollenstile/ops/metrics.py
+++ b/pollenstile/ops/metrics.py
@@ -1,6 +1,6 @@
 """Counters and timings that are sent to statsd in batches."""
 
-_MOST_TIMINGS = 2000
+_MAX_TIMINGS = 2000
 
 
 class Metrics:
@@ -36,7 +36,7 @@
 
     def timing(self, name, milliseconds):
         """Record a timing in milliseconds."""
-        if len(self.timings) < _MOST_TIMINGS:
+        if len(self.timings) < _MAX_TIMINGS:
             self.timings.append((name, milliseconds))
 
     def total(self, name):
--- a/pollenstile/ops/numbers.py
+++ b/pollenstile/ops/numbers.py
@@ -1,6 +1,6 @@
 """Parsing of numbers in untrusted text."""
 
-_MOST_DIGITS = 18
+_MAX_DIGITS = 18
 
 
 def whole_number(text):
@@ -21,6 +21,6 @@
     >>> whole_number(chr(178)), whole_number('')
     (None, None)
     """
-    if not text.isascii() or not text.isdigit() or len(text) > _MOST_DIGITS:
+    if not text.isascii() or not text.isdigit() or len(text) > _MAX_DIGITS:
         return None
     return int(text)
--- a/pollenstile/ops/running.py
+++ b/pollenstile/ops/running.py
@@ -20,16 +20,16 @@
     Exception
         Any exception that the coroutine raised.
     """
-    ends = []
+    results = []
 
     def begin():
         deferred = Deferred.fromCoroutine(coroutine_function())
-        deferred.addBoth(ends.append)
+        deferred.addBoth(results.append)
         deferred.addBoth(lambda ended: reactor.stop())
 
     reactor.callWhenRunning(begin)
     reactor.run()
-    end = ends[0]
-    if hasattr(end, 'raiseException'):
-        end.raiseException()
-    return end
+    result = results[0]
+    if hasattr(result, 'raiseException'):
+        result.raiseException()
+    return result
--- a/pollenstile/ops/settings.py
+++ b/pollenstile/ops/settings.py
@@ -97,7 +97,7 @@
     return f'{host}:{port}'
 
 
-def parsed(name, parse, text):
+def parse_argument(name, parse, text):
     """Parse the text of a command line argument and return its value.
 
     Raises
@@ -137,7 +137,7 @@
     return text
 
 
-def number_from(least, most, kind=int):
+def number_in_range(least, most, kind=int):
     """Return a function that parses numbers in an inclusive range."""
 
     def parse(text):
@@ -152,7 +152,7 @@
     return parse
 
 
-def text_of(text):
+def unchanged_text(text):
     """Return a text unchanged."""
     return text
 
@@ -166,7 +166,7 @@
     Setting('peers', addresses, '', 'initially known peer addresses'),
     Setting(
         'peer_key',
-        text_of,
+        unchanged_text,
         '',
         'key shared by all entry hosts; NEW,OLD during a key rotation',
     ),
@@ -174,13 +174,13 @@
     Setting('hosts', optional_address, '', "the platform's host list"),
     Setting(
         'store_calls',
-        number_from(1, 10000, float),
+        number_in_range(1, 10000, float),
         '20',
         'calls to the object API per second',
     ),
     Setting(
         'store_writes',
-        number_from(1, 10000, float),
+        number_in_range(1, 10000, float),
         '10',
         'writes among these calls per second',
     ),
@@ -193,13 +193,13 @@
     Setting('log_level', level, 'info', 'lowest level that is logged'),
     Setting(
         'max_running',
-        number_from(1, 100000),
+        number_in_range(1, 100000),
         '2000',
         'requests that run concurrently',
     ),
     Setting(
         'seed',
-        number_from(0, 2**63),
+        number_in_range(0, 2**63),
         '0',
         'random seed; 0 for an arbitrary one',
     ),
@@ -229,37 +229,37 @@
     ),
     Setting(
         'revoke_seconds',
-        number_from(1, 60, float),
+        number_in_range(1, 60, float),
         '5',
         'seconds until a revoked key no longer works',
     ),
     Setting(
         'apply_seconds',
-        number_from(1, 60, float),
+        number_in_range(1, 60, float),
         '2',
         'seconds until a change of the configuration is in force',
     ),
     Setting(
         'leave_seconds',
-        number_from(1, 60, float),
+        number_in_range(1, 60, float),
         '2',
         'seconds until a leaving upstream gets no new work',
     ),
     Setting(
         'drain_seconds',
-        number_from(1, 60, float),
+        number_in_range(1, 60, float),
         '5',
         'seconds until a drained failure domain gets no new work',
     ),
     Setting(
         'grace_seconds',
-        number_from(3, 600, float),
+        number_in_range(3, 600, float),
         '8',
         'seconds from SIGTERM until the host is killed',
     ),
     Setting(
         'capacity',
-        number_from(0.01, 1024, float),
+        number_in_range(0.01, 1024, float),
         '1',
         'cores of this host; larger hosts run shared work first',
     ),
@@ -277,14 +277,14 @@
 def add_flags(parser, table):
     """Add a flag for each setting to an argparse parser."""
     for setting in table:
-        shown = setting.default if setting.default else 'none'
+        default = setting.default if setting.default else 'none'
         if setting.default is None:
-            shown = 'required'
+            default = 'required'
         parser.add_argument(
             setting.flag,
             dest=setting.name,
             metavar=setting.name.upper(),
-            help=f'{setting.meaning} [{setting.environment_name}; {shown}]',
+            help=f'{setting.meaning} [{setting.environment_name}; {default}]',
         )
 
 
--- a/pollenstile/ops/usage.py
+++ b/pollenstile/ops/usage.py
@@ -16,8 +16,8 @@
     >>> sorted(process_usage())
     ['cpu_seconds', 'memory_mb']
     """
-    most = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+    peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     return {
         'cpu_seconds': round(time.process_time(), 3),
-        'memory_mb': round(most / _KB, 1),
+        'memory_mb': round(peak / _KB, 1),
     }
--- a/pollenstile/report/__init__.py
+++ b/pollenstile/report/__init__.py
@@ -1,4 +1,4 @@
 """HTML pages from result files of benchmarks."""
 
-from pollenstile.report._page import page_of
-from pollenstile.report._results import UnknownResult, charts_of
+from pollenstile.report._page import render_page
+from pollenstile.report._results import UnknownResult, build_charts
--- a/pollenstile/report/_page.py
+++ b/pollenstile/report/_page.py
@@ -18,7 +18,7 @@
 _BAR_SPACE = 0.8
 
 
-def page_of(title, charts):
+def render_page(title, charts):
     """Return an HTML page with a table for each chart, and a plot if possible.
 
     Parameters
@@ -41,9 +41,9 @@
 def _table(chart):
     names = ''.join(f'<th>{escape(name)}</th>' for name in chart.series)
     rows = [f'<table>\n<tr><th></th>{names}</tr>\n']
-    for place, label in enumerate(chart.labels):
+    for position, label in enumerate(chart.labels):
         cells = ''.join(
-            f'<td>{numbers[place]:.4g}</td>'
+            f'<td>{numbers[position]:.4g}</td>'
             for numbers in chart.series.values()
         )
         rows.append(f'<tr><td>{escape(label)}</td>{cells}</tr>\n')
@@ -61,8 +61,10 @@
     axes = figure.subplots()
     width = _BAR_SPACE / max(1, len(chart.series))
     for number, (name, numbers) in enumerate(chart.series.items()):
-        places = [place + number * width for place in range(len(numbers))]
-        axes.bar(places, numbers, width, label=name)
+        positions = [
+            position + number * width for position in range(len(numbers))
+        ]
+        axes.bar(positions, numbers, width, label=name)
     axes.set_xticks(range(len(chart.labels)), chart.labels, rotation=45)
     axes.legend(fontsize='small')
     target = io.BytesIO()
--- a/pollenstile/report/_results.py
+++ b/pollenstile/report/_results.py
@@ -2,15 +2,15 @@
 
 from dataclasses import dataclass
 
-_CLASSES = ('urgent', 'normal', 'batch')
-_FLEET = (
+_URGENCY_CLASSES = ('urgent', 'normal', 'batch')
+_FLEET_FIELDS = (
     ('apply_seconds', 'Apply to in force everywhere, s'),
     ('leaving_seconds', 'Leaving to last new work, s'),
     ('sent_bytes', 'Bytes a second a host'),
     ('cpu_ms', 'Processor ms a second a host'),
 )
-_MOMENT = ('asked', 'in_aim')
-_STAGE = ('calls', 'pieces', 'waiting_p90', 'no_room')
+_MOMENT_FIELDS = ('asked', 'in_aim')
+_STAGE_FIELDS = ('calls', 'pieces', 'waiting_p90', 'no_room')
 
 
 class UnknownResult(Exception):
@@ -37,7 +37,7 @@
     series: dict
 
 
-def charts_of(document):
+def build_charts(document):
     """Return the charts of a benchmark's result file.
 
     Parameters
@@ -55,13 +55,13 @@
     Examples
     ========
 
-    >>> from pollenstile.report import charts_of
+    >>> from pollenstile.report import build_charts
     >>> run = {
     ...     'deployment': 'kowalczyk', 'policy': 'policy', 'scenario': '1x',
     ...     'attainment': {'urgent': 1.0}, 'goodput': 68.4, 'wasted': 0.0,
     ...     'cost': {'drafters': 10.0},
     ... }
-    >>> [chart.title for chart in charts_of([run])]
+    >>> [chart.title for chart in build_charts([run])]
     ['kowalczyk: attainment', 'kowalczyk: goodput', 'kowalczyk: cost by pool']
     """
     if isinstance(document, list):
@@ -77,8 +77,8 @@
     charts = []
     try:
         for name in dict.fromkeys(run['deployment'] for run in runs):
-            own = [run for run in runs if run['deployment'] == name]
-            charts.extend(_deployment_charts(name, own))
+            deployment_runs = [run for run in runs if run['deployment'] == name]
+            charts.extend(_deployment_charts(name, deployment_runs))
     except (KeyError, TypeError) as error:
         raise UnknownResult(f'a run lacks {error}') from None
     return charts
@@ -87,7 +87,7 @@
 def _deployment_charts(name, runs):
     labels = [f'{run["scenario"]} {run["policy"]}' for run in runs]
     attainment = {}
-    for urgency in _CLASSES:
+    for urgency in _URGENCY_CLASSES:
         attainment[urgency] = [
             run['attainment'].get(urgency, 0) for run in runs
         ]
@@ -111,10 +111,12 @@
 
 def _losses_tables(routes, stages, moments, bench=''):
     names = [row['route'] for row in routes]
-    seconds = [str(one['second']) for one in moments]
-    asked = {name: [one[name] for one in moments] for name in _MOMENT}
+    seconds = [str(moment['second']) for moment in moments]
+    asked = {
+        name: [moment[name] for moment in moments] for name in _MOMENT_FIELDS
+    }
     services = [row['stage'] for row in stages]
-    calls = {name: [row[name] for row in stages] for name in _STAGE}
+    calls = {name: [row[name] for row in stages] for name in _STAGE_FIELDS}
     return [
         Chart('Requests by cause', names, _causes(routes)),
         Chart('Requests by second of the day', seconds, asked),
@@ -140,7 +142,7 @@
 def _fleet_charts(document):
     charts = []
     cases = document['by_hosts']
-    for field, title in _FLEET:
+    for field, title in _FLEET_FIELDS:
         if not cases or field not in cases[0]:
             continue
         labels = [f'{case["hosts"]} hosts' for case in cases]
