--- a/features/builders/shutdown.py
+++ b/features/builders/shutdown.py
@@ -1,4 +1,4 @@
-"""Builders of a listening entry host on a virtual clock and real sockets."""
+"""Builders of an entry host with a virtual clock and real sockets."""
 
 import hashlib
 from random import Random
@@ -29,10 +29,10 @@
     calm_network,
 )
 
-LAME_DUCK = 2.0
+LAME_DUCK_SECONDS = 2.0
 _KEY = b'shutdown-key'
 _TOKENS = 6
-_TURNS = 25
+_REACTOR_TURNS = 25
 
 
 def _manifest():
@@ -61,68 +61,70 @@
             ),
         },
         teams={'salons': Team([digest])},
-        policy=Policy(lame_duck_ms=int(LAME_DUCK * 1000), silence_ms=30000),
+        policy=Policy(
+            lame_duck_ms=int(LAME_DUCK_SECONDS * 1000), silence_ms=30000
+        ),
     )
 
 
 class SocketClock(Clock):
-    """A virtual clock whose ports are real."""
+    """A virtual clock that listens on real ports."""
 
     def listenTCP(self, *arguments, **named):
-        """Listen on the real loopback."""
+        """Listen on the loopback interface."""
         return reactor.listenTCP(*arguments, **named)
 
 
-class CallerSide(Protocol):
-    """A caller that sends bytes and keeps what comes back.
+class RawCaller(Protocol):
+    """A caller that sends bytes and records the response.
 
     Attributes
     ==========
 
     received : bytes
-        All that came.
+        All received bytes.
     closed : bool
         Whether the connection has ended.
     """
 
-    def __init__(self, sent, *, reads):
-        self.sent = sent
+    def __init__(self, request, *, reads):
+        self.request = request
         self.reads = reads
         self.received = b''
         self.closed = False
 
     def connectionMade(self):
         """Send the request; called by twisted."""
-        self.transport.write(self.sent)
+        self.transport.write(self.request)
         if not self.reads:
             self.transport.pauseProducing()
 
     def dataReceived(self, data):
-        """Keep what came; called by twisted."""
+        """Append received data; called by twisted."""
         self.received += data
 
     def connectionLost(self, reason):
-        """Note the end; called by twisted."""
+        """Record that the connection closed; called by twisted."""
         self.closed = True
 
-    def read_on(self):
-        """Begin to read."""
+    def resume_reading(self):
+        """Resume reading."""
         self.transport.resumeProducing()
 
 
-class Refusals(ClientFactory):
-    """Counts connections that were refused."""
+class RefusalCounter(ClientFactory):
+    """Counts refused connections."""
 
     def __init__(self):
         self.refused = 0
 
     def clientConnectionFailed(self, connector, reason):
-        """Count; called by twisted."""
+        """Count a refused connection; called by twisted."""
         self.refused += 1
 
 
 def request_bytes(pipeline, key='', content=b'"hi"'):
-    """Return a caller's request, as it goes over the wire."""
+    """Return the bytes of a caller's HTTP request."""
     body = b'{"input": %s}' % content
     lines = [
         b'POST /v1/pipelines/%s HTTP/1.1' % pipeline.encode(),
@@ -136,8 +138,8 @@
     return b'\r\n'.join([*lines, b'', body])
 
 
-class Listening:
-    """One entry host that listens, over virtual upstreams."""
+class ListeningHost:
+    """One listening entry host with virtual upstreams."""
 
     def __init__(self):
         self.clock = SocketClock()
@@ -176,9 +178,9 @@
         self.port = self.daemon.caller_port.getHost().port
         self.callers = []
 
-    def call(self, sent, *, reads=True):
-        """Open a connection, send bytes, return the caller's side."""
-        caller = CallerSide(sent, reads=reads)
+    def call(self, request, *, reads=True):
+        """Open a connection, send bytes and return the caller."""
+        caller = RawCaller(request, reads=reads)
         factory = ClientFactory()
         factory.protocol = lambda: caller
         factory.noisy = False
@@ -188,31 +190,31 @@
 
     def refused(self):
         """Return whether a new connection is refused."""
-        factory = Refusals()
+        factory = RefusalCounter()
         factory.noisy = False
         reactor.connectTCP('127.0.0.1', self.port, factory)
         turned_until(lambda: factory.refused)
         return factory.refused == 1
 
-    def passed(self, seconds):
-        """Let virtual time pass, and bytes travel."""
+    def advance(self, seconds):
+        """Advance the virtual clock and deliver pending bytes."""
         step = 0.001 if seconds < 1 else 0.01
         for _ in range(round(seconds / step)):
             self.clock.advance(step)
-        self.turned()
+        self.deliver_pending()
 
-    def turned(self):
-        """Let bytes travel that are on their way."""
-        for _ in range(_TURNS):
+    def deliver_pending(self):
+        """Run the reactor until pending bytes are delivered."""
+        for _ in range(_REACTOR_TURNS):
             reactor.iterate(0)
 
     def close(self):
-        """End what a scenario has left open."""
+        """Close connections that a scenario left open."""
         self.daemon.caller_port.factory.channels.abort()
         for caller in self.callers:
             if not caller.closed:
                 caller.transport.abortConnection()
-        self.turned()
+        self.deliver_pending()
 
     def _log(self, event, level='info', **fields):
         self.events.append(event.name)
--- a/features/explain.feature
+++ b/features/explain.feature
@@ -1,20 +1,20 @@
-Feature: a request's story from the logs of several hosts
+Feature: a request's timeline from the logs of several hosts
 
-  Scenario: A refused request is told in the order of time
-    A salon complains. Its clerk has the request's id; the lines are spread
-    over the logs of two hosts, in no order, among those of other requests.
+  Scenario: The timeline of a refused request is ordered by time
+    The caller gives the request's id. Its log lines are spread over the logs
+    of two hosts, unordered and mixed with those of other requests.
     Given the logs of a refused request on two hosts
-    When the story of "e17b8015f7d7a9f0" is asked for
-    Then the story has 4 lines, in the order of time
-    And the story ends with "reason=gone"
-    And the story says what each line means
+    When the timeline of "e17b8015f7d7a9f0" is requested
+    Then the timeline has 4 lines, ordered by time
+    And the timeline ends with "reason=gone"
+    And the timeline gives the meaning of each line
 
   Scenario: A request that is in no log
     Given the logs of a refused request on two hosts
-    When the story of "0000" is asked for
-    Then there is no story, with exit code 1 and "none of 6 lines"
+    When the timeline of "0000" is requested
+    Then there is no timeline, with exit code 1 and "none of 6 lines"
 
-  Scenario: A file that holds no logs
-    Given a file that holds no logs
-    When the story of "0000" is asked for
-    Then there is no story, with exit code 2 and "no log lines"
+  Scenario: A file without log lines
+    Given a file without log lines
+    When the timeline of "0000" is requested
+    Then there is no timeline, with exit code 2 and "no log lines"
--- a/features/losses.feature
+++ b/features/losses.feature
@@ -1,12 +1,11 @@
-Feature: what callers lost, and where, from the logs of entry hosts
+Feature: late, refused and failed requests by cause, from the logs of hosts
 
-  Scenario: Each request counts once, by what kept it from its aim
-    After a heavy morning an operator asks where requests were lost. Those that
-    were late wait in one stage's queue, were refused first, or paused; each
-    has its own remedy.
+  Scenario: Each request counts once, by the cause of its missed target
+    Late requests waited in the queue of a stage, were refused first, or
+    paused while they streamed; each cause needs a different remedy.
     Given the logs of a morning
-    When its losses are asked for as a document
-    Then of the 8 requests of "draft" these counts are told
+    When its losses are printed as a document
+    Then the 8 requests of "draft" have these counts by cause
       | cause                  | requests |
       | in aim                 | 1        |
       | late: queued at encode | 1        |
@@ -15,27 +14,27 @@
       | late: paused           | 1        |
       | refused: busy at encode | 2       |
       | failed: upstream 500   | 1        |
-    And the refusals of "draft" had 300 ms of wait, 120 to spare and 2 ahead
+    And the refusals of "draft" had 300 ms of wait, 120 ms spare and 2 pieces ahead
     And 7 MB of "draft" crossed domains and 3 results were unused
-    And "encode" made 12 pieces in 2 calls, and had no room for 4
+    And "encode" ran 12 pieces in 2 calls, and had no free memory for 4
 
-  Scenario: The document becomes a page
+  Scenario: The document can be rendered as a page
     Given the logs of a morning
-    When its losses are asked for as a document
-    And a report is made of them
+    When its losses are printed as a document
+    And a report page is rendered from them
     Then the report's page has a table with "12" and "4"
 
   Scenario: The tables fit a terminal
     Given the logs of a morning
-    When its losses are asked for as a table
+    When its losses are printed as a table
     Then no line is longer than 80 characters
-    And a line says "late: queued at encode"
+    And a line contains "late: queued at encode"
 
-  Scenario: A file that holds no logs of entry hosts
-    Given a file that holds no logs
-    When its losses are asked for as a table
-    Then there are no losses, with exit code 2 and "no log lines"
+  Scenario: A file without log lines of entry hosts
+    Given a file without log lines
+    When its losses are printed as a table
+    Then there are no loss tables, with exit code 2 and "no log lines"
 
-  Scenario: A long input tells how far it is read
+  Scenario: Progress is printed while a long input is read
     Given the logs of a morning, read in 10 seconds
-    Then the reading tells its progress at least 2 times
+    Then progress is printed at least 2 times
--- a/features/steps/clocks_steps.py
+++ b/features/steps/clocks_steps.py
@@ -1,4 +1,4 @@
-"""Steps of timers and a time of day that jumps."""
+"""Steps for timers while the time of day jumps."""
 
 import pathlib
 
@@ -11,56 +11,56 @@
 _DAEMONS = ('platform/adapter/start.py', 'pollenstile/ops/_entrycmd.py')
 
 
-class _Times:
-    """What the two clocks of a machine say, in seconds."""
+class _Clocks:
+    """Readings of the two clocks of a machine, in seconds."""
 
     def __init__(self):
-        self.day = 1000.0
-        self.boot = 50.0
-
-    def pass_by(self, seconds):
-        """Let both clocks go on."""
-        self.day += seconds
-        self.boot += seconds
-
-
-@given('a loop whose time of day can jump, with a timer of 10 seconds')
-def given_loop(context):
-    context.times = _Times()
-    context.loop = SelectReactor()
-    # What the library does unless it is told otherwise.
-    context.loop.seconds = lambda: context.times.day
-    run_steadily(context.loop, lambda: context.times.boot)
+        self.time_of_day = 1000.0
+        self.boot_time = 50.0
+
+    def advance(self, seconds):
+        """Advance both clocks."""
+        self.time_of_day += seconds
+        self.boot_time += seconds
+
+
+@given('a reactor whose time of day can jump, with a timer of 10 seconds')
+def given_reactor(context):
+    context.clocks = _Clocks()
+    context.reactor = SelectReactor()
+    # The default of the library.
+    context.reactor.seconds = lambda: context.clocks.time_of_day
+    run_steadily(context.reactor, lambda: context.clocks.boot_time)
     context.fired = []
-    context.loop.callLater(10, context.fired.append, 'timer')
+    context.reactor.callLater(10, context.fired.append, 'timer')
 
 
 @when('the time of day jumps by {jump:d} seconds')
 def when_jumped(context, jump):
-    context.times.day += jump
+    context.clocks.time_of_day += jump
 
 
 @when('{seconds:d} more seconds pass')
 def when_passed(context, seconds):
-    context.times.pass_by(seconds)
+    context.clocks.advance(seconds)
 
 
 @then('the timer has not fired')
 def then_not_fired(context):
-    context.loop.runUntilCurrent()
+    context.reactor.runUntilCurrent()
     assert not context.fired
 
 
 @then('the timer has fired')
 def then_fired(context):
-    context.loop.runUntilCurrent()
+    context.reactor.runUntilCurrent()
     assert context.fired == ['timer']
 
 
-@then("each module that runs an entry host's loop makes it run steadily")
-def then_all_steady(context):
+@then("each module that runs an entry host's reactor sets the boot clock")
+def then_all_use_boot_clock(context):
     for name in _DAEMONS:
         text = (_ROOT / name).read_text(encoding='utf8')
-        before, loop, _ = text.partition('reactor.run()')
-        assert loop, name
+        before, run_call, _ = text.partition('reactor.run()')
+        assert run_call, name
         assert 'run_steadily(reactor)' in before, name
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -1,4 +1,4 @@
-"""Steps of a request's story."""
+"""Steps for the timeline of a request."""
 
 import contextlib
 import io
@@ -42,12 +42,12 @@
     context.logs = '\n'.join(_LOGS)
 
 
-@given('a file that holds no logs')
+@given('a file without log lines')
 def given_no_logs(context):
     context.logs = 'Dear Sir\n{"a": 1}\n{'
 
 
-@when('the story of "{request}" is asked for')
+@when('the timeline of "{request}" is requested')
 def when_asked(context, request):
     out = io.StringIO()
     errors = io.StringIO()
@@ -56,7 +56,7 @@
         stack.enter_context(contextlib.redirect_stdout(out))
         stack.enter_context(contextlib.redirect_stderr(errors))
         context.code = main(['explain', request])
-    context.story = out.getvalue().splitlines()
+    context.timeline = out.getvalue().splitlines()
     context.errors = errors.getvalue()
 
 
@@ -64,27 +64,27 @@
     return io.StringIO(context.logs)
 
 
-@then('the story has {count:d} lines, in the order of time')
-def then_story(context, count):
-    told = [line for line in context.story if not line.startswith(' ')]
-    assert len(told) == count, context.story
-    assert told == sorted(told)
+@then('the timeline has {count:d} lines, ordered by time')
+def then_timeline(context, count):
+    shown = [line for line in context.timeline if not line.startswith(' ')]
+    assert len(shown) == count, context.timeline
+    assert shown == sorted(shown)
 
 
-@then('the story ends with "{text}"')
+@then('the timeline ends with "{text}"')
 def then_ends(context, text):
-    told = [line for line in context.story if not line.startswith(' ')]
-    assert told[-1].endswith(text), told[-1]
+    shown = [line for line in context.timeline if not line.startswith(' ')]
+    assert shown[-1].endswith(text), shown[-1]
 
 
-@then('the story says what each line means')
+@then('the timeline gives the meaning of each line')
 def then_means(context):
-    meanings = [line for line in context.story if line.startswith(' ')]
-    assert len(meanings) * 2 == len(context.story)
+    meanings = [line for line in context.timeline if line.startswith(' ')]
+    assert len(meanings) * 2 == len(context.timeline)
 
 
-@then('there is no story, with exit code {code:d} and "{text}"')
+@then('there is no timeline, with exit code {code:d} and "{text}"')
 def then_none(context, code, text):
     assert context.code == code, context.code
-    assert not context.story
+    assert not context.timeline
     assert text in context.errors, context.errors
--- a/features/steps/logs_steps.py
+++ b/features/steps/logs_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the log stream."""
+"""Steps for the log stream and the metrics of log events."""
 
 import json
 import os
@@ -14,7 +14,7 @@
 _LONG = 'x' * 300
 
 
-class _Pipe:
+class _LogPipe:
     """A pipe with a log stream at its writing end."""
 
     def __init__(self, max_lines_per_second=10000):
@@ -28,7 +28,7 @@
         self.written = 0
 
     def clock(self):
-        """Return the test's second."""
+        """Return the virtual time in seconds."""
         return self.now
 
     def write(self, count, text=''):
@@ -39,7 +39,7 @@
             self.written += 1
 
     def read(self):
-        """Return all lines that are in the pipe."""
+        """Return all buffered lines of the pipe."""
         content = b''
         while True:
             try:
@@ -53,19 +53,19 @@
         os.close(self.writing)
 
 
-@given('a log stream into a pipe that nobody reads')
+@given('a log stream into a pipe that is not read')
 def given_unread(context):
-    context.pipe = _Pipe()
+    context.pipe = _LogPipe()
     context.add_cleanup(context.pipe.close)
 
 
 @given('a log stream of at most {count:d} lines a second')
 def given_bounded(context, count):
-    context.pipe = _Pipe(count)
+    context.pipe = _LogPipe(count)
     context.add_cleanup(context.pipe.close)
 
 
-@given('a log stream into a pipe whose reader is gone')
+@given('a log stream into a pipe whose reading end is closed')
 def given_gone(context):
     given_unread(context)
     os.close(context.pipe.reading)
@@ -100,44 +100,44 @@
     assert context.pipe.written == context.count
 
 
-@then('no log line is torn')
-def then_whole(context):
+@then('every log line is complete')
+def then_lines_complete(context):
     lines = context.content.splitlines()
     context.lines = [json.loads(line) for line in lines]
     assert len(context.lines) > 10
 
 
-@then('a log line says how many were dropped')
-def then_told(context):
-    told = [one for one in context.lines if one['event'] == 'lines-dropped']
-    assert sum(one['lines'] for one in told) > context.count / 2, told
+@then('a log line gives the number of dropped lines')
+def then_drops_reported(context):
+    notes = [line for line in context.lines if line['event'] == 'lines-dropped']
+    assert sum(note['lines'] for note in notes) > context.count / 2, notes
 
 
-@then('{came:d} log lines came and {dropped:d} were dropped')
-def then_came(context, came, dropped):
-    assert len(context.pipe.read().splitlines()) == came
+@then('{written:d} log lines were written and {dropped:d} were dropped')
+def then_written(context, written, dropped):
+    assert len(context.pipe.read().splitlines()) == written
     assert context.pipe.stream.dropped == dropped
 
 
-@given('measures over a log that drops all lines')
-def given_measures(context):
+@given('metrics over a log that drops all lines')
+def given_metrics(context):
     times = ((FORWARD_ENDED.name, 'took_ms', 'service'),)
-    context.measures = Measures(silent_log, times)
+    context.metrics = Measures(silent_log, times)
 
 
 @when('a request ends "{outcome}" after {took:d} ms and another is refused')
 def when_ends(context, outcome, took):
-    write = context.measures.write
+    write = context.metrics.write
     write(FORWARD_ENDED, service='desk', outcome=outcome, took_ms=took)
     write(FORWARD_ENDED, service='desk', outcome='refused', took_ms=0)
 
 
 @then(
-    'the measures say {first:d} "{one}", {second:d} "{other}" and one time'
+    'the metrics show {first:d} "{one}", {second:d} "{other}" and one time'
     ' under {seconds:g} s',
 )
-def then_measures(context, first, one, second, other, seconds):
-    text = context.measures.text().decode()
+def then_metrics(context, first, one, second, other, seconds):
+    text = context.metrics.text().decode()
     for count, outcome in ((first, one), (second, other)):
         line = f'event="forward-ended",outcome="{outcome}"}} {count}.0'
         assert line in text, text
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the table of losses."""
+"""Steps for the tables of late, refused and failed requests."""
 
 import contextlib
 import io
@@ -86,7 +86,7 @@
     context.logs = '\n'.join(_MORNING)
 
 
-@when('its losses are asked for as a {form}')
+@when('its losses are printed as a {form}')
 def when_asked(context, form):
     shape = {'document': 'json', 'table': 'table'}[form]
     out = io.StringIO()
@@ -97,41 +97,43 @@
         stack.enter_context(contextlib.redirect_stdout(out))
         stack.enter_context(contextlib.redirect_stderr(errors))
         context.code = main(['losses', '--format', shape])
-    context.told = out.getvalue()
+    context.output = out.getvalue()
     context.errors = errors.getvalue()
 
 
-@when('a report is made of them')
+@when('a report page is rendered from them')
 def when_reported(context):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     source = pathlib.Path(folder.name, 'losses.json')
     context.page = pathlib.Path(folder.name, 'page.html')
-    source.write_text(context.told)
+    source.write_text(context.output)
     assert main(['report', str(source), '--output', str(context.page)]) == 0
 
 
 def _route(context, name):
-    routes = json.loads(context.told)['routes']
-    return next(one for one in routes if one['route'] == name)
+    routes = json.loads(context.output)['routes']
+    return next(route for route in routes if route['route'] == name)
 
 
-@then('of the {count:d} requests of "{name}" these counts are told')
+@then('the {count:d} requests of "{name}" have these counts by cause')
 def then_causes(context, count, name):
     row = _route(context, name)
     assert row['asked'] == count, row
-    wanted = {one['cause']: int(one['requests']) for one in context.table}
-    assert row['causes'] == wanted, row['causes']
+    expected = {
+        cells['cause']: int(cells['requests']) for cells in context.table
+    }
+    assert row['causes'] == expected, row['causes']
 
 
 @then(
-    'the refusals of "{name}" had {wait:d} ms of wait, {spare:d} to spare'
-    ' and {ahead:d} ahead',
+    'the refusals of "{name}" had {wait:d} ms of wait, {spare:d} ms spare'
+    ' and {ahead:d} pieces ahead',
 )
 def then_refusals(context, name, wait, spare, ahead):
     row = _route(context, name)
-    found = [row[f'refused_{one}'] for one in ('wait_ms', 'spare_ms', 'ahead')]
-    assert found == [wait, spare, ahead], found
+    actual = [row[f'refused_{key}'] for key in ('wait_ms', 'spare_ms', 'ahead')]
+    assert actual == [wait, spare, ahead], actual
 
 
 @then(
@@ -140,35 +142,35 @@
 )
 def then_waste(context, megabytes, name, unused):
     row = _route(context, name)
-    found = (row['crossed_mb'], row['unused_results'])
-    assert found == (megabytes, unused), found
+    actual = (row['crossed_mb'], row['unused_results'])
+    assert actual == (megabytes, unused), actual
 
 
 @then(
-    '"{name}" made {pieces:d} pieces in {calls:d} calls, and had no room'
+    '"{name}" ran {pieces:d} pieces in {calls:d} calls, and had no free memory'
     ' for {no_room:d}',
 )
 def then_stage(context, name, pieces, calls, no_room):
-    stages = json.loads(context.told)['stages']
-    row = next(one for one in stages if one['stage'] == name)
-    found = (row['pieces'], row['calls'], row['no_room'])
-    assert found == (pieces, calls, no_room), found
+    stages = json.loads(context.output)['stages']
+    row = next(stage for stage in stages if stage['stage'] == name)
+    actual = (row['pieces'], row['calls'], row['no_room'])
+    assert actual == (pieces, calls, no_room), actual
 
 
 @then('no line is longer than {width:d} characters')
 def then_narrow(context, width):
-    longest = max(map(len, context.told.splitlines()))
+    longest = max(map(len, context.output.splitlines()))
     assert longest <= width, longest
 
 
-@then('a line says "{text}"')
+@then('a line contains "{text}"')
 def then_says(context, text):
-    assert text in context.told, context.told
+    assert text in context.output, context.output
 
 
-@then('there are no losses, with exit code {code:d} and "{text}"')
+@then('there are no loss tables, with exit code {code:d} and "{text}"')
 def then_none(context, code, text):
-    assert (context.code, context.told) == (code, '')
+    assert (context.code, context.output) == (code, '')
     assert text in context.errors, context.errors
 
 
@@ -186,8 +188,8 @@
     read_lines(lines, context.progress, clock)
 
 
-@then('the reading tells its progress at least {count:d} times')
+@then('progress is printed at least {count:d} times')
 def then_progress(context, count):
-    told = context.progress.getvalue().splitlines()
-    assert len(told) >= count, told
-    assert all(line.endswith('lines read') for line in told)
+    output = context.progress.getvalue().splitlines()
+    assert len(output) >= count, output
+    assert all(line.endswith('lines read') for line in output)
--- a/features/steps/report_steps.py
+++ b/features/steps/report_steps.py
@@ -1,4 +1,4 @@
-"""Steps that make pages from result files."""
+"""Steps for report pages from result files."""
 
 import json
 import pathlib
@@ -21,7 +21,7 @@
     }
 
 
-def _written(context, text):
+def _write_result(context, text):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     context.source = pathlib.Path(folder.name, 'result.json')
@@ -32,12 +32,12 @@
 @given("a report's result file of two policy runs")
 def step_runs(context):
     runs = [_run('policy', 0.995), _run('no admission', 0.01)]
-    _written(context, json.dumps(runs))
+    _write_result(context, json.dumps(runs))
 
 
 @given('a report\'s result file that holds "{content}"')
 def step_content(context, content):
-    _written(context, content)
+    _write_result(context, content)
 
 
 @when('the report command is run on it')
--- a/features/steps/shutdown_steps.py
+++ b/features/steps/shutdown_steps.py
@@ -1,4 +1,4 @@
-"""Steps of graceful shutdown."""
+"""Steps for graceful shutdown."""
 
 from unittest import mock
 
@@ -6,13 +6,13 @@
 from twisted.internet.defer import succeed
 
 from features.builders.loop import kept_result, turned_until
-from features.builders.shutdown import Listening, request_bytes
+from features.builders.shutdown import ListeningHost, request_bytes
 from pollenstile.ops.channels import Channels
 
 
 @given('a shutdown host that listens')
 def step_listens(context):
-    context.host = Listening()
+    context.host = ListeningHost()
     context.stopped = []
     context.add_cleanup(context.host.close)
 
@@ -34,24 +34,24 @@
     context.add_cleanup(patch.stop)
 
 
-def _asks(context, sent, **named):
-    context.caller = context.host.call(sent, **named)
+def _send_request(context, request, **named):
+    context.caller = context.host.call(request, **named)
     turned_until(lambda: context.host.node.in_flight or context.caller.received)
 
 
 @when('a shutdown caller asks for "{pipeline}"')
 def step_asks(context, pipeline):
-    _asks(context, request_bytes(pipeline))
+    _send_request(context, request_bytes(pipeline))
 
 
 @when('a shutdown caller sends key "{key}" to "{pipeline}"')
 def step_asks_key(context, key, pipeline):
-    _asks(context, request_bytes(pipeline, key))
+    _send_request(context, request_bytes(pipeline, key))
 
 
 @when('a shutdown caller that does not read asks for {size:d} bytes')
 def step_asks_much(context, size):
-    # The service's answer is made as large as asked for.
+    # Makes the service's answer as large as requested.
     answer = {'text': 'x' * size}
     patch = mock.patch(
         'pollenstile.standin.virtual._Run.request',
@@ -59,10 +59,10 @@
     )
     patch.start()
     context.add_cleanup(patch.stop)
-    _asks(context, request_bytes('log-minutes'), reads=False)
+    _send_request(context, request_bytes('log-minutes'), reads=False)
 
 
-@when('the shutdown host is told to stop')
+@when('the shutdown host gets the stop signal')
 def step_stop(context):
     context.stopped = kept_result(context.host.daemon.stop())
 
@@ -72,14 +72,14 @@
     context.host.store.down = True
 
 
-@when('the shutdown clock goes on by {seconds:g} seconds')
+@when('the shutdown clock advances by {seconds:g} seconds')
 def step_time(context, seconds):
-    context.host.passed(seconds)
+    context.host.advance(seconds)
 
 
-@when('the shutdown caller reads on')
+@when('the shutdown caller resumes reading')
 def step_reads(context):
-    context.caller.read_on()
+    context.caller.resume_reading()
 
 
 @then('the shutdown caller has {tokens:d} tokens')
@@ -88,7 +88,7 @@
     assert received.count(b'{"text"') == tokens, received
 
 
-@then('the shutdown caller has {tokens:d} tokens and the whole answer')
+@then('the shutdown caller has {tokens:d} tokens and the complete answer')
 def step_whole(context, tokens):
     turned_until(lambda: context.caller.closed)
     received = context.caller.received
@@ -106,7 +106,7 @@
 
 
 @then(
-    'the shutdown caller was told {status:d} "{outcome}", and its connection ended'
+    'the shutdown caller received {status:d} "{outcome}", and its connection ended'
 )
 def step_told(context, status, outcome):
     turned_until(lambda: context.caller.closed)
@@ -131,7 +131,7 @@
 
 @then('the shutdown host has not stopped')
 def step_not_stopped(context):
-    context.host.turned()
+    context.host.deliver_pending()
     assert not context.stopped
 
 
--- a/pollenstile/ops/_soakcmd.py
+++ b/pollenstile/ops/_soakcmd.py
@@ -98,7 +98,11 @@
     )
     if not broken:
         return GOOD
-    print('broken seeds: {}'.format(' '.join(str(seed) for seed in broken)))
+    print(
+        'broken seeds: {}'.format(
+            ' '.join(str(broken_seed) for broken_seed in broken)
+        )
+    )
     return BAD_RESULT
 
 
