--- a/pollenstile/ops/measures.py
+++ b/pollenstile/ops/measures.py
@@ -57,7 +57,7 @@
         self.registry = CollectorRegistry()
         self.events = Counter(
             'pollenstile_events',
-            'Log events, including those whose lines were dropped.',
+            'Log events, those whose lines were dropped included.',
             ('event', 'outcome'),
             registry=self.registry,
         )
@@ -103,7 +103,7 @@
     def _histogram(self, name, label):
         return Histogram(
             metric_name(f'{name}_seconds'),
-            'Duration in seconds, from the event field in its name.',
+            'Seconds, from the field of the event that names it.',
             (label,),
             buckets=_BUCKETS,
             registry=self.registry,
