--- a/features/steps/clocks_steps.py
+++ b/features/steps/clocks_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 from twisted.internet.selectreactor import SelectReactor
 
-from pollenstile.ops.clock import run_steadily
+from pollenstile.ops.clock import use_boot_clock
 
 _ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 _DAEMONS = ('platform/adapter/start.py', 'pollenstile/ops/_entrycmd.py')
@@ -30,7 +30,7 @@
     context.reactor = SelectReactor()
     # The default of the library.
     context.reactor.seconds = lambda: context.clocks.time_of_day
-    run_steadily(context.reactor, lambda: context.clocks.boot_time)
+    use_boot_clock(context.reactor, lambda: context.clocks.boot_time)
     context.fired = []
     context.reactor.callLater(10, context.fired.append, 'timer')
 
@@ -63,4 +63,4 @@
         text = (_ROOT / name).read_text(encoding='utf8')
         before, run_call, _ = text.partition('reactor.run()')
         assert run_call, name
-        assert 'run_steadily(reactor)' in before, name
+        assert 'use_boot_clock(reactor)' in before, name
--- a/features/steps/shutdown_steps.py
+++ b/features/steps/shutdown_steps.py
@@ -29,7 +29,9 @@
 
 @given('the shutdown host does not wait for connections')
 def step_no_wait(context):
-    patch = mock.patch.object(Channels, 'drained', lambda _: succeed(None))
+    patch = mock.patch.object(
+        Channels, 'close_gracefully', lambda _: succeed(None)
+    )
     patch.start()
     context.add_cleanup(patch.stop)
 
--- a/pollenstile/entry/_assembly.py
+++ b/pollenstile/entry/_assembly.py
@@ -11,7 +11,7 @@
 )
 from pollenstile.ops.logs import silent_log
 from pollenstile.ops.metrics import Metrics
-from pollenstile.ops.settings import shown
+from pollenstile.ops.settings import format_address
 from pollenstile.peer import (
     LEAST_VERSION,
     VERSION,
@@ -129,13 +129,13 @@
         least=LEAST_VERSION,
         host=core.host,
         domain=core.domain,
-        address=shown(settings.peer_listen),
+        address=format_address(settings.peer_listen),
         boot=int(core.clock.seconds() * _MS),
     )
     keys = keys_from(settings.peer_key)
     hub = Hub(core.clock, core.rng, hello, keys, connect, core.log)
     if keys:
-        hub.dialer.seeds = tuple(shown(one) for one in settings.peers)
+        hub.dialer.seeds = tuple(format_address(one) for one in settings.peers)
     fleet = Fleet(
         hub,
         node.in_force,
--- a/pollenstile/ops/_draincmd.py
+++ b/pollenstile/ops/_draincmd.py
@@ -7,7 +7,7 @@
 
 from pollenstile.forward import DRAINED, DRAINED_SECONDS, UNDER_WAY
 from pollenstile.ops._admin import fetch_body, http_client_at
-from pollenstile.ops._statuscmd import entries_from
+from pollenstile.ops._statuscmd import parse_entries
 from pollenstile.ops._stores import store_at
 from pollenstile.ops.exits import (
     BAD_INPUT,
@@ -18,7 +18,12 @@
 )
 from pollenstile.ops.measures import metric_name
 from pollenstile.ops.running import result_of
-from pollenstile.ops.settings import address, identifier, parse_argument, shown
+from pollenstile.ops.settings import (
+    address,
+    identifier,
+    parse_argument,
+    format_address,
+)
 from pollenstile.platform import Absent, Found, Written
 
 
@@ -76,7 +81,7 @@
         sys.stderr.write('the drain or --metrics to show the remaining work\n')
         return BAD_INPUT
     if arguments.metrics:
-        hosts = entries_from(arguments.metrics, '--metrics')
+        hosts = parse_entries(arguments.metrics, '--metrics')
         drains = result_of(
             reactor, lambda: _read_drains(reactor, hosts, domain)
         )
@@ -85,7 +90,7 @@
     platform = parse_argument('--platform', address, arguments.platform)
     store = store_at(reactor, platform)
     written = result_of(
-        reactor, lambda: written_drain(store, domain, ends=arguments.end)
+        reactor, lambda: write_drain(store, domain, ends=arguments.end)
     )
     if isinstance(written, Written):
         verb = 'has work again' if arguments.end else 'is drained'
@@ -119,7 +124,7 @@
     return lines
 
 
-def drain_of(host, domain, text):
+def parse_drain(host, domain, text):
     """Return the drain state of a domain, read from a host's metrics."""
     values = {}
     for family in text_string_to_metric_families(text):
@@ -156,15 +161,15 @@
     found = []
     for host in hosts:
         body = await fetch_body(http_client_at(reactor, host), '/')
-        name = shown(host)
+        name = format_address(host)
         if body is None:
             found.append(HostDrain(name, answers=False))
             continue
-        found.append(drain_of(name, domain, body.decode()))
+        found.append(parse_drain(name, domain, body.decode()))
     return found
 
 
-async def written_drain(store, domain, *, ends):
+async def write_drain(store, domain, *, ends):
     """Write or delete a domain's drain entry unless it is already so.
 
     Returns
--- a/pollenstile/ops/_quarantinecmd.py
+++ b/pollenstile/ops/_quarantinecmd.py
@@ -74,7 +74,7 @@
     if arguments.lift:
         name = parse_argument('--lift', identifier, arguments.lift)
         return _report_lift(
-            name, result_of(reactor, lambda: lifted(store, name))
+            name, result_of(reactor, lambda: lift_quarantine(store, name))
         )
     listing = result_of(reactor, lambda: listed_whole(store, QUARANTINE_KIND))
     if not isinstance(listing, Listing):
@@ -135,7 +135,7 @@
     return lines
 
 
-async def lifted(store, name):
+async def lift_quarantine(store, name):
     """Delete a quarantine entry; return ``Absent`` if there is none.
 
     Returns
--- a/pollenstile/ops/client.py
+++ b/pollenstile/ops/client.py
@@ -68,7 +68,7 @@
     """Ignore received bytes."""
 
 
-def caller_for(reactor, persistent=True, connect_timeout=2.0):
+def pipeline_client(reactor, persistent=True, connect_timeout=2.0):
     """Return a function that sends requests to pipelines.
 
     Explanation
--- a/pollenstile/ops/collector.py
+++ b/pollenstile/ops/collector.py
@@ -19,7 +19,7 @@
 _OLD_COLLECTIONS = 20
 
 
-def set_collector():
+def configure_garbage_collector():
     """Collect less often, and exclude objects created at start-up."""
     gc.collect()
     gc.freeze()
--- a/pollenstile/ops/http.py
+++ b/pollenstile/ops/http.py
@@ -19,7 +19,7 @@
     ===========
 
     The library stores large bodies in files, but hosts have no disks. A body
-    whose stated or received length exceeds ``site.most_body`` bytes is
+    whose stated or received length exceeds ``site.max_body_bytes`` bytes is
     rejected with 413 and its connection closed, before it is read
     completely.
     """
@@ -29,13 +29,13 @@
         self.too_large = False
         self.received = 0
         self.content = BytesIO()
-        if length is not None and length > self.channel.site.most_body:
+        if length is not None and length > self.channel.site.max_body_bytes:
             self._refuse()
 
     def handleContentChunk(self, data):
         """Append a part of the body; called by twisted."""
         self.received += len(data)
-        if self.received > self.channel.site.most_body:
+        if self.received > self.channel.site.max_body_bytes:
             self._refuse()
             return
         self.content.write(data)
@@ -62,7 +62,7 @@
         transport.loseConnection()
 
 
-def site_for(resource, reactor, most_body=262144, timeout=60):
+def site_for(resource, reactor, max_body_bytes=262144, timeout=60):
     """Return a Site that limits request bodies and uses a given clock.
 
     Explanation
@@ -78,7 +78,7 @@
         Handles all requests.
     reactor : IReactorTime
         Clock for timeouts of idle connections.
-    most_body : int
+    max_body_bytes : int
         Maximum body size in bytes.
     timeout : float
         Seconds after which an idle connection is closed.
@@ -91,12 +91,12 @@
     )
     site.protocol = CountedChannel
     site.channels = Channels()
-    site.most_body = most_body
+    site.max_body_bytes = max_body_bytes
     site.displayTracebacks = False
-    return quiet(site)
+    return disable_access_log(site)
 
 
-def quiet(site):
+def disable_access_log(site):
     """Disable the access log of a site and return it."""
     site.log = _log_nothing
     return site
--- a/pollenstile/ops/measures.py
+++ b/pollenstile/ops/measures.py
@@ -133,7 +133,7 @@
         return (family,)
 
 
-class MeasuresFace(Resource):
+class MetricsResource(Resource):
     """HTTP resource that serves metrics in the text format.
 
     Parameters
--- a/pollenstile/ops/settings.py
+++ b/pollenstile/ops/settings.py
@@ -83,14 +83,14 @@
     return host.strip('[]'), number
 
 
-def shown(address):
+def format_address(address):
     """Return ``'IP:PORT'`` of an address.
 
     Examples
     ========
 
-    >>> from pollenstile.ops.settings import shown
-    >>> shown(('127.0.0.1', 80))
+    >>> from pollenstile.ops.settings import format_address
+    >>> format_address(('127.0.0.1', 80))
     '127.0.0.1:80'
     """
     host, port = address
