--- a/features/steps/large_configuration_steps.py
+++ b/features/steps/large_configuration_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from features.builders.relay import large_config
-from pollenstile.peer import patch_between, patched
+from pollenstile.peer import patch_between, apply_patch
 
 _BYTES_PER_MBIT = 125_000
 _STEP_SECONDS = 0.05
@@ -170,7 +170,7 @@
 @then('each patch produces the newer text from the older one')
 def then_patched(context):
     for old, new in context.texts:
-        assert patched(old, patch_between(old, new)) == new, (old, new)
+        assert apply_patch(old, patch_between(old, new)) == new, (old, new)
 
 
 @then('no corrupted patch produces a text other than the newer one')
@@ -181,6 +181,6 @@
         middle = bytearray(patch.middle)
         middle[position] ^= 1 << context.rng.randrange(8)
         corrupted = replace(patch, middle=bytes(middle))
-        assert patched(old, corrupted) in {None, new}, (old, new)
+        assert apply_patch(old, corrupted) in {None, new}, (old, new)
         moved = replace(patch, prefix=patch.prefix + 1)
-        assert patched(old, moved) in {None, new}, (old, new)
+        assert apply_patch(old, moved) in {None, new}, (old, new)
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -15,7 +15,7 @@
     with_witness,
     with_witnesses_only,
 )
-from pollenstile.peer import Beat, ranked
+from pollenstile.peer import Beat, rank_candidates
 from pollenstile.platform import HostEntry
 from pollenstile.upstream import Load
 
@@ -163,7 +163,7 @@
     names = [
         host.name for host in world.hosts.values() if host.domain == domain
     ]
-    return ranked(name, names, 2)
+    return rank_candidates(name, names, 2)
 
 
 @given('one watcher of upstream "{name}" can\'t reach it')
@@ -260,15 +260,17 @@
 @given('membership host "{name}" loses all updates for {seconds:d} seconds')
 def step_loses(context, name, seconds):
     fleet = context.world.hosts[name].fleet
-    takers = dict(fleet.hub.takers)
-    fleet.hub.takers.clear()
-    context.world.clock.callLater(seconds, fleet.hub.takers.update, takers)
+    message_handlers = dict(fleet.hub.message_handlers)
+    fleet.hub.message_handlers.clear()
+    context.world.clock.callLater(
+        seconds, fleet.hub.message_handlers.update, message_handlers
+    )
 
 
 @given('no membership host compares sums')
 def step_no_sums(context):
     for host in context.world.hosts.values():
-        host.hub.takers[Beat] = host.fleet.relay.on_beat
+        host.hub.message_handlers[Beat] = host.fleet.relay.on_beat
 
 
 @then('each side considers the membership hosts of the other gone')
--- a/pollenstile/bench/floor.py
+++ b/pollenstile/bench/floor.py
@@ -169,7 +169,7 @@
     entry = _entry_address(reactor, _manifest(plain, engine))
     call = wire.PlainCall('r/call/1', 'call', 'a leak under the sink')
     documents = {
-        'call': (f'{plain}/v1/call', wire.encoded(call)),
+        'call': (f'{plain}/v1/call', wire.encode_json(call)),
         'few': (f'{engine}/v1/completions', _completion(_FEW_TOKENS)),
         'many': (f'{engine}/v1/completions', _completion(_MANY_TOKENS)),
     }
@@ -181,7 +181,7 @@
             'forwarder': _forwarded(reactor, uri, document),
             'entry': Target(
                 f'http://{entry}/v1/pipelines/{kind}'.encode(),
-                wire.encoded({'input': 'a leak under the sink'}),
+                wire.encode_json({'input': 'a leak under the sink'}),
             ),
         }
     return targets
@@ -193,7 +193,7 @@
 
 
 def _completion(tokens):
-    return wire.encoded(wire.CompletionCall('demo', 'a leak', tokens))
+    return wire.encode_json(wire.CompletionCall('demo', 'a leak', tokens))
 
 
 async def _measured(reactor, arguments):
--- a/pollenstile/bench/live.py
+++ b/pollenstile/bench/live.py
@@ -28,7 +28,7 @@
 from pollenstile.ops.exits import BAD_RESULT, GOOD, UNREACHED
 from pollenstile.ops.running import result_of
 from pollenstile.ops.settings import SettingsError, address
-from pollenstile.platform import pauses
+from pollenstile.platform import make_pause
 
 _LOOK_SECONDS = 0.005
 _MOST_SECONDS = 10.0
@@ -112,7 +112,7 @@
         before.text,
         before.version,
         secrets.token_hex(_MARK_BYTES),
-        pauses(reactor, Random(), 0.2, 2.0),
+        make_pause(reactor, Random(), 0.2, 2.0),
     )
     if not isinstance(outcome, Accepted):
         return None
--- a/pollenstile/bench/shared.py
+++ b/pollenstile/bench/shared.py
@@ -20,12 +20,12 @@
 from pollenstile.forward import Configuration
 from pollenstile.ops.logs import silent_log
 from pollenstile.peer import (
-    LEAST_VERSION,
+    MIN_VERSION,
     VERSION,
     Hello,
     Hub,
     VirtualWires,
-    keys_from,
+    parse_keys,
 )
 from pollenstile.platform import watch
 from pollenstile.relay import (
@@ -68,8 +68,8 @@
         self.hub = Hub(
             fleet.clock,
             Random(name),
-            Hello(VERSION, LEAST_VERSION, name, _DOMAIN, name, 1),
-            keys_from('key'),
+            Hello(VERSION, MIN_VERSION, name, _DOMAIN, name, 1),
+            parse_keys('key'),
             fleet.wires.connect_from(name),
             silent_log,
         )
--- a/pollenstile/fleet/_census.py
+++ b/pollenstile/fleet/_census.py
@@ -19,7 +19,7 @@
 
 from twisted.internet.defer import gatherResults
 
-from pollenstile.peer import BadMessageError, Unanswered, decoded, schema
+from pollenstile.peer import BadMessageError, Unanswered, decode_struct, schema
 
 SUBJECT = 'status'
 _MAX_QUERIES = 256
@@ -77,7 +77,7 @@
         return self._collect_from_peers(query, seconds, '')
 
     def _answer_query(self, host, body):
-        query, seconds = decoded(schema.StatusAsk, body, _decode_query)
+        query, seconds = decode_struct(schema.StatusAsk, body, _decode_query)
         if query in self.queries:
             return _encode_statuses([])
         self._remember(query)
@@ -130,7 +130,7 @@
 
 def _decode_statuses(answer):
     try:
-        return decoded(schema.StatusAnswer, answer, _build_statuses)
+        return decode_struct(schema.StatusAnswer, answer, _build_statuses)
     except BadMessageError:
         return []
 
--- a/pollenstile/fleet/_fleet.py
+++ b/pollenstile/fleet/_fleet.py
@@ -89,7 +89,7 @@
         self.probe_at = 0.0
         self.assigned_live = None
         hub.beat = self._beat
-        hub.takers[Beat] = self._on_beat
+        hub.message_handlers[Beat] = self._on_beat
         in_force.listeners.append(self._on_snapshot)
 
     def start(self):
@@ -103,7 +103,7 @@
         """Announce to the peers that this host is leaving; links stay open."""
         self.hosts.leaving = True
         self.hosts.announce()
-        self.hub.beat_now()
+        self.hub.send_beats()
 
     def stop(self):
         """End all loops and close all links."""
--- a/pollenstile/fleet/_hosts.py
+++ b/pollenstile/fleet/_hosts.py
@@ -100,8 +100,8 @@
         self.leaving = False
         self.gone_since = {}
         self.stale = True
-        hub.ups.append(self._link_opened)
-        hub.downs.append(self._link_closed)
+        hub.link_up_handlers.append(self._link_opened)
+        hub.link_down_handlers.append(self._link_closed)
         table.listeners.append(self._on_record)
 
     @property
--- a/pollenstile/fleet/_platform_reader.py
+++ b/pollenstile/fleet/_platform_reader.py
@@ -3,7 +3,7 @@
 from twisted.internet.defer import Deferred, maybeDeferred
 
 from pollenstile.fleet import events
-from pollenstile.peer import ranked
+from pollenstile.peer import rank_candidates
 from pollenstile.platform import Found, HostList, WatchTiming, watch
 
 CONFIG_KIND = 'config'
@@ -106,9 +106,12 @@
         names = hosts.names_in(own.domain) if own else [hosts.name]
         if self.store is not None:
             self._update_config(
-                hosts.name in ranked('config', names, _WATCHING_HOSTS), now
+                hosts.name in rank_candidates('config', names, _WATCHING_HOSTS),
+                now,
             )
-        is_listing = hosts.name in ranked('hosts', names, _LISTING_HOSTS)
+        is_listing = hosts.name in rank_candidates(
+            'hosts', names, _LISTING_HOSTS
+        )
         if self.read_hosts is not None and is_listing and now >= self.list_at:
             self.list_at = now + _LIST_SECONDS * self.random.uniform(0.8, 1.2)
             call = maybeDeferred(self.read_hosts)
--- a/pollenstile/fleet/_relay.py
+++ b/pollenstile/fleet/_relay.py
@@ -8,10 +8,10 @@
     Beat,
     RecentTexts,
     Unanswered,
-    decoded,
+    decode_struct,
     patch_fields,
     patch_from,
-    patched,
+    apply_patch,
     schema,
     text_digest,
 )
@@ -71,7 +71,7 @@
 
     def answer_request(self, host, body):
         """Return the encoded configuration in force for a peer's request."""
-        request = decoded(schema.ConfigAsk, body, _decode_request)
+        request = decode_struct(schema.ConfigAsk, body, _decode_request)
         snapshot = self.in_force.snapshot
         if snapshot is None:
             return schema.ConfigContent.new_message().to_bytes()
@@ -86,7 +86,7 @@
     def _on_snapshot(self, snapshot):
         text = self.in_force.text
         self.recent_texts.keep(text_digest(text), text)
-        self.hub.beat_now()
+        self.hub.send_beats()
 
     async def _fetch(self, link, version):
         try:
@@ -123,12 +123,12 @@
 
     def _decode_text(self, answer):
         try:
-            version, patch = decoded(
+            version, patch = decode_struct(
                 schema.ConfigContent, answer, _decode_content
             )
         except BadMessageError:
             return None
-        text = patched(self.in_force.text, patch)
+        text = apply_patch(self.in_force.text, patch)
         return None if text is None else (version, text)
 
     def _schedule_retry(self):
--- a/pollenstile/fleet/_sharing.py
+++ b/pollenstile/fleet/_sharing.py
@@ -90,9 +90,9 @@
         self.changed_at = 0.0
         self.timer = None
         table.listeners.append(self._on_record)
-        hub.takers[News] = self._apply_records
-        hub.takers[Sums] = self._answer_sums
-        hub.downs.append(self._link_closed)
+        hub.message_handlers[News] = self._apply_records
+        hub.message_handlers[Sums] = self._answer_sums
+        hub.link_down_handlers.append(self._link_closed)
 
     def stop(self):
         """Cancel the pending send."""
--- a/pollenstile/fleet/_watchers.py
+++ b/pollenstile/fleet/_watchers.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.defer import Deferred
 
-from pollenstile.peer import ranked
+from pollenstile.peer import rank_candidates
 
 
 WATCHERS = 2
@@ -103,7 +103,7 @@
                 responsible[domain] = hosts.responsible_for(domain)
             if own.name not in responsible[domain]:
                 continue
-            watchers = ranked(name, responsible[domain], WATCHERS)
+            watchers = rank_candidates(name, responsible[domain], WATCHERS)
             if own.name in watchers:
                 shares[name] = watchers
         return shares
--- a/pollenstile/forward/_assembly.py
+++ b/pollenstile/forward/_assembly.py
@@ -17,7 +17,7 @@
 from pollenstile.forward._stagecalls import StageCalls
 from pollenstile.ops.logs import silent_log
 from pollenstile.ops.settings import format_address
-from pollenstile.peer import LEAST_VERSION, VERSION, Hello, Hub, tcp_connect
+from pollenstile.peer import MIN_VERSION, VERSION, Hello, Hub, tcp_connect
 from pollenstile.quarantine import (
     QUARANTINE_KIND,
     Quarantine,
@@ -246,7 +246,7 @@
 def _build_hub(reactor, rng, settings, log):
     hello = Hello(
         version=VERSION,
-        least=LEAST_VERSION,
+        least=MIN_VERSION,
         host=settings.host,
         domain=settings.domain,
         address=format_address(settings.peers),
--- a/pollenstile/forward/_daemon.py
+++ b/pollenstile/forward/_daemon.py
@@ -17,7 +17,7 @@
 from pollenstile.ops.logs import silent_log
 from pollenstile.ops.measures import Measures, MetricsResource
 from pollenstile.ops.settings import format_address
-from pollenstile.peer import Beat, keys_from, tcp_listen
+from pollenstile.peer import Beat, parse_keys, tcp_listen
 
 # Time for which a leaving host still accepts requests. The load balancer checks
 # readiness each second and needs two negative answers.
@@ -207,7 +207,7 @@
         self.leaving = True
         self.parts.relay.source.leaving = True
         self.factory.leave()
-        self.parts.hub.beat_now()
+        self.parts.hub.send_beats()
         self._review()
         self.log(events.FORWARD_LEAVING, in_flight=self.factory.in_flight)
         return Deferred.fromCoroutine(self._shut_down())
@@ -246,7 +246,7 @@
             await deferLater(self.reactor, _JOIN_CHECK_SECONDS)
         key = await self.parts.members.peer_key()
         hub = self.parts.hub
-        hub.keys = keys_from(key.decode())
+        hub.keys = parse_keys(key.decode())
         self.parts.core.quarantine.key = key
         port = tcp_listen(self.reactor, self.settings.peers, hub)
         self.ports.append(port)
--- a/pollenstile/ops/_admin.py
+++ b/pollenstile/ops/_admin.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from pollenstile.platform import Broken, Caller
+from pollenstile.platform import FailedCall, ServerClient
 
 _TIMEOUT_SECONDS = 4.0
 _OK = 200
@@ -34,13 +34,13 @@
 def http_client_at(reactor, address):
     """Return an HTTP client of a host's frontend for operators."""
     host, port = address
-    return Caller(reactor, reactor, host, port, _TIMEOUT_SECONDS)
+    return ServerClient(reactor, reactor, host, port, _TIMEOUT_SECONDS)
 
 
 async def fetch_body(caller, path):
     """Return the body of a page, or None unless the status is 200."""
     reply = await caller.call('GET', path, fresh=True)
-    if isinstance(reply, Broken) or reply.status != _OK:
+    if isinstance(reply, FailedCall) or reply.status != _OK:
         return None
     return reply.body
 
--- a/pollenstile/ops/_applycmd.py
+++ b/pollenstile/ops/_applycmd.py
@@ -28,7 +28,7 @@
 from pollenstile.ops.exits import BAD_INPUT, BAD_RESULT, GOOD, UNREACHED
 from pollenstile.ops.running import result_of
 from pollenstile.ops.settings import address, parse_argument
-from pollenstile.platform import pauses
+from pollenstile.platform import make_pause
 
 _MARK_BYTES = 8
 _POLL_SECONDS = 0.5
@@ -100,7 +100,7 @@
         text,
         arguments.reviewed_against,
         secrets.token_hex(_MARK_BYTES),
-        pauses(reactor, random.Random(), 0.2, 2.0),
+        make_pause(reactor, random.Random(), 0.2, 2.0),
     )
     code = _report_outcome(outcome, arguments.reviewed_against)
     if code != GOOD or not arguments.wait:
--- a/pollenstile/ops/_quarantinecmd.py
+++ b/pollenstile/ops/_quarantinecmd.py
@@ -14,7 +14,7 @@
 )
 from pollenstile.ops.running import result_of
 from pollenstile.ops.settings import address, identifier, parse_argument
-from pollenstile.platform import Absent, Found, Listing, Written, listed_whole
+from pollenstile.platform import Absent, Found, Listing, Written, list_all
 from pollenstile.quarantine import QUARANTINE_KIND
 
 _MS_PER_SECOND = 1000
@@ -76,7 +76,7 @@
         return _report_lift(
             name, result_of(reactor, lambda: lift_quarantine(store, name))
         )
-    listing = result_of(reactor, lambda: listed_whole(store, QUARANTINE_KIND))
+    listing = result_of(reactor, lambda: list_all(store, QUARANTINE_KIND))
     if not isinstance(listing, Listing):
         sys.stderr.write(f'{_NAME}: the store did not answer; try again\n')
         return UNREACHED
--- a/pollenstile/quarantine/_codec.py
+++ b/pollenstile/quarantine/_codec.py
@@ -2,7 +2,7 @@
 
 import pathlib
 
-from pollenstile.peer import decoded, loaded_schema
+from pollenstile.peer import decode_struct, load_schema
 from pollenstile.quarantine._types import (
     QuarantineUpdate,
     Report,
@@ -11,7 +11,7 @@
 )
 
 _MS = 1000
-_schema = loaded_schema(pathlib.Path(__file__).with_name('messages.capnp'))
+_schema = load_schema(pathlib.Path(__file__).with_name('messages.capnp'))
 
 
 def encode_update(update, now):
@@ -35,7 +35,7 @@
             tuple(_verdict_from(verdict, now) for verdict in reader.verdicts),
         )
 
-    return decoded(_schema.News, encoded, build)
+    return decode_struct(_schema.News, encoded, build)
 
 
 def _report_row(report):
--- a/pollenstile/quarantine/_record.py
+++ b/pollenstile/quarantine/_record.py
@@ -3,7 +3,7 @@
 from twisted.internet.defer import Deferred
 
 from pollenstile.ops.logs import silent_log
-from pollenstile.peer import ranked
+from pollenstile.peer import rank_candidates
 from pollenstile.platform import Conflict, Written, paused
 from pollenstile.quarantine import events
 from pollenstile.quarantine._types import QuarantineUpdate, Verdict
@@ -154,4 +154,4 @@
 
 def _rank(name, host, hosts):
     """Return a host's rendezvous rank for an entry, from 0."""
-    return ranked(name, hosts, len(hosts)).index(host)
+    return rank_candidates(name, hosts, len(hosts)).index(host)
--- a/pollenstile/quarantine/_sharing.py
+++ b/pollenstile/quarantine/_sharing.py
@@ -71,7 +71,7 @@
         quarantine.on_update = self.forward
         hub.requests.subjects[UPDATE_SUBJECT] = self._on_update
         hub.requests.subjects[COMPARE_SUBJECT] = self._on_compare
-        hub.takers[Beat] = self._on_heartbeat
+        hub.message_handlers[Beat] = self._on_heartbeat
 
     def forward(self, update, source=''):
         """Forward an update to the neighbours, except to its source."""
--- a/pollenstile/relay/_follower.py
+++ b/pollenstile/relay/_follower.py
@@ -5,7 +5,7 @@
 from twisted.internet.defer import Deferred
 
 from pollenstile.ops.logs import silent_log
-from pollenstile.peer import BadMessageError, Unanswered, patched
+from pollenstile.peer import BadMessageError, Unanswered, apply_patch
 from pollenstile.platform import paused
 from pollenstile.relay import events
 from pollenstile.relay._messages import (
@@ -328,7 +328,7 @@
         """Return an update with its patch applied; None if that fails."""
         if update.patch is None:
             return update
-        text = patched(self.configuration.text, update.patch)
+        text = apply_patch(self.configuration.text, update.patch)
         if text is None:
             return None
         return replace(
--- a/pollenstile/relay/_messages.py
+++ b/pollenstile/relay/_messages.py
@@ -8,8 +8,8 @@
 from pollenstile.peer import (
     BadMessageError,
     Patch,
-    decoded,
-    loaded_schema,
+    decode_struct,
+    load_schema,
     patch_fields,
     patch_from,
 )
@@ -19,7 +19,7 @@
 # A frame between peers fits one value of the store's largest size and not two;
 # a follower reads a configuration above this size from the store instead.
 _MAX_CONFIG_BYTES = 600_000
-_schema = loaded_schema(pathlib.Path(__file__).with_name('messages.capnp'))
+_schema = load_schema(pathlib.Path(__file__).with_name('messages.capnp'))
 
 
 @dataclass(slots=True, frozen=True)
@@ -140,7 +140,7 @@
             reader.holdMs / _MS,
         )
 
-    return decoded(_schema.Asked, encoded, build)
+    return decode_struct(_schema.Asked, encoded, build)
 
 
 def encode_update(update):
@@ -191,7 +191,7 @@
             reader.seen,
         )
 
-    return decoded(_schema.Word, encoded, build)
+    return decode_struct(_schema.Word, encoded, build)
 
 
 def _kind_update_fields(kind_update):
