--- a/pollenstile/ops/_admin.py
+++ b/pollenstile/ops/_admin.py
@@ -1,26 +1,26 @@
-"""Asking an entry host's admin face, for commands."""
+"""Client of entry hosts' admin frontends, used by commands."""
 
 import msgspec
 
 from pollenstile.platform import FailedCall, ServerClient
 
-_SECONDS = 4.0
+_TIMEOUT_SECONDS = 4.0
 _OK = 200
 
 
-def admin_at(reactor, address):
-    """Return a function that reads a path of an admin face.
+def admin_reader(reactor, address):
+    """Return a function that reads a path of an admin frontend.
 
     Explanation
     ===========
 
-    The function takes a path and returns a coroutine of the document, or of
-    None when nothing answered.
+    The function takes a path and returns a coroutine that yields the decoded
+    document, or None when no valid answer was received.
     """
-    caller = caller_at(reactor, address)
+    caller = http_client_at(reactor, address)
 
     async def read(path):
-        body = await body_of(caller, path)
+        body = await fetch_body(caller, path)
         if body is None:
             return None
         try:
@@ -31,22 +31,22 @@
     return read
 
 
-def caller_at(reactor, address):
-    """Return a caller of a host's face for operators."""
+def http_client_at(reactor, address):
+    """Return an HTTP client of a host's frontend for operators."""
     host, port = address
-    return ServerClient(reactor, reactor, host, port, _SECONDS)
+    return ServerClient(reactor, reactor, host, port, _TIMEOUT_SECONDS)
 
 
-async def body_of(caller, path):
-    """Return the bytes of a page, or None when nothing answered with one."""
+async def fetch_body(caller, path):
+    """Return the body of a page, or None unless the status is 200."""
     reply = await caller.call('GET', path, fresh=True)
     if isinstance(reply, FailedCall) or reply.status != _OK:
         return None
     return reply.body
 
 
-async def first_answer(readers, path):
-    """Return the first document that one of several faces answers."""
+async def first_document(readers, path):
+    """Return the first document received from several frontends, or None."""
     for read in readers:
         document = await read(path)
         if document is not None:
--- a/pollenstile/ops/_draincmd.py
+++ b/pollenstile/ops/_draincmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile drain``: keeps new work from a failure domain's upstreams."""
+"""``pollenstile drain``: stops new work at a failure domain's upstreams."""
 
 import sys
 from dataclasses import dataclass
@@ -6,37 +6,42 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from pollenstile.forward import DRAINED, DRAINED_SECONDS, UNDER_WAY
-from pollenstile.ops._admin import body_of, caller_at
-from pollenstile.ops._statuscmd import entries_from
+from pollenstile.ops._admin import fetch_body, http_client_at
+from pollenstile.ops._statuscmd import parse_entries
 from pollenstile.ops._stores import store_at
 from pollenstile.ops.exits import (
     BAD_INPUT,
     BAD_RESULT,
     GOOD,
     UNREACHED,
-    unsure,
+    report_unknown_outcome,
 )
-from pollenstile.ops.measures import shown_name
+from pollenstile.ops.measures import metric_name
 from pollenstile.ops.running import result_of
-from pollenstile.ops.settings import address, identifier, parsed, shown
+from pollenstile.ops.settings import (
+    address,
+    identifier,
+    parse_argument,
+    format_address,
+)
 from pollenstile.platform import Absent, Found, Written
 
 
 @dataclass(slots=True, frozen=True)
 class HostDrain:
-    """What one host says of a drained domain.
+    """State of a drained domain as one host reports it.
 
     Parameters
     ==========
 
     host : str
-        Address of its measures.
+        Address of its metrics.
     answers : bool
-        Whether it answered.
+        Whether the host answered.
     drained_for : float or None
-        Seconds since it heard of the drain; None when it has not.
+        Seconds since the host received the drain; None if it has not.
     under_way : int
-        Requests and pieces that it still has there.
+        Requests and pieces that the host still runs in the domain.
     """
 
     host: str
@@ -49,47 +54,49 @@
     """Add the subcommand."""
     parser = commands.add_parser(
         'drain',
-        help="keep new work from a failure domain's upstreams",
+        help="stop new work at a failure domain's upstreams",
     )
     parser.add_argument('domain', help='the failure domain')
     parser.add_argument('--platform', default='', help='IP:PORT of the store')
     parser.add_argument(
         '--end',
         action='store_true',
-        help='let the domain have work again',
+        help='end the drain: send work to the domain again',
     )
     parser.add_argument(
         '--metrics',
         default='',
-        help="IP:PORT of hosts' measures: show what is left there",
+        help="IP:PORT of hosts' metrics: show the remaining work",
     )
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Write the drain, or show what is left; return the exit code."""
+    """Write the drain or show the remaining work; return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
-    domain = parsed('domain', identifier, arguments.domain)
+    domain = parse_argument('domain', identifier, arguments.domain)
     if bool(arguments.platform) == bool(arguments.metrics):
-        sys.stderr.write('pollenstile drain: --platform to write it, or ')
-        sys.stderr.write('--metrics to see what is left\n')
+        sys.stderr.write('pollenstile drain: give either --platform to write ')
+        sys.stderr.write('the drain or --metrics to show the remaining work\n')
         return BAD_INPUT
     if arguments.metrics:
-        hosts = entries_from(arguments.metrics, '--metrics')
-        drains = result_of(reactor, lambda: _drains(reactor, hosts, domain))
+        hosts = parse_entries(arguments.metrics, '--metrics')
+        drains = result_of(
+            reactor, lambda: _read_drains(reactor, hosts, domain)
+        )
         print(*drain_lines(domain, drains), sep='\n')
         return exit_code(drains)
-    platform = parsed('--platform', address, arguments.platform)
+    platform = parse_argument('--platform', address, arguments.platform)
     store = store_at(reactor, platform)
     written = result_of(
-        reactor, lambda: written_drain(store, domain, ends=arguments.end)
+        reactor, lambda: write_drain(store, domain, ends=arguments.end)
     )
     if isinstance(written, Written):
         verb = 'has work again' if arguments.end else 'is drained'
         print(f'{domain} {verb}, revision {written.version}')
         return GOOD
-    return unsure('pollenstile drain', written)
+    return report_unknown_outcome('pollenstile drain', written)
 
 
 def drain_lines(domain, hosts):
@@ -106,19 +113,19 @@
     a:1  drained for 4.2 s, 3 left
     b:1  has not heard of it, 0 left
     """
-    left = sum(one.under_way for one in hosts)
-    obey = sum(one.drained_for is not None for one in hosts)
+    remaining = sum(host.under_way for host in hosts)
+    drained_hosts = sum(host.drained_for is not None for host in hosts)
     lines = [
-        f'{domain}: {left} requests and pieces left, '
-        f'{obey} of {len(hosts)} hosts obey',
+        f'{domain}: {remaining} requests and pieces left, '
+        f'{drained_hosts} of {len(hosts)} hosts obey',
     ]
-    for one in hosts:
-        lines.append(f'{one.host}  {_state(one)}')
+    for host in hosts:
+        lines.append(f'{host.host}  {_host_state(host)}')
     return lines
 
 
-def drain_of(host, domain, text):
-    """Return what a host's measures say of a domain."""
+def parse_drain(host, domain, text):
+    """Return the drain state of a domain, read from a host's metrics."""
     values = {}
     for family in text_string_to_metric_families(text):
         for sample in family.samples:
@@ -127,12 +134,12 @@
     return HostDrain(
         host,
         answers=True,
-        drained_for=values.get(shown_name(DRAINED_SECONDS)),
-        under_way=int(values.get(shown_name(UNDER_WAY), 0)),
+        drained_for=values.get(metric_name(DRAINED_SECONDS)),
+        under_way=int(values.get(metric_name(UNDER_WAY), 0)),
     )
 
 
-def _state(host):
+def _host_state(host):
     if not host.answers:
         return 'no answer'
     if host.drained_for is None:
@@ -141,39 +148,39 @@
 
 
 def exit_code(hosts):
-    """Return whether a domain is empty and all hosts obey, as an exit code."""
-    if not any(one.answers for one in hosts):
+    """Return the exit code; GOOD if all hosts drained the empty domain."""
+    if not any(host.answers for host in hosts):
         return UNREACHED
     is_empty = all(
-        one.drained_for is not None and not one.under_way for one in hosts
+        host.drained_for is not None and not host.under_way for host in hosts
     )
     return GOOD if is_empty else BAD_RESULT
 
 
-async def _drains(reactor, hosts, domain):
+async def _read_drains(reactor, hosts, domain):
     found = []
     for host in hosts:
-        body = await body_of(caller_at(reactor, host), '/')
-        name = shown(host)
+        body = await fetch_body(http_client_at(reactor, host), '/')
+        name = format_address(host)
         if body is None:
             found.append(HostDrain(name, answers=False))
             continue
-        found.append(drain_of(name, domain, body.decode()))
+        found.append(parse_drain(name, domain, body.decode()))
     return found
 
 
-async def written_drain(store, domain, *, ends):
-    """Write or delete a domain's entry; what stands as asked is kept.
+async def write_drain(store, domain, *, ends):
+    """Write or delete a domain's drain entry unless it is already so.
 
     Returns
     =======
 
     Written, Conflict, NotApplied or InDoubt
     """
-    standing = await store.get(DRAINED, domain)
-    if isinstance(standing, Found) and not ends:
-        return Written(standing.version)
-    if isinstance(standing, Absent) and ends:
+    existing = await store.get(DRAINED, domain)
+    if isinstance(existing, Found) and not ends:
+        return Written(existing.version)
+    if isinstance(existing, Absent) and ends:
         return Written(0)
     if ends:
         return await store.delete(DRAINED, domain)
--- a/pollenstile/ops/_entrycmd.py
+++ b/pollenstile/ops/_entrycmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile entry``: the daemon."""
+"""``pollenstile entry``: runs an entry host of the pipeline system."""
 
 import random
 
@@ -11,13 +11,13 @@
     place_engines,
 )
 from pollenstile.fleet import http_load_reader
-from pollenstile.ops.collector import set_collector
+from pollenstile.ops.collector import configure_garbage_collector
 from pollenstile.ops.exits import GOOD
 from pollenstile.ops.logs import configure_logs, event_log
 from pollenstile.ops.settings import ENTRY, add_flags, settings_from
-from pollenstile.ops._stores import hosts_reader, paced_store, tickets_asker
+from pollenstile.ops._stores import hosts_reader, paced_store, ticket_requester
 from pollenstile.peer import tcp_connect
-from pollenstile.ops.clock import boot_clock, run_steadily
+from pollenstile.ops.clock import boot_clock, use_boot_clock
 from pollenstile.placement import http_orders
 from pollenstile.upstream import http_transport
 
@@ -35,20 +35,20 @@
     """Run the daemon until SIGTERM or SIGINT; return the exit code."""
     settings = settings_from(arguments, ENTRY)
     configure_logs(settings.log_level)
-    # The one place where the global reactor is taken.
+    # The only use of the global reactor; importing the module installs it.
     from twisted.internet import reactor  # noqa: WPS433
 
-    run_steadily(reactor)
-    daemon = built_daemon(reactor, settings)
-    set_collector()
+    use_boot_clock(reactor)
+    daemon = build_daemon(reactor, settings)
+    configure_garbage_collector()
     reactor.callWhenRunning(daemon.start)
     reactor.addSystemEventTrigger('before', 'shutdown', daemon.stop)
     reactor.run()
     return GOOD
 
 
-def built_daemon(reactor, settings):
-    """Return a daemon with real connections, store and metrics."""
+def build_daemon(reactor, settings):
+    """Return a daemon with real connections, object store and metrics."""
     rng = random.Random(settings.seed or None)
     log = event_log(host=settings.host)
     store = paced_store(reactor, rng, settings, log)
@@ -73,7 +73,7 @@
             node,
             store,
             http_orders(reactor),
-            tickets_asker(reactor, settings),
+            ticket_requester(reactor, settings),
             boot_clock,
         )
     return Daemon(reactor, node, settings, fleet, _statsd(settings))
--- a/pollenstile/ops/_explaincmd.py
+++ b/pollenstile/ops/_explaincmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile explain``: one request's story, from the logs of many hosts."""
+"""``pollenstile explain``: one request's timeline from several hosts' logs."""
 
 import importlib
 import sys
@@ -8,30 +8,32 @@
 from pollenstile.ops.events import catalogue
 from pollenstile.ops.exits import BAD_INPUT, BAD_RESULT, GOOD
 
-# Modules whose events stand in the lines of an entry host that forwards.
+# Modules that define the events logged by a forwarding entry host.
 _EVENT_MODULES = (
     'pollenstile.forward.events',
     'pollenstile.stagework.events',
     'pollenstile.peer.events',
     'pollenstile.platform.events',
 )
-# Fields that stand elsewhere in the story, or say nothing in it.
-_LEFT_OUT = ('event', 'host', 'number', 'request', 'timestamp')
+# Fields that the timeline shows elsewhere or that add no information.
+_OMITTED_FIELDS = ('event', 'host', 'number', 'request', 'timestamp')
 
 
 def add_parser(commands):
     """Add the subcommand."""
     parser = commands.add_parser(
         'explain',
-        help="tell a request's story from logs on standard input",
+        help="show a request's timeline from logs on standard input",
+    )
+    parser.add_argument(
+        'request', help='attempt identifier that the caller sent'
     )
-    parser.add_argument('request', help='the attempt that its caller named')
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Print the story; return the exit code."""
-    lines, number = _lines_of(sys.stdin, arguments.request)
+    """Print the timeline and return the exit code."""
+    lines, number = _matching_lines(sys.stdin, arguments.request)
     if not number:
         sys.stderr.write('pollenstile explain: no log lines on the input\n')
         return BAD_INPUT
@@ -41,63 +43,63 @@
             f'pollenstile explain: {name} is in none of {number} lines\n',
         )
         return BAD_RESULT
-    for line in story(lines):
+    for line in timeline_lines(lines):
         print(line)
     return GOOD
 
 
-def story(lines):
-    """Return a request's lines in order of time, told for people.
+def timeline_lines(lines):
+    """Return a request's timeline: log lines by time, with meanings.
 
     Parameters
     ==========
 
     lines : list of dict
-        Log lines that name the request.
+        Decoded log lines that name the request.
     """
     for module in _EVENT_MODULES:
         importlib.import_module(module)
     meanings = {event.number: event.meaning for event in catalogue()}
-    told = []
-    for line in sorted(lines, key=_moment):
+    timeline = []
+    for line in sorted(lines, key=_timestamp):
         fields = ' '.join(
             f'{name}={value}'
             for name, value in line.items()
-            if name not in _LEFT_OUT and str(value) not in {'', '0'}
+            if name not in _OMITTED_FIELDS and str(value) not in {'', '0'}
         )
-        moment = line.get('timestamp', '')
+        timestamp = line.get('timestamp', '')
         host = line.get('host', '')
-        told.append(f'{moment} {host} {line.get("event", "")} {fields}')
+        timeline.append(f'{timestamp} {host} {line.get("event", "")} {fields}')
         meaning = meanings.get(line.get('number'))
         if meaning:
-            told.append(f'    {meaning}')
-    return told
+            timeline.append(f'    {meaning}')
+    return timeline
 
 
-def _moment(line):
-    # Hosts' clocks differ a little; what a host says of itself stays in order.
+def _timestamp(line):
+    # Clocks of hosts differ slightly; the lines of one host stay in order.
     return line.get('timestamp', '')
 
 
-def _lines_of(stream, request):
-    """Return the lines that name a request, and how many lines there were."""
-    found = []
+def _matching_lines(stream, request):
+    """Return the lines that name a request, and the count of all log lines."""
+    matches = []
     number = 0
     for text in stream:
-        line = decoded_line(text)
+        line = decode_line(text)
         if line is None:
             continue
         number += 1
         named = line.get('request', '')
         if request == named or (isinstance(named, list) and request in named):
-            found.append(line)
-    return found, number
+            matches.append(line)
+    return matches, number
 
 
-def decoded_line(text):
-    """Return a log line's fields; None for what is no log line.
+def decode_line(text):
+    """Return a log line's fields, or None when the text is not a log line.
 
-    A collector may have put a time or a host before the line.
+    A log collector may have prefixed the line with a time or a host.
     """
     start = text.find('{')
     if start < 0:
--- a/pollenstile/ops/_lossescmd.py
+++ b/pollenstile/ops/_lossescmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile losses``: what callers lost and where, from logs."""
+"""``pollenstile losses``: late, refused and failed requests by cause."""
 
 import argparse
 import sys
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from pollenstile.ops._explaincmd import decoded_line
-from pollenstile.ops._losses import USED_EVENTS, Reading, document_of
+from pollenstile.ops._explaincmd import decode_line
+from pollenstile.ops._losses import USED_EVENTS, LossCollector, losses_document
 from pollenstile.ops.exits import BAD_INPUT, GOOD
 
-# Seconds between lines that tell how far a long input is read.
+# Seconds between progress lines while a long input is read.
 _PROGRESS_SECONDS = 3.0
 _MOST_CAUSES = 6
 _EPILOG = """example:
@@ -22,7 +22,7 @@
     """Add the subcommand."""
     parser = commands.add_parser(
         'losses',
-        help='tell what callers lost and where, from logs on standard input',
+        help='count late, refused and failed requests in logs on stdin',
         epilog=_EPILOG,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -36,48 +36,48 @@
 
 
 def run(arguments):
-    """Print the tables; return the exit code."""
-    reading = read_lines(sys.stdin, sys.stderr, time.monotonic)
-    if not reading.lines:
+    """Print the tables and return the exit code."""
+    collector = read_lines(sys.stdin, sys.stderr, time.monotonic)
+    if not collector.lines:
         sys.stderr.write(
             'pollenstile losses: no log lines of entry hosts on the input;'
-            ' give it what `pollenstile forward` writes\n',
+            ' pipe in the output of `pollenstile forward`\n',
         )
         return BAD_INPUT
-    document = document_of(reading.losses())
+    document = losses_document(collector.losses())
     if arguments.format == 'json':
         print(msgspec.json.encode(document).decode())
         return GOOD
-    for line in table_of(document):
+    for line in table_lines(document):
         print(line)
     return GOOD
 
 
-def read_lines(stream, progress, seconds):
-    """Return a :class:`Reading` of all log lines of a stream.
+def read_lines(stream, progress, clock):
+    """Return a :class:`LossCollector` of all log lines of a stream.
 
     Parameters
     ==========
 
     progress : file
-        Gets a line every three seconds of reading.
-    seconds : function
-        Returns the time.
+        Receives a progress line every three seconds.
+    clock : function
+        Returns the current time in seconds.
     """
-    reading = Reading()
-    told_at = seconds()
+    collector = LossCollector()
+    reported_at = clock()
     for number, text in enumerate(stream, 1):
-        line = decoded_line(text)
+        line = decode_line(text)
         if line is not None and line['event'] in USED_EVENTS:
-            reading.take(line)
-        if seconds() - told_at > _PROGRESS_SECONDS:
-            told_at = seconds()
+            collector.add_line(line)
+        if clock() - reported_at > _PROGRESS_SECONDS:
+            reported_at = clock()
             progress.write(f'{number} lines read\n')
-    return reading
+    return collector
 
 
-def table_of(document):
-    """Return the lines of the tables, 80 columns at most."""
+def table_lines(document):
+    """Return the lines of the tables, each at most 80 columns wide."""
     lines = []
     for row in document['routes']:
         lines.extend(_route_lines(row))
--- a/pollenstile/ops/_quarantinecmd.py
+++ b/pollenstile/ops/_quarantinecmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile quarantine``: what crashes upstreams, listed or released."""
+"""``pollenstile quarantine``: lists or lifts requests that crash upstreams."""
 
 import json
 import sys
@@ -6,29 +6,34 @@
 from dataclasses import asdict, dataclass
 
 from pollenstile.ops._stores import store_at
-from pollenstile.ops.exits import BAD_RESULT, GOOD, UNREACHED, unsure
+from pollenstile.ops.exits import (
+    BAD_RESULT,
+    GOOD,
+    UNREACHED,
+    report_unknown_outcome,
+)
 from pollenstile.ops.running import result_of
-from pollenstile.ops.settings import address, identifier, parsed
+from pollenstile.ops.settings import address, identifier, parse_argument
 from pollenstile.platform import Absent, Found, Listing, Written, list_all
 from pollenstile.quarantine import QUARANTINE_KIND
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 _NAME = 'pollenstile quarantine'
 
 
 @dataclass(slots=True, frozen=True)
 class HeldRequest:
-    """A request in quarantine, as its entry in the store says.
+    """A request in quarantine, as its store entry describes it.
 
     Parameters
     ==========
 
     fingerprint, team, service : str
-        Which request, whose, and of which service.
+        Fingerprint of the request, its team and the service that it called.
     crashes : int
-        Upstreams that had crashed under it.
+        Number of upstreams that crashed while they ran it.
     held_s : int
-        Seconds since then.
+        Seconds since it was quarantined.
     """
 
     fingerprint: str
@@ -42,7 +47,7 @@
     """Add the subcommand."""
     parser = commands.add_parser(
         'quarantine',
-        help='list requests that crash upstreams, or lift one',
+        help='list quarantined requests, or lift the quarantine of one',
     )
     parser.add_argument(
         '--platform', required=True, help='IP:PORT of the store'
@@ -51,34 +56,38 @@
         '--lift',
         default='',
         metavar='FINGERPRINT',
-        help='let this request go to upstreams again',
+        help='allow this request to reach upstreams again',
     )
     parser.add_argument(
-        '--json', action='store_true', help='an object a line, for programs'
+        '--json', action='store_true', help='print one JSON object per line'
     )
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """List what is held, or lift it; return the exit code."""
+    """List held requests, or lift one; return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
-    store = store_at(reactor, parsed('--platform', address, arguments.platform))
+    store = store_at(
+        reactor, parse_argument('--platform', address, arguments.platform)
+    )
     if arguments.lift:
-        name = parsed('--lift', identifier, arguments.lift)
-        return _lifted(name, result_of(reactor, lambda: lifted(store, name)))
+        name = parse_argument('--lift', identifier, arguments.lift)
+        return _report_lift(
+            name, result_of(reactor, lambda: lift_quarantine(store, name))
+        )
     listing = result_of(reactor, lambda: list_all(store, QUARANTINE_KIND))
     if not isinstance(listing, Listing):
-        sys.stderr.write(f'{_NAME}: the store does not answer; try again\n')
+        sys.stderr.write(f'{_NAME}: the store did not answer; try again\n')
         return UNREACHED
-    held = held_requests(listing.objects, int(time.time() * _MS))
+    held = held_requests(listing.objects, int(time.time() * _MS_PER_SECOND))
     shown = _json_lines(held) if arguments.json else table_lines(held)
     print(*shown, sep='\n')
     return GOOD
 
 
 def held_requests(entries, now_ms):
-    """Return what entries say; those of another form are left out."""
+    """Return the requests of store entries; malformed entries are skipped."""
     found = []
     for entry in entries:
         fields = entry.value
@@ -93,7 +102,7 @@
                 str(fields.get('team', '')),
                 str(fields.get('service', '')),
                 int(fields.get('crashes', 0)),
-                max(0, now_ms - since) // _MS,
+                max(0, now_ms - since) // _MS_PER_SECOND,
             )
         )
     return found
@@ -117,38 +126,39 @@
         return ['no request is in quarantine']
     noun = 'request' if len(held) == 1 else 'requests'
     lines = [f'{len(held)} {noun} in quarantine']
-    for one in held:
+    for request in held:
         lines.append(
-            f'{one.fingerprint}  team {one.team}, service {one.service}: '
-            f'{one.crashes} upstreams crashed, held for {one.held_s} s',
+            f'{request.fingerprint}  team {request.team}, '
+            f'service {request.service}: '
+            f'{request.crashes} upstreams crashed, held for {request.held_s} s',
         )
     return lines
 
 
-async def lifted(store, name):
-    """Delete an entry; return ``Absent`` where there is none.
+async def lift_quarantine(store, name):
+    """Delete a quarantine entry; return ``Absent`` if there is none.
 
     Returns
     =======
 
     Absent, Written, Conflict, NotApplied, InDoubt or Unavailable
     """
-    standing = await store.get(QUARANTINE_KIND, name)
-    if not isinstance(standing, Found):
-        return standing
+    existing = await store.get(QUARANTINE_KIND, name)
+    if not isinstance(existing, Found):
+        return existing
     return await store.delete(QUARANTINE_KIND, name)
 
 
-def _lifted(name, outcome):
-    """Say what became of a release; return the exit code."""
+def _report_lift(name, outcome):
+    """Report the outcome of lifting a quarantine; return the exit code."""
     if isinstance(outcome, Written):
         print(f'{name} goes to upstreams again')
         return GOOD
     if isinstance(outcome, Absent):
         sys.stderr.write(f'{_NAME}: {name} is not in quarantine\n')
         return BAD_RESULT
-    return unsure(_NAME, outcome)
+    return report_unknown_outcome(_NAME, outcome)
 
 
 def _json_lines(held):
-    return [json.dumps(asdict(one)) for one in held]
+    return [json.dumps(asdict(request)) for request in held]
--- a/pollenstile/ops/_soakcmd.py
+++ b/pollenstile/ops/_soakcmd.py
@@ -1,4 +1,4 @@
-"""``pollenstile soak``: randomised runs with invariants."""
+"""``pollenstile soak``: randomised runs that check invariants."""
 
 import argparse
 import pathlib
@@ -6,7 +6,7 @@
 import time
 from contextlib import nullcontext
 
-from pollenstile.ops.clock import run_steadily
+from pollenstile.ops.clock import use_boot_clock
 from pollenstile.ops.exits import BAD_RESULT, GOOD
 from pollenstile.ops.logs import configure_logs, event_log
 from pollenstile.ops.running import result_of
@@ -20,11 +20,11 @@
         help='run hosts, upstreams and callers under random faults',
         description=(
             'Runs several entry hosts in virtual time under random faults, '
-            'and checks what must always hold. The same seed gives the same '
-            'run and the same digest. Exit code 1 when something was broken.'
+            'and checks invariants. The same seed gives the same run and the '
+            'same digest. Exit code 1 when an invariant was broken.'
         ),
     )
-    parser.add_argument('--seed', type=int, default=1, help='first or only')
+    parser.add_argument('--seed', type=int, default=1, help='seed of the run')
     parser.add_argument(
         '--seeds',
         type=_seed_range,
@@ -35,29 +35,29 @@
         '--steps',
         type=_positive,
         default=400,
-        help='how many times something happens in a run [400]',
+        help='number of random steps in a run [400]',
     )
     parser.add_argument(
         '--live',
         action='store_true',
-        help='real processes on this machine, struck by signals and proxies',
+        help='run real processes, with faults by signals and proxies',
     )
     parser.add_argument(
         '--seconds',
         type=float,
         default=8.0,
-        help='with --live: for which faults go on [8]',
+        help='with --live: duration of the faults [8]',
     )
     parser.add_argument(
         '--logs',
         type=pathlib.Path,
-        help="with --live: a folder for each seed's log of all hosts",
+        help="with --live: folder for each seed's combined host log",
     )
     parser.add_argument(
         '--hosts',
         type=_positive,
         default=4,
-        help='with --live: entry hosts [4]',
+        help='with --live: number of entry hosts [4]',
     )
     parser.set_defaults(run=run)
 
@@ -74,12 +74,12 @@
     if not (dash and first.isdigit() and last.isdigit()):
         raise argparse.ArgumentTypeError(f'{text!r} is not A-B')
     if int(last) < int(first):
-        raise argparse.ArgumentTypeError(f'{text!r} has no seed in it')
+        raise argparse.ArgumentTypeError(f'{text!r} is an empty range')
     return range(int(first), int(last) + 1)
 
 
 def run(arguments):
-    """Run each seed and print a line for it; return the exit code."""
+    """Run each seed, print a line for each and return the exit code."""
     configure_logs('error')
     seeds = arguments.seeds or [arguments.seed]
     if arguments.live:
@@ -88,27 +88,35 @@
     started = time.perf_counter()
     for seed in seeds:
         result = run_soak(seed, arguments.steps, event_log(seed=seed))
-        print(_line(result))
+        print(_result_line(result))
         if result.violations:
             broken.append(seed)
             _print_tail(result)
-    each = (time.perf_counter() - started) / len(seeds)
-    print(f'{len(seeds)} seeds, {len(broken)} broken, {each:.2f} s a seed')
+    seed_seconds = (time.perf_counter() - started) / len(seeds)
+    print(
+        f'{len(seeds)} seeds, {len(broken)} broken, {seed_seconds:.2f} s a seed'
+    )
     if not broken:
         return GOOD
-    print('broken seeds: {}'.format(' '.join(str(one) for one in broken)))
+    print(
+        'broken seeds: {}'.format(
+            ' '.join(str(broken_seed) for broken_seed in broken)
+        )
+    )
     return BAD_RESULT
 
 
 def _run_live(seeds, arguments):
-    # The one place where the global reactor is taken.
+    # The only use of the global reactor; importing the module installs it.
     from twisted.internet import reactor  # noqa: WPS433
 
-    run_steadily(reactor)
-    return result_of(reactor, lambda: _all_live(reactor, seeds, arguments))
+    use_boot_clock(reactor)
+    return result_of(
+        reactor, lambda: _run_live_seeds(reactor, seeds, arguments)
+    )
 
 
-async def _all_live(reactor, seeds, arguments):
+async def _run_live_seeds(reactor, seeds, arguments):
     from pollenstile.soak.live import run_live  # noqa: WPS433
 
     broken = []
@@ -137,10 +145,12 @@
 
 
 def _live_line(result):
-    ends = [f'{key} {result.outcomes[key]}' for key in sorted(result.outcomes)]
+    outcomes = [
+        f'{key} {result.outcomes[key]}' for key in sorted(result.outcomes)
+    ]
     return (
         f'seed {result.seed}: {len(result.faults)} faults; '
-        f'{", ".join(ends)}; {len(result.broken)} broken'
+        f'{", ".join(outcomes)}; {len(result.broken)} broken'
     )
 
 
@@ -151,7 +161,7 @@
         print(f'seed {result.seed} broken: {line}')
 
 
-def _line(result):
+def _result_line(result):
     tags = [f'{tag} {count}' for tag, count in sorted(result.outcomes.items())]
     return (
         f'seed {result.seed} digest {result.digest} '
--- a/pollenstile/ops/_statuscmd.py
+++ b/pollenstile/ops/_statuscmd.py
@@ -1,36 +1,36 @@
-"""``pollenstile status``: which host has which version in force."""
+"""``pollenstile status``: shows the manifest version of each host."""
 
 import json
 import sys
 
-from pollenstile.ops._admin import admin_at, first_answer
+from pollenstile.ops._admin import admin_reader, first_document
 from pollenstile.ops.exits import BAD_RESULT, GOOD, UNREACHED
 from pollenstile.ops.running import result_of
-from pollenstile.ops.settings import SettingsError, addresses, parsed
+from pollenstile.ops.settings import SettingsError, addresses, parse_argument
 
 
 def add_parser(commands):
     """Add the subcommand."""
     parser = commands.add_parser(
         'status',
-        help='show which host has which version in force',
+        help='show the manifest version in force at each host',
     )
     parser.add_argument(
         '--entry',
         required=True,
-        help="IP:PORT of an entry host's admin face; several with commas",
+        help="IP:PORT of entry hosts' admin frontends, comma-separated",
     )
     parser.add_argument('--json', action='store_true', help='print JSON')
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Print the fleet's status; return the exit code."""
+    """Print the fleet's status and return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
-    entries = entries_from(arguments.entry)
-    readers = [admin_at(reactor, entry) for entry in entries]
-    document = result_of(reactor, lambda: first_answer(readers, '/fleet'))
+    entries = parse_entries(arguments.entry)
+    readers = [admin_reader(reactor, entry) for entry in entries]
+    document = result_of(reactor, lambda: first_document(readers, '/fleet'))
     if document is None:
         sys.stderr.write('no entry host answered\n')
         return UNREACHED
@@ -42,16 +42,16 @@
     return GOOD if is_settled(document) else BAD_RESULT
 
 
-def entries_from(text, flag='--entry'):
-    """Return the addresses of a flag that needs one."""
-    found = parsed(flag, addresses, text)
-    if not found:
+def parse_entries(text, flag='--entry'):
+    """Return the addresses of a flag that requires at least one."""
+    entries = parse_argument(flag, addresses, text)
+    if not entries:
         raise SettingsError([f'{flag}: no address'])
-    return found
+    return entries
 
 
 def is_settled(document):
-    """Return whether all hosts that stay have the version asked about."""
+    """Return whether all remaining hosts run the asked host's version."""
     for host in document['hosts']:
         if not host['leaving'] and host['version'] != document['version']:
             return False
@@ -59,7 +59,7 @@
 
 
 def status_lines(document):
-    """Return lines for a terminal.
+    """Return the lines of the status table.
 
     Examples
     ========
@@ -90,8 +90,8 @@
         )
     for upstream in document['upstreams']:
         state = 'leaving' if upstream['leaving'] else 'can not be reached'
-        by = ', '.join(upstream['witnesses'])
-        shown = f' by {by}' if by else ''
+        witnesses = ', '.join(upstream['witnesses'])
+        shown = f' by {witnesses}' if witnesses else ''
         lines.append(
             f'upstream {upstream["upstream"]} '
             f'({upstream["incarnation"]}): {state}{shown}',
--- a/pollenstile/ops/usage.py
+++ b/pollenstile/ops/usage.py
@@ -1,4 +1,4 @@
-"""What this process has used of the machine."""
+"""Resource usage of this process."""
 
 import resource
 import time
@@ -7,7 +7,7 @@
 
 
 def process_usage():
-    """Return processor seconds and the most memory held, as a document.
+    """Return processor seconds and peak memory as a document.
 
     Examples
     ========
@@ -16,8 +16,8 @@
     >>> sorted(process_usage())
     ['cpu_seconds', 'memory_mb']
     """
-    most = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+    peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     return {
         'cpu_seconds': round(time.process_time(), 3),
-        'memory_mb': round(most / _KB, 1),
+        'memory_mb': round(peak / _KB, 1),
     }
