--- a/features/builders/claims.py
+++ b/features/builders/claims.py
@@ -10,7 +10,7 @@
 from features.builders.loop import advanced, kept_result
 from pollenstile.claims import forwarding, join_peers, sent
 from pollenstile.claims._digests import object_name
-from pollenstile.claims._records import segment_from
+from pollenstile.claims._records import decode_segment
 from pollenstile.entry import built_node
 from pollenstile.manifest import (
     Domain,
@@ -391,7 +391,7 @@
         found = []
         for name in self.objects():
             row = self.store.objects.found('claims', name)
-            found.extend(segment_from(row.value).records)
+            found.extend(decode_segment(row.value).records)
         return found
 
     def objects(self):
--- a/features/builders/claims_guards.py
+++ b/features/builders/claims_guards.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from pollenstile.claims import Claims, Held, ShardLog
-from pollenstile.claims import _fold, _log, _reader
+from pollenstile.claims import _log, _reader, _truncate
 from pollenstile.outcomes import Answered
 from pollenstile.platform import InDoubt, Written
 
@@ -17,26 +17,26 @@
     name = _log.object_name(self.shard, sequence)
     outcome = await self.store.put('claims', name, segment, if_version=0)
     if isinstance(outcome, (Written, InDoubt)):
-        self.reader.wrote(sequence, segment, self.clock.seconds())
+        self.reader.record_append(sequence, segment, self.clock.seconds())
         return None
-    return await self.reader.read_end()
+    return await self.reader.read_to_end()
 
 
 async def _next_in_doubt(self, sequence, segment, batch):
     name = _log.object_name(self.shard, sequence)
     outcome = await self.store.put('claims', name, segment, if_version=0)
     if isinstance(outcome, Written):
-        self.reader.wrote(sequence, segment, self.clock.seconds())
+        self.reader.record_append(sequence, segment, self.clock.seconds())
         return None
     if isinstance(outcome, InDoubt):
         self.reader.state.cursor = sequence
         return None
-    return await self.reader.read_end()
+    return await self.reader.read_to_end()
 
 
 async def _unread(self):
     self.state.cursor += 1
-    self.fresh_at = self.clock.seconds()
+    self.end_known_at = self.clock.seconds()
 
 
 async def _unclaimed(self, request, record):
@@ -46,14 +46,14 @@
 async def _ran_and_released(self, record, run):
     outcome = await run()
     if isinstance(outcome, Answered):
-        self.kept.keep(record, outcome)
+        self.outcome_cache.add(record, outcome)
     else:
         self._release(record)
     return outcome
 
 
 async def _appended_as_own(self, record, patience):
-    return await self._appended(record, patience, own=True)
+    return await self._append_claim(record, patience, own=True)
 
 
 def _all_folded(oldest, cursor, now):
@@ -77,31 +77,33 @@
     patch = mock.patch.object
     return {
         'the read-back of an append in doubt': [
-            patch(ShardLog, '_written', _won_in_doubt),
+            patch(ShardLog, '_put_until_settled', _won_in_doubt),
         ],
         'settling a number before the next': [
-            patch(ShardLog, '_written', _next_in_doubt),
+            patch(ShardLog, '_put_until_settled', _next_in_doubt),
         ],
         'the read of the log before an append': [
-            patch(_reader.ShardReader, 'read_end', _unread),
+            patch(_reader.ShardReader, 'read_to_end', _unread),
         ],
         'create-if-absent': [patch(Way, 'put', _blind(Way.put))],
         'the bound on a known end': [
-            patch(_log, 'is_trusted', _always),
-            patch(_reader, 'is_trusted', _always),
+            patch(_log, 'is_end_current', _always),
+            patch(_reader, 'is_end_current', _always),
         ],
         'the claim before the dispatch': [
-            patch(Claims, '_settled', _unclaimed),
+            patch(Claims, '_acquire_claim', _unclaimed),
         ],
         'keeping the key of an unknown outcome': [
-            patch(Claims, '_ran', _ran_and_released),
+            patch(Claims, '_run_claimed', _ran_and_released),
         ],
         'leaving the claims of others alone': [
             patch(Claims, 'forwarded', _appended_as_own),
         ],
-        'keeping the newest segment': [patch(_fold, 'folded', _all_folded)],
+        'keeping the newest segment': [
+            patch(_truncate, 'select_expired', _all_folded)
+        ],
         'keeping segments for the window': [
-            patch(_fold, 'folded', _unexpired_folded),
+            patch(_truncate, 'select_expired', _unexpired_folded),
         ],
     }[guard]
 
--- a/features/builders/claims_trace.py
+++ b/features/builders/claims_trace.py
@@ -7,7 +7,7 @@
 from features.builders.claims import EntryHost, Way
 from features.builders.claims_guards import without
 from pollenstile.claims import Claims, ShardLog
-from pollenstile.claims._digests import KIND, sequence_of
+from pollenstile.claims._digests import KIND, parse_sequence
 from pollenstile.pipeline._ledger import Ledger
 from pollenstile.platform import Written
 from pollenstile.standin._objects import Objects
@@ -60,7 +60,7 @@
             'open',
             host=host,
             shard=name.partition('/')[0],
-            place=sequence_of(name),
+            place=parse_sequence(name),
             append=segment.batch,
             claims=tuple(steps['claim']),
             frees=tuple(steps['release']),
@@ -71,7 +71,7 @@
         self._note(
             'apply',
             shard=name.partition('/')[0],
-            place=sequence_of(name),
+            place=parse_sequence(name),
             append=batch,
         )
 
@@ -117,14 +117,14 @@
         recorder.end('repeat', request.ident)
 
     def withdrawn(log, pending, reason=''):
-        if pending.is_open and pending.is_own:
+        if pending.is_awaited and pending.is_own:
             recorder.end('refuse', pending.record.ident)
 
     return (
-        (Claims, '_claimed', claimed),
+        (Claims, '_claim_and_run', claimed),
         (Claims, '_release', released),
-        (Claims, '_refusal', refused),
-        (Claims, '_repeated', repeated),
+        (Claims, '_refuse_unclaimed', refused),
+        (Claims, '_answer_repeat', repeated),
         (ShardLog, 'withdraw', withdrawn),
     )
 
--- a/features/steps/claims_steps.py
+++ b/features/steps/claims_steps.py
@@ -225,7 +225,7 @@
         host,
         world.clock.seconds() + 100000,
     )
-    pending = entry.claims.log_of(record.key).submit(record)
+    pending = entry.claims.shard_log(record.key).submit(record)
     world.answers['held'] = kept_result(pending.done)
 
 
--- a/pollenstile/claims/__init__.py
+++ b/pollenstile/claims/__init__.py
@@ -1,8 +1,8 @@
-"""Non-idempotent requests at most once, from any entry host."""
+"""Durable claims of idempotency keys: at most one run over all entry hosts."""
 
-from pollenstile.claims._claims import SHARDS, Claims, unreachable
+from pollenstile.claims._claims import SHARDS, Claims, holder_unreachable
 from pollenstile.claims._forward import forwarding, preferred_host
 from pollenstile.claims._log import ShardLog
-from pollenstile.claims._pending import Held, Unreached
-from pollenstile.claims._records import Record, Segment
+from pollenstile.claims._pending import Held, NotClaimed
 from pollenstile.claims._peers import join_peers, sent
+from pollenstile.claims._records import Record, Segment
--- a/pollenstile/claims/_claims.py
+++ b/pollenstile/claims/_claims.py
@@ -1,13 +1,17 @@
-"""At most one run of each key: claims of one entry host."""
+"""Claims idempotency keys for an entry host: at most one run of each key."""
 
 from twisted.internet.defer import Deferred, DeferredList
 
 from pollenstile.claims import events
-from pollenstile.claims._digests import content_digest, key_digest, shard_of
-from pollenstile.claims._kept import Kept
+from pollenstile.claims._digests import (
+    digest_content,
+    key_digest,
+    shard_for_key,
+)
+from pollenstile.claims._outcomecache import OutcomeCache
 from pollenstile.claims._log import ShardLog
-from pollenstile.claims._pending import Held, Unreached
-from pollenstile.claims._records import Record, release_of
+from pollenstile.claims._pending import Held, NotClaimed
+from pollenstile.claims._records import Record, build_release
 from pollenstile.outcomes import Answered, Refused, Unknown
 
 SHARDS = 32
@@ -16,25 +20,25 @@
 _UNAVAILABLE = 503
 _UNPROCESSABLE = 422
 _CONFLICT = 409
-# Of what is left until the deadline, the claim may take this share.
-_SHARE = 0.5
-_PATIENCE = 2.0
-_RUNNING_RETRY = 1.0
-_UNREACHED_RETRY = 10.0
+# Share of the time remaining until the deadline that a claim may take.
+_CLAIM_SHARE = 0.5
+_MAX_CLAIM_SECONDS = 2.0
+_RUNNING_RETRY_SECONDS = 1.0
+_UNREACHABLE_RETRY_SECONDS = 10.0
 
 
-async def unreachable(holder):
-    """Reach no other host: neutral value for ``ask_owner``."""
+async def holder_unreachable(holder):
+    """Return None: the default of ``query_holder``, without peers."""
 
 
-class Running:
-    """A request of this host that claims its key or runs.
+class RunningRequest:
+    """A request of this host that is claiming its key or running.
 
     Parameters
     ==========
 
     record : Record
-        Its claim.
+        The claim of the request.
     """
 
     __slots__ = ('record', 'waiters')
@@ -43,33 +47,34 @@
         self.record = record
         self.waiters = []
 
-    def joined(self):
-        """Return a Deferred of the outcome."""
+    def add_waiter(self):
+        """Return a Deferred that fires with the outcome."""
         waiter = Deferred()
         self.waiters.append(waiter)
         return waiter
 
-    def tell(self, outcome):
-        """Give the outcome to all that joined."""
+    def deliver(self, outcome):
+        """Deliver the outcome to all waiters."""
         for waiter in self.waiters:
             if not waiter.called:
                 waiter.callback(outcome)
 
 
 class Claims:
-    """Runs each keyed request at most once over all entry hosts.
+    """Claims keys so that a keyed request runs at most once over all hosts.
 
     Explanation
     ===========
 
     A key is claimed in the log of its shard, see
-    :class:`~pollenstile.claims.ShardLog`, before anything of the request is
-    sent to an upstream. The host that holds a key keeps the outcome in memory
-    for repeats. A repeat at the same host joins the run or gets the outcome;
-    one at another host asks the holder's host, and is told *unknown* when
-    that host can't be reached. It is never run a second time.
-
-    A request that surely did not run its non-idempotent stage releases its
+    :class:`~pollenstile.claims.ShardLog`, before any part of the request is
+    sent to an upstream. The host whose request holds the key caches the
+    outcome in memory. A repeat at the same host waits for the run or gets the
+    cached outcome. A repeat at another host queries the holder's host, and
+    gets an *unknown* outcome if that host can't be reached. A repeat is never
+    run.
+
+    A request that certainly did not run its non-idempotent stage releases its
     key, so that a repeat may run.
 
     Parameters
@@ -78,42 +83,42 @@
     store : Store
         The object API.
     clock : IReactorTime
-        Gives seconds since the epoch.
+        Clock that returns seconds since the epoch.
     rng : random.Random
-        Seeded under test.
+        Random numbers; seeded in tests.
     host : str
-        This host's name.
+        Name of this host.
     log : function
         Writes events.
     count : function
-        Takes a metric's name.
+        Increments the counter of a given metric name.
     shards : int
-        Number of logs; the same on all hosts, for good.
+        Number of shards; must be the same on all hosts and never change.
     window : float
-        Seconds that a batch is held open for further claims.
+        Seconds to wait for further claims before a batch is written.
 
     Attributes
     ==========
 
     ask_owner : function
-        ``await ask_owner(holder)`` asks the host of a ``Record`` for the
-        outcome of its request; returns what :meth:`told` says there, or None
-        when that host can't be reached.
+        ``await query_holder(holder)`` requests the outcome of a ``Record``
+        from its host; returns the result of :meth:`find_outcome` there, or
+        None if that host can't be reached.
     forward : function or None
-        ``await forward(shard, record)`` lets another host append the claim,
-        for larger batches; returns what :meth:`forwarded` says there, or None
-        when that host can't be reached or has not answered in time.
+        ``await forward(shard, record)`` makes another host append the claim,
+        for larger batches; returns the result of :meth:`forwarded` there, or
+        None if that host can't be reached or did not reply in time.
     """
 
     __slots__ = (
-        'ask_owner',
         'clock',
         'count',
         'forward',
         'host',
-        'kept',
         'log',
         'logs',
+        'outcome_cache',
+        'query_holder',
         'rng',
         'running',
         'shards',
@@ -142,70 +147,71 @@
         self.window = window
         self.logs = {}
         self.running = {}
-        self.kept = Kept()
-        self.ask_owner = unreachable
+        self.outcome_cache = OutcomeCache()
+        self.query_holder = holder_unreachable
         self.forward = None
 
     async def outcome(self, request, run):
-        """Return a keyed request's outcome, run here at most once.
+        """Return the outcome of a keyed request, running it at most once.
 
         Parameters
         ==========
 
         request : Request
-            With a key; its pipeline is not idempotent.
+            Request with a key, of a pipeline that is not idempotent.
         run : function
-            Without arguments; returns the coroutine of the run's outcome.
+            Takes no arguments; returns a coroutine that runs the request and
+            returns its outcome.
         """
-        record = self._record(request)
+        record = self._build_claim(request)
         running = self.running.get(record.key)
         if running is not None:
-            return await self._joined(request, record, running)
-        kept = self.kept.found(record.key, self.clock.seconds())
-        if kept is not None:
-            return await self._repeated(request, record, kept.record)
-        running = Running(record)
+            return await self._join_running(request, record, running)
+        cached = self.outcome_cache.get(record.key, self.clock.seconds())
+        if cached is not None:
+            return await self._answer_repeat(request, record, cached.record)
+        running = RunningRequest(record)
         self.running[record.key] = running
         outcome = _cut_off(self.host)
         try:
-            outcome = await self._claimed(request, record, run)
+            outcome = await self._claim_and_run(request, record, run)
         finally:
             self.running.pop(record.key)
-            running.tell(outcome)
+            running.deliver(outcome)
         return outcome
 
-    def told(self, record):
-        """Return what this host knows of a request that it holds a key for.
+    def find_outcome(self, record):
+        """Return the outcome of a request of this host that holds a key.
 
         Explanation
         ===========
 
-        For hosts that were asked for a repeat. None when nothing is known:
-        after a restart, or when the outcome was too old to be kept.
+        Other hosts call this to answer a repeat. Returns None if the outcome
+        is not known, after a restart or because it was evicted or expired.
         """
         running = self.running.get(record.key)
         if running is not None and running.record.ident == record.ident:
             return _still_running(self.host)
-        kept = self.kept.found(record.key, self.clock.seconds())
-        if kept is None or kept.record.ident != record.ident:
+        cached = self.outcome_cache.get(record.key, self.clock.seconds())
+        if cached is None or cached.record.ident != record.ident:
             return None
-        return kept.outcome
+        return cached.outcome
 
     async def forwarded(self, record, patience):
-        """Append another host's claim; return ``Held`` or ``Unreached``."""
-        return await self._appended(record, patience, own=False)
+        """Append another host's claim; return ``Held`` or ``NotClaimed``."""
+        return await self._append_claim(record, patience, own=False)
 
     def flushed(self):
-        """Return a Deferred that fires after one try to write all."""
+        """Return a Deferred that fires after one attempt to write all."""
         logs = list(self.logs.values())
         return DeferredList(
             [log.flushed() for log in logs],
             consumeErrors=True,
         )
 
-    def log_of(self, key):
-        """Return the log of the shard that a key digest belongs to."""
-        shard = shard_of(key, self.shards)
+    def shard_log(self, key):
+        """Return the log of the shard to which a key digest maps."""
+        shard = shard_for_key(key, self.shards)
         if shard not in self.logs:
             self.logs[shard] = ShardLog(
                 self.store,
@@ -218,102 +224,103 @@
             )
         return self.logs[shard]
 
-    def _record(self, request):
+    def _build_claim(self, request):
         window = request.pipeline.claim_window_s
         return Record(
             'claim',
             key_digest(request.team, request.name, request.key),
             request.ident,
-            content_digest(request.content),
+            digest_content(request.content),
             self.host,
             self.clock.seconds() + window,
         )
 
-    async def _joined(self, request, record, running):
-        if running.record.content != record.content:
-            return self._mismatch(request, running.record)
+    async def _join_running(self, request, record, running):
+        if running.record.content_digest != record.content_digest:
+            return self._refuse_mismatch(request, running.record)
         self._log_repeat(request, running.record)
-        left = max(0, request.deadline - self.clock.seconds())
-        waiter = running.joined().addTimeout(
-            left,
+        remaining = max(0, request.deadline - self.clock.seconds())
+        waiter = running.add_waiter().addTimeout(
+            remaining,
             self.clock,
             onTimeoutCancel=lambda *_: _still_running(self.host),
         )
         return await waiter
 
-    async def _repeated(self, request, record, holder):
-        if holder.content != record.content:
-            return self._mismatch(request, holder)
+    async def _answer_repeat(self, request, record, holder):
+        if holder.content_digest != record.content_digest:
+            return self._refuse_mismatch(request, holder)
         self._log_repeat(request, holder)
-        known = self.told(holder)
+        known = self.find_outcome(holder)
         if known is None and holder.host != self.host:
-            known = await self._asked(request, holder)
+            known = await self._query_holder(request, holder)
         if known is not None:
             return known
         return Unknown(
             'the request that holds the key may have run',
             _STEP,
             holder.host,
-            retry_after=_UNREACHED_RETRY,
+            retry_after=_UNREACHABLE_RETRY_SECONDS,
         )
 
-    async def _asked(self, request, holder):
-        left = max(0, request.deadline - self.clock.seconds())
-        asking = Deferred.fromCoroutine(self.ask_owner(holder))
+    async def _query_holder(self, request, holder):
+        remaining = max(0, request.deadline - self.clock.seconds())
+        asking = Deferred.fromCoroutine(self.query_holder(holder))
         return await asking.addTimeout(
-            left,
+            remaining,
             self.clock,
             onTimeoutCancel=lambda *_: None,
         )
 
-    async def _claimed(self, request, record, run):
-        settled = await self._settled(request, record)
-        if isinstance(settled, Unreached):
+    async def _claim_and_run(self, request, record, run):
+        result = await self._acquire_claim(request, record)
+        if isinstance(result, NotClaimed):
             if request.pipeline.upstream_dedupes:
                 self.count('claims.skipped')
                 self.log(events.CLAIM_SKIPPED, request=request.ident)
-                return await self._ran(record, run)
-            return self._refusal(request, settled)
-        if settled.record.ident != record.ident:
-            return await self._repeated(request, record, settled.record)
+                return await self._run_claimed(record, run)
+            return self._refuse_unclaimed(request, result)
+        if result.record.ident != record.ident:
+            return await self._answer_repeat(request, record, result.record)
         self.log(events.CLAIMED, request=request.ident, key=record.key)
         if self.clock.seconds() >= request.deadline:
             self._release(record)
-            return self._refusal(request, Unreached('deadline'))
-        return await self._ran(record, run)
+            return self._refuse_unclaimed(request, NotClaimed('deadline'))
+        return await self._run_claimed(record, run)
 
-    async def _settled(self, request, record):
-        left = request.deadline - self.clock.seconds()
-        patience = min(_PATIENCE, max(0, left) * _SHARE)
+    async def _acquire_claim(self, request, record):
+        remaining = request.deadline - self.clock.seconds()
+        patience = min(_MAX_CLAIM_SECONDS, max(0, remaining) * _CLAIM_SHARE)
         if self.forward is None:
-            return await self._appended(record, patience)
-        shard = shard_of(record.key, self.shards)
-        settled = await self.forward(shard, record)
-        if isinstance(settled, Held):
-            return settled
-        # The other host may have appended it, or still append it. Then this
-        # host finds its own request in the log, and has won all the same.
-        settled = await self._appended(record, patience)
-        if isinstance(settled, Unreached):
+            return await self._append_claim(record, patience)
+        shard = shard_for_key(record.key, self.shards)
+        result = await self.forward(shard, record)
+        if isinstance(result, Held):
+            return result
+        # The other host may have appended the claim, or may do so later. This
+        # host then finds its own request as the holder in the log, and so
+        # holds the key as well.
+        result = await self._append_claim(record, patience)
+        if isinstance(result, NotClaimed):
             self._release(record)
-        return settled
+        return result
 
-    async def _appended(self, record, patience, *, own=True):
-        log = self.log_of(record.key)
+    async def _append_claim(self, record, patience, *, own=True):
+        log = self.shard_log(record.key)
         pending = log.submit(record, own=own)
         timer = self.clock.callLater(patience, log.withdraw, pending)
-        settled = await pending.done
+        result = await pending.done
         if timer.active():
             timer.cancel()
-        return settled
+        return result
 
-    async def _ran(self, record, run):
+    async def _run_claimed(self, record, run):
         outcome = _cut_off(self.host)
         try:
             outcome = await run()
         finally:
             if isinstance(outcome, (Answered, Unknown)):
-                self.kept.keep(record, outcome)
+                self.outcome_cache.add(record, outcome)
             else:
                 self._release(record)
         return outcome
@@ -321,25 +328,25 @@
     def _release(self, record):
         self.count('claims.released')
         self.log(events.RELEASED, request=record.ident, key=record.key)
-        self.log_of(record.key).submit(release_of(record))
+        self.shard_log(record.key).submit(build_release(record))
 
-    def _refusal(self, request, unreached):
+    def _refuse_unclaimed(self, request, failure):
         self.count('claims.refused')
         self.log(
             events.CLAIM_REFUSED,
             level='warning',
             request=request.ident,
-            reason=unreached.reason,
+            reason=failure.reason,
         )
         return Refused(
             _UNAVAILABLE,
-            f'the key could not be claimed: {unreached.reason}',
+            f'the key could not be claimed: {failure.reason}',
             _STEP,
             _STORE,
-            unreached.retry_after,
+            failure.retry_after,
         )
 
-    def _mismatch(self, request, holder):
+    def _refuse_mismatch(self, request, holder):
         self.count('claims.mismatched')
         self._log_repeat(request, holder)
         return Refused(
@@ -368,6 +375,6 @@
         'the request that holds the key still runs',
         _STEP,
         host,
-        retry_after=_RUNNING_RETRY,
+        retry_after=_RUNNING_RETRY_SECONDS,
         status=_CONFLICT,
     )
--- a/pollenstile/claims/_digests.py
+++ b/pollenstile/claims/_digests.py
@@ -1,4 +1,4 @@
-"""Digests of keys and contents, and the names that follow from them."""
+"""Digests of keys and request inputs, shard numbers and object names."""
 
 import hashlib
 
@@ -10,7 +10,7 @@
 
 
 def key_digest(team, pipeline, key):
-    """Return what a key is known by; another team's same key is another.
+    """Return the digest of a key, scoped to its team and pipeline.
 
     Examples
     ========
@@ -22,40 +22,40 @@
     return _digest(msgspec.json.encode([team, pipeline, key]))
 
 
-def content_digest(content):
-    """Return what a content is known by, whatever the order of its fields.
+def digest_content(content):
+    """Return the digest of a request's input, independent of field order.
 
     Examples
     ========
 
-    >>> from pollenstile.claims._digests import content_digest
-    >>> first = content_digest({'bed': 1, 'minutes': 9})
-    >>> first == content_digest({'minutes': 9, 'bed': 1})
+    >>> from pollenstile.claims._digests import digest_content
+    >>> first = digest_content({'bed': 1, 'minutes': 9})
+    >>> first == digest_content({'minutes': 9, 'bed': 1})
     True
     """
     return _digest(msgspec.json.encode(content, order='sorted'))
 
 
-def shard_of(key, shards):
-    """Return the number of the shard that a key digest belongs to.
+def shard_for_key(key, shards):
+    """Return the number of the shard to which a key digest maps.
 
     Examples
     ========
 
-    >>> from pollenstile.claims._digests import shard_of
-    >>> 0 <= shard_of('00ff', 32) < 32
+    >>> from pollenstile.claims._digests import shard_for_key
+    >>> 0 <= shard_for_key('00ff', 32) < 32
     True
     """
     return xxhash.xxh64_intdigest(key.encode()) % shards
 
 
 def shard_prefix(shard):
-    """Return what the names of a shard's objects begin with."""
+    """Return the prefix of the names of a shard's objects."""
     return f'{shard:03d}/'
 
 
 def object_name(shard, sequence):
-    """Return the name of a segment; names sort as their numbers do.
+    """Return the name of a segment's object; names sort by sequence number.
 
     Examples
     ========
@@ -67,12 +67,12 @@
     return f'{shard_prefix(shard)}{sequence:012d}'
 
 
-def sequence_of(name):
-    """Return a segment's number within its shard."""
+def parse_sequence(name):
+    """Return the sequence number in a segment's object name."""
     return int(name.rpartition('/')[2])
 
 
 def _digest(encoded):
-    # A collision would tell one caller another's outcome, and callers choose
-    # their keys: so a cryptographic digest.
+    # The digest is cryptographic because callers choose their keys, and a
+    # collision would return one caller's outcome to another.
     return hashlib.blake2b(encoded, digest_size=_DIGEST_BYTES).hexdigest()
--- a/pollenstile/claims/_forward.py
+++ b/pollenstile/claims/_forward.py
@@ -1,10 +1,10 @@
-"""Letting one host append the claims of many, for larger batches.
+"""Forwards appends of claims to one host per shard, for larger batches.
 
 Explanation
 ===========
 
-Nothing rests on who appends: any host may, at any time, and two may believe
-that they are the preferred one.
+Correctness does not depend on which host appends: any host may append at any
+time, and two hosts may both consider themselves the preferred one.
 """
 
 import xxhash
@@ -16,7 +16,7 @@
     Explanation
     ===========
 
-    When a host comes or goes, only the shards that it gains or had move.
+    When a host joins or leaves, only the shards assigned to that host move.
 
     Examples
     ========
@@ -39,19 +39,19 @@
 
 
 def forwarding(host, live_hosts, send):
-    """Return a function for ``Claims.forward``.
+    """Return a function to be set as ``Claims.forward``.
 
     Parameters
     ==========
 
     host : str
-        This host.
+        Name of this host.
     live_hosts : function
-        Returns the names of hosts that are up, this one among them.
+        Returns the names of the live hosts, including this one.
     send : function
-        ``await send(owner, record)`` has another host call
-        :meth:`~pollenstile.claims.Claims.forwarded` and returns what it says,
-        or None when no answer came in time.
+        ``await send(owner, record)`` makes the host ``owner`` call
+        :meth:`~pollenstile.claims.Claims.forwarded` and returns its result,
+        or None if no reply arrived in time.
     """
 
     async def forward(shard, record):
--- a/pollenstile/claims/_log.py
+++ b/pollenstile/claims/_log.py
@@ -1,21 +1,23 @@
-"""One claim shard's log: reading it, and appending in batches.
+"""Appends claims and releases to a claim shard's log, in batches.
 
 Explanation
 ===========
 
-A segment is created under the number after the last one that its writer has
-read, only if that name is absent. So one writer wins each number, there are
-no gaps, and whoever wins a number has read all claims before it: a claim that
-it had not read would stand under that very number and make the create fail.
-No lease is needed, and a writer that was paused can do no harm.
-
-The answer to a create can be lost. The writer then reads the log on. If its
-own batch stands under the number it has won; if another's does it has lost
-for good, because a name is never written twice; if the name is absent the
-create may still arrive, and the writer sends the same batch under the same
-name again: at most one of the two is taken, and both say the same. It never
-goes on to another number before that is settled. So a batch stands in the log
-at most once, and none of its claims can be both won and lost.
+A writer creates a segment under the sequence number after the last one that it
+has read, with create-if-absent. So exactly one writer succeeds for each number
+and the numbers have no gaps. A writer that succeeds has read all claims before
+its own: a claim that it had not read would be stored under the same number and
+make the create fail. No lease is needed, and a writer that was paused does no
+harm.
+
+The answer to a create can be lost. The writer then reads the log further. If
+its own batch is stored under the number, the append has succeeded. If another
+writer's batch is, the append has failed for good, because a name is never
+written twice. If the name is absent, the create may still arrive, and the
+writer sends the same batch under the same name again: at most one of the two
+creates is applied, and both have the same content. The writer never uses
+another number before this is settled. So a batch is in the log at most once,
+and none of its claims can both succeed and fail.
 """
 
 from collections import deque
@@ -24,21 +26,21 @@
 
 from pollenstile.claims import events
 from pollenstile.claims._digests import KIND, object_name
-from pollenstile.claims._fold import Folding, fold
-from pollenstile.claims._pending import Held, Pending, Unreached
-from pollenstile.claims._reader import ShardReader, unreached
-from pollenstile.claims._records import Segment, release_of
-from pollenstile.claims._state import holder_of, is_trusted
+from pollenstile.claims._pending import Held, NotClaimed, Pending
+from pollenstile.claims._reader import ShardReader, failure_from
+from pollenstile.claims._records import Segment, build_release
+from pollenstile.claims._state import find_holder, is_end_current
+from pollenstile.claims._truncate import TruncationState, truncate_log
 from pollenstile.platform import InDoubt, NotApplied, Written, paused, pauses
 
-_MOST_RECORDS = 1000
-_RELEASE_PAUSE = 5.0
-_PAUSE_CAP = 2.0
+_MAX_BATCH_RECORDS = 1000
+_RELEASE_RETRY_SECONDS = 5.0
+_MAX_PAUSE_SECONDS = 2.0
 _BATCH_BITS = 64
 
 
 class ShardLog:
-    """A shard, as one host reads and writes it.
+    """Log of a shard, as read and written by one host.
 
     Parameters
     ==========
@@ -46,44 +48,44 @@
     store : Store
         The object API.
     clock : IReactorTime
-        Gives seconds since the epoch.
+        Clock that returns seconds since the epoch.
     rng : random.Random
-        For pauses and the names of batches.
+        Random numbers for pauses and batch identifiers.
     shard : int
-        Its number.
+        Number of the shard.
     log : function
         Writes events.
     count : function
-        Takes a metric's name.
+        Increments the counter of a given metric name.
     window : float
-        Seconds that a batch is held open for further records.
+        Seconds to wait for further records before a batch is written.
 
     Attributes
     ==========
 
     reader : ShardReader
-        What was read.
-    stuck : Unreached or None
-        Why new claims are refused at once: an append is in doubt, and the
-        store does not answer.
+        Reader of the log, with the state read so far.
+    blocking_failure : NotClaimed or None
+        Result with which new claims are refused at once, while an append is
+        in doubt and the store does not answer.
     """
 
     __slots__ = (
+        'blocking_failure',
         'clock',
         'count',
-        'flushers',
-        'folding',
+        'flush_waiters',
+        'is_writing',
         'log',
         'pause',
         'queue',
         'reader',
-        'retry',
+        'retry_timer',
         'rng',
         'shard',
         'store',
-        'stuck',
+        'truncation',
         'window',
-        'working',
     )
 
     def __init__(self, store, clock, rng, shard, log, count, window=0.0):
@@ -95,157 +97,159 @@
         self.count = count
         self.window = window
         self.reader = ShardReader(store, clock, shard, log)
-        self.pause = pauses(clock, rng, cap=_PAUSE_CAP)
+        self.pause = pauses(clock, rng, cap=_MAX_PAUSE_SECONDS)
         self.queue = deque()
-        self.flushers = []
-        self.folding = Folding()
-        self.working = False
-        self.retry = None
-        self.stuck = None
+        self.flush_waiters = []
+        self.truncation = TruncationState()
+        self.is_writing = False
+        self.retry_timer = None
+        self.blocking_failure = None
 
     def submit(self, record, *, own=True):
-        """Queue a record for the next batch; return it as ``Pending``.
+        """Queue a record for the next batch; return its ``Pending`` entry.
 
         Parameters
         ==========
 
         own : bool
-            Whether this host runs the request, so that it may release it.
+            Whether this host runs the request, and so may release its claim.
         """
         pending = Pending(record, own=own)
-        if self.stuck is not None and record.step == 'claim':
-            pending.settle(self.stuck)
+        if self.blocking_failure is not None and record.step == 'claim':
+            pending.settle(self.blocking_failure)
             return pending
         self.queue.append(pending)
-        self._work()
+        self._start_writing()
         return pending
 
     def withdraw(self, pending, reason='timeout'):
-        """Give a claim up: it won't be in the log, or will be released.
+        """Give up a claim: remove it from the queue or release it.
 
         Explanation
         ===========
 
-        A batch that is on its way can't be called back. Its claim is released
-        by a record that stands behind it in the same queue.
+        A batch that was sent can't be cancelled. Its claim is released by a
+        record that is queued after it.
         """
-        if not pending.is_open:
+        if not pending.is_awaited:
             return
         if pending in self.queue:
             self.queue.remove(pending)
         elif pending.is_sent and pending.is_own:
-            # Another host's claim is left alone: that host may have found it
-            # in the log by itself, and run it.
-            self.submit(release_of(pending.record))
-        pending.settle(Unreached(reason))
+            # Another host's claim is not released: that host may have found it
+            # in the log and run the request.
+            self.submit(build_release(pending.record))
+        pending.settle(NotClaimed(reason))
 
     def flushed(self):
-        """Return a Deferred that fires after one try to write all."""
-        self._work()
-        if not self.working:
+        """Return a Deferred that fires after one attempt to write all."""
+        self._start_writing()
+        if not self.is_writing:
             return succeed(None)
         waiter = Deferred()
-        self.flushers.append(waiter)
+        self.flush_waiters.append(waiter)
         return waiter
 
-    def _work(self):
-        if self.retry is not None and self.retry.active():
-            self.retry.cancel()
-        if not self.working and self.queue:
-            self.working = True
-            Deferred.fromCoroutine(self._drain()).addBoth(self._rest)
+    def _start_writing(self):
+        if self.retry_timer is not None and self.retry_timer.active():
+            self.retry_timer.cancel()
+        if not self.is_writing and self.queue:
+            self.is_writing = True
+            Deferred.fromCoroutine(self._write_queue()).addBoth(
+                self._finish_writing
+            )
 
-    def _rest(self, result):
-        self.working = False
+    def _finish_writing(self, result):
+        self.is_writing = False
         if self.queue:
-            # Nobody waits for releases, which may be all that is left.
-            waits = any(pending.is_open for pending in self.queue)
-            pause = 0 if waits else _RELEASE_PAUSE
-            self.retry = self.clock.callLater(pause, self._work)
-        flushers = self.flushers
-        self.flushers = []
-        for waiter in flushers:
+            # If only releases remain, no caller waits for the next attempt.
+            waits = any(pending.is_awaited for pending in self.queue)
+            pause = 0 if waits else _RELEASE_RETRY_SECONDS
+            self.retry_timer = self.clock.callLater(pause, self._start_writing)
+        flush_waiters = self.flush_waiters
+        self.flush_waiters = []
+        for waiter in flush_waiters:
             if not waiter.called:
                 waiter.callback(None)
         return result
 
-    async def _drain(self):
+    async def _write_queue(self):
         failure = None
         while self.queue and failure is None:
             if self.window:
                 await paused(self.clock, self.window)
             batch = []
-            while self.queue and len(batch) < _MOST_RECORDS:
+            while self.queue and len(batch) < _MAX_BATCH_RECORDS:
                 batch.append(self.queue.popleft())
-            failure = await self._settle(batch)
+            failure = await self._write_batch(batch)
             if failure is not None:
-                self._put_back(batch)
-                self._refuse_open(self.queue, failure)
-            self.stuck = None
+                self._requeue_releases(batch)
+                self._refuse_claims(self.queue, failure)
+            self.blocking_failure = None
 
-    async def _settle(self, batch):
-        """Bring a batch into the log; return a failure or None."""
+    async def _write_batch(self, batch):
+        """Write a batch to the log; return a failure or None."""
         while batch:
             keys = [pending.record.key for pending in batch]
             if not self.reader.may_append(keys):
-                failure = await self.reader.read_end()
+                failure = await self.reader.read_to_end()
                 if failure is not None:
-                    self._refuse_open(batch, failure)
+                    self._refuse_claims(batch, failure)
                     return failure
-            batch = self._left_of(batch)
+            batch = self._settle_held(batch)
             if not batch:
                 return None
-            left = await self._append(batch)
-            if isinstance(left, Unreached):
-                self._refuse_open(batch, left)
-                return left
-            batch = left
+            remaining = await self._append_segment(batch)
+            if isinstance(remaining, NotClaimed):
+                self._refuse_claims(batch, remaining)
+                return remaining
+            batch = remaining
         return None
 
-    def _left_of(self, batch):
-        """Settle claims of keys that are held; return the other records."""
+    def _settle_held(self, batch):
+        """Settle claims of keys that are held; return the remaining records."""
         now = self.clock.seconds()
-        left = []
+        remaining = []
         for pending in batch:
-            holder = holder_of(self.reader.state, pending.record.key, now)
+            holder = find_holder(self.reader.state, pending.record.key, now)
             if holder is None or pending.record.step == 'release':
-                left.append(pending)
+                remaining.append(pending)
                 continue
             pending.settle(Held(holder))
-        return [pending for pending in left if pending.is_wanted]
+        return [pending for pending in remaining if pending.must_append]
 
-    async def _append(self, batch):
-        """Try the next number; return a failure, or what is left to do."""
-        based_at = self.reader.fresh_at
+    async def _append_segment(self, batch):
+        """Append at the next number; return a failure or records to retry."""
+        end_read_at = self.reader.end_known_at
         sequence = self.reader.state.cursor + 1
         segment = Segment(
             f'{self.rng.getrandbits(_BATCH_BITS):016x}',
             self.clock.seconds(),
             [pending.record for pending in batch],
         )
-        self.reader.awaited = sequence
-        self.reader.standing = None
+        self.reader.awaited_sequence = sequence
+        self.reader.stored_batch = None
         _mark_sent(batch, sent=True)
-        failure = await self._written(sequence, segment, batch)
+        failure = await self._put_until_settled(sequence, segment, batch)
         if failure is not None:
             return failure
-        if self.reader.standing != segment.batch:
+        if self.reader.stored_batch != segment.batch:
             _mark_sent(batch, sent=False)
             self.count('claims.append_lost')
             self.log(events.APPEND_LOST, shard=self.shard, sequence=sequence)
             return batch
-        if not is_trusted(based_at, self.clock.seconds()):
-            self._distrust(batch)
+        if not is_end_current(end_read_at, self.clock.seconds()):
+            self._discard_state(batch)
             return []
-        self._tell(batch, segment)
-        fold(self)
+        self._settle_appended(batch, segment)
+        truncate_log(self)
         return []
 
-    async def _written(self, sequence, segment, batch):
-        """Put until it is known whose segment stands under the number.
+    async def _put_until_settled(self, sequence, segment, batch):
+        """Put until it is known which segment is stored under the number.
 
-        Returns None then, or a failure when nothing of ours stands there or
-        will.
+        Returns None in this case, or a failure if the segment of this host
+        certainly is not and will not be stored there.
         """
         name = object_name(self.shard, sequence)
         in_doubt = False
@@ -254,27 +258,27 @@
             sent = self.clock.seconds()
             outcome = await self.store.put(KIND, name, segment, if_version=0)
             if isinstance(outcome, Written):
-                self.reader.wrote(sequence, segment, sent)
+                self.reader.record_append(sequence, segment, sent)
                 return None
             if isinstance(outcome, InDoubt):
                 in_doubt = True
-                self._log_doubt(sequence)
+                self._log_in_doubt(sequence)
             if isinstance(outcome, NotApplied) and not in_doubt:
-                return unreached(outcome)
-            failure = await self.reader.read_end()
+                return failure_from(outcome)
+            failure = await self.reader.read_to_end()
             if failure is not None and not in_doubt:
                 return failure
-            await self._wait(attempt, failure, batch)
+            await self._pause_before_retry(attempt, failure, batch)
             attempt += 1
         return None
 
-    async def _wait(self, attempt, failure, batch):
+    async def _pause_before_retry(self, attempt, failure, batch):
         if failure is not None:
-            self._stall(batch, failure)
+            self._fail_waiting(batch, failure)
         if attempt or failure is not None:
             await self.pause(attempt)
 
-    def _log_doubt(self, sequence):
+    def _log_in_doubt(self, sequence):
         self.count('claims.in_doubt')
         self.log(
             events.APPEND_IN_DOUBT,
@@ -283,45 +287,49 @@
             sequence=sequence,
         )
 
-    def _tell(self, batch, segment):
+    def _settle_appended(self, batch, segment):
         self.count('claims.appended')
         for pending in batch:
-            if not pending.is_open:
+            if not pending.is_awaited:
                 continue
-            holder = holder_of(
+            holder = find_holder(
                 self.reader.state,
                 pending.record.key,
                 segment.written,
             )
             if holder is None:
-                # It waited for longer than its own window.
-                pending.settle(Unreached('expired'))
+                # The claim expired before its segment was written.
+                pending.settle(NotClaimed('expired'))
                 continue
             pending.settle(Held(holder))
 
-    def _distrust(self, batch):
-        """Use none of the claims that were just won; see ``is_trusted``."""
+    def _discard_state(self, batch):
+        """Use none of the claims just appended; see ``is_end_current``."""
         self.log(events.STATE_DISTRUSTED, level='warning', shard=self.shard)
-        self.reader.forget_all()
-        self._put_back(batch)
+        self.reader.reset()
+        self._requeue_releases(batch)
         for pending in batch:
             self.withdraw(pending, 'this host was paused')
 
-    def _stall(self, batch, failure):
-        """Answer all that wait, while an append is in doubt for long."""
-        self.stuck = failure
+    def _fail_waiting(self, batch, failure):
+        """Refuse all waiting claims while an append remains in doubt."""
+        self.blocking_failure = failure
         for pending in batch:
             self.withdraw(pending, failure.reason)
-        self._refuse_open(self.queue, failure)
+        self._refuse_claims(self.queue, failure)
 
-    def _put_back(self, batch):
-        releases = [one for one in batch if one.record.step == 'release']
+    def _requeue_releases(self, batch):
+        releases = [
+            pending for pending in batch if pending.record.step == 'release'
+        ]
         self.queue.extendleft(reversed(releases))
 
-    def _refuse_open(self, batch, failure):
+    def _refuse_claims(self, batch, failure):
         for pending in list(batch):
             pending.settle(failure)
-        self.queue = deque(one for one in self.queue if one.is_wanted)
+        self.queue = deque(
+            pending for pending in self.queue if pending.must_append
+        )
 
 
 def _mark_sent(batch, *, sent):
--- a/pollenstile/claims/_pending.py
+++ b/pollenstile/claims/_pending.py
@@ -1,4 +1,4 @@
-"""Records on their way into the log, and what becomes of them."""
+"""Records that wait to be appended to a log, and the results of claims."""
 
 from dataclasses import dataclass
 
@@ -9,22 +9,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Held:
-    """The claim is settled: this record holds the key."""
+    """Result of a claim that is decided: ``record`` holds the key."""
 
     record: Record
 
 
 @dataclass(slots=True, frozen=True)
-class Unreached:
-    """The claim is not to be used: it is not in the log, or is released.
+class NotClaimed:
+    """Result of a claim that must not be used: not in the log, or released.
 
     Parameters
     ==========
 
     reason : str
-        Why, in short.
+        Short description of the cause.
     retry_after : float
-        Seconds.
+        Seconds after which the caller may retry.
     """
 
     reason: str
@@ -32,13 +32,13 @@
 
 
 class Pending:
-    """A record that waits for its place in the log.
+    """A record that waits to be appended to the log.
 
     Parameters
     ==========
 
     record : Record
-        What to append.
+        The record to append.
     own : bool
         Whether this host runs the request that claims.
 
@@ -46,9 +46,10 @@
     ==========
 
     done : Deferred
-        Fires once, with :class:`Held` or :class:`Unreached`.
+        Fires once, with :class:`Held` or :class:`NotClaimed`.
     is_sent : bool
-        Whether it may be in the log already, or come there.
+        Whether the record may be in the log already or may still be
+        written to it.
     """
 
     __slots__ = ('done', 'is_own', 'is_sent', 'record')
@@ -60,16 +61,16 @@
         self.is_sent = False
 
     @property
-    def is_open(self):
-        """Whether somebody still waits for a claim."""
+    def is_awaited(self):
+        """Whether this is a claim whose result is not yet known."""
         return self.record.step == 'claim' and not self.done.called
 
     @property
-    def is_wanted(self):
-        """Whether it still has to go into the log."""
+    def must_append(self):
+        """Whether the record still has to be appended to the log."""
         return self.record.step == 'release' or not self.done.called
 
     def settle(self, outcome):
-        """Tell whoever waits."""
+        """Deliver the result, unless one was delivered before."""
         if not self.done.called:
             self.done.callback(outcome)
--- a/pollenstile/claims/_reader.py
+++ b/pollenstile/claims/_reader.py
@@ -1,4 +1,4 @@
-"""Reading a claim shard's log."""
+"""Reads the log of a claim shard."""
 
 import msgspec
 
@@ -6,26 +6,26 @@
 from pollenstile.claims._digests import (
     KIND,
     object_name,
-    sequence_of,
+    parse_sequence,
     shard_prefix,
 )
-from pollenstile.claims._pending import Unreached
-from pollenstile.claims._records import segment_from
+from pollenstile.claims._pending import NotClaimed
+from pollenstile.claims._records import decode_segment
 from pollenstile.claims._state import (
     ShardState,
     apply_segment,
-    forget,
-    holder_of,
-    is_trusted,
+    drop_expired,
+    find_holder,
+    is_end_current,
 )
 from pollenstile.platform import Unavailable
 
-_RETRY_AFTER = 1.0
-_BAD_SEGMENT_RETRY = 5.0
+_MIN_RETRY_SECONDS = 1.0
+_BAD_SEGMENT_RETRY_SECONDS = 5.0
 
 
 class ShardReader:
-    """A shard's log as far as this host has read it.
+    """Reader of a shard's log, with the state of the part read so far.
 
     Parameters
     ==========
@@ -33,37 +33,38 @@
     store : Store
         The object API.
     clock : IReactorTime
-        Gives seconds since the epoch.
+        Clock that returns seconds since the epoch.
     shard : int
-        Its number.
+        Number of the shard.
     log : function
         Writes events.
 
     Attributes
     ==========
 
-    fresh_at : float
-        When the log was last known to end where ``state`` does.
-    sole : bool
-        Whether nobody else was seen to append lately; then the log need not
-        be read before each append.
-    others : bool
-        Whether another's segment was read since this host's last append.
-    awaited, standing : int, str
-        The number that is being tried, and whose batch stands there.
+    end_known_at : float
+        Last time at which the log was known to end where ``state`` ends.
+    is_sole_writer : bool
+        Whether no other host was seen to append recently. If so, the log
+        need not be read before each append.
+    saw_other_writer : bool
+        Whether another host's segment was read since this host's last append.
+    awaited_sequence, stored_batch : int, str
+        Sequence number of the append in progress, and the identifier of the
+        batch found under it, or None.
     """
 
     __slots__ = (
-        'awaited',
+        'awaited_sequence',
         'clock',
-        'fresh_at',
+        'end_known_at',
+        'is_sole_writer',
         'log',
-        'others',
+        'saw_other_writer',
         'shard',
-        'sole',
-        'standing',
         'state',
         'store',
+        'stored_batch',
     )
 
     def __init__(self, store, clock, shard, log):
@@ -71,78 +72,81 @@
         self.clock = clock
         self.shard = shard
         self.log = log
-        self.forget_all()
+        self.reset()
 
-    def forget_all(self):
-        """Begin at the start of the log."""
+    def reset(self):
+        """Discard the state; the next read starts at the start of the log."""
         self.state = ShardState()
-        self.fresh_at = 0.0
-        self.sole = False
-        self.others = False
-        self.awaited = 0
-        self.standing = None
+        self.end_known_at = 0.0
+        self.is_sole_writer = False
+        self.saw_other_writer = False
+        self.awaited_sequence = 0
+        self.stored_batch = None
 
     def may_append(self, keys):
-        """Return whether the log's end is known well enough to try."""
+        """Return whether keys may be appended without reading the log first."""
         now = self.clock.seconds()
-        if not self.sole or not is_trusted(self.fresh_at, now):
+        if not self.is_sole_writer or not is_end_current(
+            self.end_known_at, now
+        ):
             return False
-        # A key that was held may have been released meanwhile by another.
-        return all(holder_of(self.state, key, now) is None for key in keys)
+        # Another host may have released a key that is held here.
+        return all(find_holder(self.state, key, now) is None for key in keys)
 
-    async def read_end(self):
-        """Read the log on to its end; return ``Unreached`` or None."""
+    async def read_to_end(self):
+        """Read the log to its end; return ``NotClaimed`` or None."""
         while True:
-            asked = self.clock.seconds()
+            asked_at = self.clock.seconds()
             page = await self.store.listed(
                 KIND,
                 shard_prefix(self.shard),
                 object_name(self.shard, self.state.cursor),
             )
             if isinstance(page, Unavailable):
-                return unreached(page)
-            for found in page.objects:
-                failure = self._taken(found)
+                return failure_from(page)
+            for stored in page.objects:
+                failure = self._apply_object(stored)
                 if failure is not None:
                     return failure
             if not page.more:
-                self.fresh_at = asked
+                self.end_known_at = asked_at
                 return None
 
-    def wrote(self, sequence, segment, sent):
-        """Note that this host has appended a segment, sent at a time."""
-        self._take(sequence, segment)
-        self.fresh_at = sent
-        self.sole = not self.others
-        self.others = False
+    def record_append(self, sequence, segment, sent_at):
+        """Apply a segment that this host put into the log at ``sent_at``."""
+        self._apply(sequence, segment)
+        self.end_known_at = sent_at
+        self.is_sole_writer = not self.saw_other_writer
+        self.saw_other_writer = False
 
-    def _taken(self, found):
+    def _apply_object(self, stored):
         try:
-            segment = segment_from(found.value)
+            segment = decode_segment(stored.value)
         except msgspec.ValidationError as error:
-            # Claims that can't be read can't be honoured: none is made here.
+            # The segment may hold claims that can't be decoded, so that no new
+            # claim in this shard is safe.
             self.log(
                 events.BAD_SEGMENT,
                 level='error',
-                name=found.name,
+                name=stored.name,
                 error=str(error),
             )
-            return Unreached('bad segment', _BAD_SEGMENT_RETRY)
-        self.sole = False
-        self.others = True
-        self._take(sequence_of(found.name), segment)
+            return NotClaimed('bad segment', _BAD_SEGMENT_RETRY_SECONDS)
+        self.is_sole_writer = False
+        self.saw_other_writer = True
+        self._apply(parse_sequence(stored.name), segment)
         return None
 
-    def _take(self, sequence, segment):
+    def _apply(self, sequence, segment):
         apply_segment(self.state, sequence, segment)
-        forget(self.state, self.clock.seconds())
-        if sequence == self.awaited:
-            self.standing = segment.batch
+        drop_expired(self.state, self.clock.seconds())
+        if sequence == self.awaited_sequence:
+            self.stored_batch = segment.batch
 
 
-def unreached(outcome):
-    """Return what a failure of the store means for a claim."""
-    return Unreached(
+def failure_from(outcome):
+    """Return the result of a claim for a failed call to the store."""
+    return NotClaimed(
         outcome.reason,
-        max(_RETRY_AFTER, outcome.retry_after or 0),
+        max(_MIN_RETRY_SECONDS, outcome.retry_after or 0),
     )
--- a/pollenstile/claims/_records.py
+++ b/pollenstile/claims/_records.py
@@ -1,4 +1,4 @@
-"""What the log of a claim shard holds."""
+"""Records and segments of a claim shard's log."""
 
 from typing import Literal
 
@@ -6,7 +6,7 @@
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True):
-    """One claim, or the release of one.
+    """A claim of a key or the release of a claim.
 
     Parameters
     ==========
@@ -14,38 +14,38 @@
     step : str
         ``'claim'`` or ``'release'``.
     key : str
-        Digest of the caller's key.
+        Digest of the caller's idempotency key.
     ident : str
-        The request that claims; differs over hosts and restarts.
-    content : str
-        Digest of the request's content.
+        Identifier of the claiming request; unique over hosts and restarts.
+    content_digest : str
+        Digest of the request's input.
     host : str
         The host that runs the request.
     expires : float
-        Seconds since the epoch until which the key is remembered.
+        Time, in seconds since the epoch, at which the claim expires.
     """
 
     step: Literal['claim', 'release']
     key: str
     ident: str
-    content: str
+    content_digest: str
     host: str
     expires: float
 
 
 class Segment(msgspec.Struct, array_like=True, frozen=True):
-    """One object of a shard's log.
+    """A batch of records, stored as one object of a shard's log.
 
     Parameters
     ==========
 
     batch : str
-        Differs with each append that is tried at a sequence number; tells a
-        writer its own segment from another's.
+        Identifier that is unique to an attempt to append at a sequence number.
+        A writer uses it to distinguish its own segment from another host's.
     written : float
         Seconds since the epoch on the writer's clock.
     records : list of Record
-        In the order in which they count.
+        Applied in this order.
     """
 
     batch: str
@@ -53,27 +53,27 @@
     records: list[Record]
 
 
-def segment_from(value):
-    """Return the segment that a stored value stands for.
+def decode_segment(value):
+    """Return the segment decoded from a stored value.
 
     Raises
     ======
 
     msgspec.ValidationError
-        When the value is no segment.
+        If the value is not a valid segment.
     """
     return msgspec.convert(value, Segment)
 
 
-def release_of(claim):
-    """Return the record that takes a claim back.
+def build_release(claim):
+    """Return the record that releases a claim.
 
     Examples
     ========
 
-    >>> from pollenstile.claims._records import Record, release_of
+    >>> from pollenstile.claims._records import Record, build_release
     >>> claim = Record('claim', 'k', 'h1-1', 'c', 'h1', 60.0)
-    >>> release_of(claim).step, release_of(claim).ident
+    >>> build_release(claim).step, build_release(claim).ident
     ('release', 'h1-1')
     """
     return msgspec.structs.replace(claim, step='release')
--- a/pollenstile/claims/_state.py
+++ b/pollenstile/claims/_state.py
@@ -1,32 +1,33 @@
-"""Who holds which key, worked out from a shard's log.
+"""State of a claim shard: the holder of each key, derived from the log.
 
 Explanation
 ===========
 
-The log alone decides. Its segments are taken in the order of their numbers,
-records in the order within their segment; the first claim of a key holds it
-until it is released or expires. Times are those that the records carry, so
-that every reader comes to the same result, whenever it reads.
+Only the log decides which request holds a key. Segments are applied in the
+order of their sequence numbers, records in the order within their segment. The
+first claim of a key holds it until it is released or expires. Only times
+stored in the log are used, so that every reader derives the same state,
+whenever it reads.
 """
 
 import msgspec
 
-# A segment is deleted this long after all that it says has expired, seconds.
-FOLD_MARGIN = 120.0
-# Clocks of hosts may differ by this much, seconds; see :func:`is_trusted`.
-_TRUST = 30.0
+# A segment is deleted this long after its last record has expired.
+RETENTION_MARGIN_SECONDS = 120.0
+# Clocks of hosts may differ by this much; see :func:`is_end_current`.
+_END_VALID_SECONDS = 30.0
 
 
 class ShardState:
-    """A shard's log as far as it was read.
+    """State of a shard after the part of its log that was read.
 
     Parameters
     ==========
 
     cursor : int
-        Number of the last segment that was read; 0 for none.
+        Sequence number of the last segment that was read; 0 if none was.
     holders : dict
-        Key digest to the record that holds the key.
+        Record that holds a key, by key digest.
     """
 
     __slots__ = ('cursor', 'holders')
@@ -37,27 +38,28 @@
 
 
 def apply_segment(state, sequence, segment):
-    """Take the next segment of the log into a state.
+    """Apply the next segment of the log to a state.
 
     Examples
     ========
 
     >>> from pollenstile.claims._records import Record, Segment
     >>> from pollenstile.claims._state import (
-    ...     ShardState, apply_segment, holder_of)
+    ...     ShardState, apply_segment, find_holder)
     >>> first = Record('claim', 'k', 'h1-1', 'c', 'h1', 60.0)
     >>> second = Record('claim', 'k', 'h2-1', 'c', 'h2', 60.0)
     >>> state = ShardState()
     >>> apply_segment(state, 1, Segment('a', 0.0, [first]))
     >>> apply_segment(state, 2, Segment('b', 0.1, [second]))
-    >>> holder_of(state, 'k', 1.0).ident
+    >>> find_holder(state, 'k', 1.0).ident
     'h1-1'
-    >>> holder_of(state, 'k', 61.0)
+    >>> find_holder(state, 'k', 61.0)
     """
     if sequence > state.cursor + 1:
-        # What is missing was folded, and all before it has expired. A create
-        # that was given up can still land under a folded name; a host that
-        # starts would take its claims for good ones.
+        # The missing segments were truncated, so that all records before them
+        # have expired. A create whose writer gave up can still be stored under
+        # the name of a deleted segment; without this, a host that starts would
+        # treat the claims in it as valid.
         state.holders.clear()
     for record in segment.records:
         if record.step == 'release':
@@ -67,63 +69,65 @@
     state.cursor = sequence
 
 
-def holder_of(state, key, now):
-    """Return the record that holds a key, None when none does."""
+def find_holder(state, key, now):
+    """Return the record that holds a key, or None if the key is free."""
     holder = state.holders.get(key)
     if holder is None or holder.expires <= now:
         return None
     return holder
 
 
-def forget(state, now):
-    """Drop the oldest holders that have expired by now, margin included.
+def drop_expired(state, now):
+    """Drop the oldest holders whose expiry plus the margin has passed.
 
     Explanation
     ===========
 
-    Holders are kept in the order of their claims. One that has not expired
-    keeps those after it, so that no append looks at all of them.
+    Holders are stored in the order of their claims. The scan stops at the
+    first one that has not expired, so that an append doesn't visit all of
+    them.
     """
     while state.holders:
         key = next(iter(state.holders))
-        if state.holders[key].expires + FOLD_MARGIN > now:
+        if state.holders[key].expires + RETENTION_MARGIN_SECONDS > now:
             return
         state.holders.pop(key)
 
 
-def is_trusted(since, now):
-    """Return whether what was the log's end then may be appended to now.
+def is_end_current(end_known_at, now):
+    """Return whether an append may still rely on the log's end as known.
 
     Explanation
     ===========
 
-    A host that is paused for longer than a claim lives, between reading the
-    log's end and appending, would create a segment under the name of one that
-    was written and deleted meanwhile. The store would take it, and the host
-    would believe that it has read all claims before its own: a second run of
-    a key. A name after the end can be deleted ``FOLD_MARGIN`` after its claims
-    expired at the soonest, so within a shorter time it can not have been.
+    A host may be paused between reading the log's end and appending. If the
+    pause exceeds a claim's lifetime, the host would create a segment under the
+    name of one that was written and deleted meanwhile. The store would accept
+    it, the host would assume that it has read all claims before its own, and a
+    key would run twice. A segment after the end is deleted at the earliest
+    ``RETENTION_MARGIN_SECONDS`` after its claims have expired, so that none
+    can have been deleted within a shorter time.
 
     Examples
     ========
 
-    >>> from pollenstile.claims._state import is_trusted
-    >>> is_trusted(100.0, 110.0), is_trusted(100.0, 200.0)
+    >>> from pollenstile.claims._state import is_end_current
+    >>> is_end_current(100.0, 110.0), is_end_current(100.0, 200.0)
     (True, False)
-    >>> is_trusted(100.0, 90.0)
+    >>> is_end_current(100.0, 90.0)
     False
     """
-    return since <= now < since + _TRUST
+    return end_known_at <= now < end_known_at + _END_VALID_SECONDS
 
 
 def _claim(state, record, written):
-    holder = holder_of(state, record.key, written)
+    holder = find_holder(state, record.key, written)
     if holder is None:
         state.holders.pop(record.key, None)
         state.holders[record.key] = record
         return
-    # The key stays taken for as long as any claim of it says. Were the first
-    # one from a late create, the second may have run.
+    # The key is held until the latest expiry of all its claims. If the first
+    # claim was stored by a late create, the second one may have run.
     if record.expires > holder.expires:
         state.holders[record.key] = msgspec.structs.replace(
             holder,
