--- a/features/builders/claims.py
+++ b/features/builders/claims.py
@@ -1,4 +1,4 @@
-"""Builders of entry hosts that share a claims log, in virtual time."""
+"""Builders of entry hosts that share a claims log, on a virtual clock."""
 
 from functools import partial
 from random import Random
@@ -8,7 +8,7 @@
 from twisted.internet.task import Clock
 
 from features.builders.loop import advanced, kept_result
-from pollenstile.claims import forwarding, join_peers, sent
+from pollenstile.claims import forwarding, join_peers, send_append
 from pollenstile.claims._digests import object_name
 from pollenstile.claims._records import decode_segment
 from pollenstile.entry import built_node
@@ -33,9 +33,9 @@
 )
 
 WINDOW = 600
-_NO_LIST = Unavailable('list', 'memory', 'no answer')
+_READ_LOST = Unavailable('list', 'memory', 'no answer')
 _DEADLINE_MS = 4000
-_BREAK = 0.02
+_BREAK_SECONDS = 0.02
 
 
 def _upstream(port):
@@ -43,7 +43,7 @@
 
 
 def manifest():
-    """Return pipelines of a booking service that must not run twice."""
+    """Return a manifest with non-idempotent pipelines of a booking service."""
     once = Stage('book', 'booking', idempotent=False, attempts=1, expect_ms=50)
     look = Stage('look', 'members', expect_ms=20)
     common = {
@@ -68,8 +68,8 @@
     )
 
 
-class HostCall:
-    """A call that a host's clock makes later, if the host runs then."""
+class HostTimer:
+    """A timer of a host; fires only while the host is running."""
 
     def __init__(self, host_clock, delay, work):
         self.host_clock = host_clock
@@ -78,27 +78,27 @@
         self.timer = host_clock.clock.callLater(delay, self.due)
 
     def due(self):
-        """Run, now or when the host goes on."""
+        """Fire now, or when the host resumes."""
         self.host_clock.run(self.fire)
 
     def fire(self):
-        """Run, unless cancelled while the host was paused."""
+        """Run the call, unless cancelled while the host was paused."""
         if self.is_open:
             self.is_open = False
             self.work()
 
     def active(self):
-        """Return whether it is still to come."""
+        """Return whether the timer is pending."""
         return self.is_open
 
     def cancel(self):
-        """Never run."""
+        """Cancel the timer."""
         self.is_open = False
         if self.timer.active():
             self.timer.cancel()
 
     def reset(self, delay):
-        """Run after a time from now instead."""
+        """Postpone the timer to ``delay`` seconds from now."""
         if self.timer.active():
             self.timer.reset(delay)
             return
@@ -106,52 +106,52 @@
 
 
 class HostClock:
-    """A host's clock: stops for good or for a while with its host."""
+    """A host's clock: timers stop while the host is paused or dead."""
 
     def __init__(self, clock):
         self.clock = clock
         self.dead = False
         self.paused = False
-        self.held = []
+        self.deferred_calls = []
 
     def seconds(self):
-        """Return the time, which goes on while the host is paused."""
+        """Return the time, which also passes while the host is paused."""
         return self.clock.seconds()
 
     def callLater(self, delay, function, *arguments, **named):
-        """Call later, if the host runs then."""
-        return HostCall(self, delay, partial(function, *arguments, **named))
+        """Call after a delay, if the host is running."""
+        return HostTimer(self, delay, partial(function, *arguments, **named))
 
     def run(self, function, *arguments):
-        """Call now, when the host runs again, or never."""
+        """Call now, on resume if the host is paused, or never if it is dead."""
         if self.dead:
             return
         if self.paused:
-            self.held.append(partial(function, *arguments))
+            self.deferred_calls.append(partial(function, *arguments))
             return
         function(*arguments)
 
     def resume(self):
-        """Let the host go on where it stood."""
+        """Resume the host and make the calls that were deferred."""
         self.paused = False
-        held = self.held
-        self.held = []
-        for work in held:
+        deferred_calls = self.deferred_calls
+        self.deferred_calls = []
+        for work in deferred_calls:
             work()
 
 
-class Way:
-    """A host's way to the store, with faults of single writes.
+class StoreLink:
+    """A host's connection to the store, with faults of single writes.
 
     Attributes
     ==========
 
     faults : list of str
-        Of the next writes of claims, in order: ``'answer-lost'``,
-        ``'request-lost'``, ``'late'`` (applied after ``late`` seconds, never
-        answered) or ``'held'`` (sent on when ``arrive`` is called).
+        Faults of the next writes of claims, in order: ``'answer-lost'``,
+        ``'request-lost'``, ``'late'`` (applied after ``late_seconds``, never
+        answered) or ``'held'`` (sent when ``deliver_delayed`` is called).
     cut : bool
-        Nothing goes through, and nothing comes back.
+        Whether all requests and answers are lost.
     """
 
     def __init__(self, store, clock):
@@ -159,52 +159,54 @@
         self.clock = clock
         self.faults = []
         self.cut = False
-        self.late = 5.0
-        self.holding = []
+        self.late_seconds = 5.0
+        self.delayed_writes = []
 
     async def get(self, *arguments):
-        """Pass a read on."""
-        return await self._reached(self.store.get(*arguments), _NO_LIST)
+        """Forward a read."""
+        return await self._forward_call(self.store.get(*arguments), _READ_LOST)
 
     async def listed(self, *arguments, **named):
-        """Pass a list on."""
+        """Forward a list call."""
         call = self.store.listed(*arguments, **named)
-        return await self._reached(call, _NO_LIST)
+        return await self._forward_call(call, _READ_LOST)
 
     async def delete(self, *arguments):
-        """Pass a deletion on."""
+        """Forward a deletion."""
         lost = InDoubt('delete', 'memory', 'no answer')
-        return await self._reached(self.store.delete(*arguments), lost)
+        return await self._forward_call(self.store.delete(*arguments), lost)
 
     async def put(self, kind, name, value, if_version=None):
-        """Pass a write on, or let it meet the next fault."""
+        """Forward a write, or apply the next fault to it."""
         lost = InDoubt('put', 'memory', 'no answer')
         fault = self.faults.pop(0) if self.faults else ''
         call = self.store.put(kind, name, value, if_version)
         if fault == 'answer-lost':
             Deferred.fromCoroutine(call)
         elif fault == 'late':
-            self.clock.clock.callLater(self.late, Deferred.fromCoroutine, call)
+            self.clock.clock.callLater(
+                self.late_seconds, Deferred.fromCoroutine, call
+            )
         elif fault == 'request-lost':
             call.close()
         elif fault == 'held':
             answer = Deferred()
-            self.holding.append((call, answer))
+            self.delayed_writes.append((call, answer))
             return await answer
         else:
-            return await self._reached(call, lost)
-        return await self._silence(lost)
+            return await self._forward_call(call, lost)
+        return await self._never_answered(lost)
 
-    def arrive(self):
-        """Send on the writes that were held."""
-        for call, answer in self.holding:
+    def deliver_delayed(self):
+        """Send the writes that were delayed."""
+        for call, answer in self.delayed_writes:
             Deferred.fromCoroutine(call).addCallback(answer.callback)
-        self.holding.clear()
+        self.delayed_writes.clear()
 
-    def _reached(self, call, lost):
+    def _forward_call(self, call, lost):
         if self.cut:
             call.close()
-            return self._silence(lost)
+            return self._never_answered(lost)
         answer = Deferred()
         Deferred.fromCoroutine(call).addCallback(
             lambda outcome: self._answered(answer, outcome, lost),
@@ -216,20 +218,20 @@
             outcome = lost
         self.clock.run(answer.callback, outcome)
 
-    def _silence(self, lost):
+    def _never_answered(self, lost):
         answer = Deferred()
         self.clock.callLater(self.store.timeout, answer.callback, lost)
         return answer
 
 
 class EntryHost:
-    """An entry host's real code over a clock and ways of its own."""
+    """An entry host's real code with its own clock and connections."""
 
     def __init__(self, world, name, boot):
         self.world = world
         self.name = name
         self.clock = HostClock(world.clock)
-        self.way = Way(world.store, self.clock)
+        self.store_link = StoreLink(world.store, self.clock)
         settings = settings_from(
             None,
             ENTRY,
@@ -240,7 +242,7 @@
             Random(f'{name}/{boot}/{world.seed}'),
             settings,
             self._transport(world.network.transport_from(name)),
-            store=self.way,
+            store=self.store_link,
             log=world.log,
         )
         self.claims = self.node.claims
@@ -251,7 +253,7 @@
         self.node.in_force.offer(1, world.manifest_text, 'test')
 
     def ask(self, key, minutes=10, team='salons', pipeline='log-minutes'):
-        """Send a request; return a list that its outcome comes into."""
+        """Send a request; return a list to which its outcome is added."""
         request = Request(
             self.node.next_ident(),
             pipeline,
@@ -267,47 +269,47 @@
         return kept_result(running)
 
     def kill(self):
-        """End the host: nothing of it runs on."""
+        """Kill the host: none of its calls run any more."""
         self.clock.dead = True
 
-    def is_reached(self):
-        """Return whether peers get an answer from it."""
+    def is_reachable(self):
+        """Return whether peers get answers from this host."""
         clock = self.clock
         return not (clock.dead or clock.paused or self.name in self.world.cut)
 
     def forward(self, live_hosts, is_lost):
-        """Have claims appended by the preferred host.
+        """Forward appends of claims to the preferred host.
 
         Parameters
         ==========
 
         live_hosts : function
-            Returns names of hosts.
+            Returns the names of the live hosts.
         is_lost : function
-            Returns whether the next answer is lost.
+            Returns whether the next append reply is lost.
         """
 
         self.is_lost = is_lost
         self.claims.forward = forwarding(
             self.name,
             live_hosts,
-            partial(sent, self._ask_peer),
+            partial(send_append, self._ask_peer),
         )
 
     def _ask_peer(self, host, subject, body, seconds):
         answer = Deferred()
         peer = self.world.hosts.get(host)
-        if peer is not None and peer.is_reached() and self.is_reached():
+        if peer is not None and peer.is_reachable() and self.is_reachable():
             reply = maybeDeferred(peer.subjects[subject], self.name, body)
             if subject == 'claim-append' and self.is_lost():
-                # The connection breaks while the peer is still at it.
-                seconds = _BREAK
+                # The connection breaks while the peer is still appending.
+                seconds = _BREAK_SECONDS
             else:
-                reply.addCallback(self._resume, answer)
+                reply.addCallback(self._deliver_reply, answer)
         self.clock.callLater(seconds, self._fire, None, answer)
         return answer
 
-    def _resume(self, reply, answer):
+    def _deliver_reply(self, reply, answer):
         self.clock.run(self._fire, reply, answer)
 
     def _fire(self, reply, answer):
@@ -331,11 +333,11 @@
     ==========
 
     cut : set of str
-        Hosts that other hosts can't reach.
+        Names of hosts that are cut off from their peers.
     answers, labels : dict
-        What a scenario's request got, and its identifier, by label.
+        Outcomes and identifier of a scenario's request, by label.
     requests : dict
-        Identifier to key of all requests.
+        Idempotency key of each request, by request identifier.
     """
 
     def __init__(self, hosts=3, seed=1, shards=1, latency=0.005):
@@ -363,31 +365,31 @@
             self.start(f'h{number + 1}')
 
     def log(self, event, level='info', **fields):
-        """Note an event's name."""
+        """Record an event's name."""
         self.events.append(event.name)
 
     def start(self, name):
-        """Start a host, also again after it was killed."""
+        """Start a host, or restart it after it was killed."""
         self.boots += 1
         self.hosts[name] = EntryHost(self, name, self.boots)
         return self.hosts[name]
 
-    def passed(self, seconds):
-        """Let time pass."""
+    def advance(self, seconds):
+        """Advance the clock."""
         advanced(self.clock, seconds, step=0.001 if seconds < 10 else 0.25)
 
-    def runs(self, key):
-        """Return how often the booking service ran a key."""
+    def count_runs(self, key):
+        """Return how many times the booking service ran a key."""
         booked = [row for row in self.booking.keys if row[0] == key]
         return len(booked)
 
-    def write_segment(self, number, segment):
-        """Write a segment of shard 0 straight into the store."""
+    def store_segment(self, number, segment):
+        """Write a segment of shard 0 directly to the store."""
         encoded = msgspec.json.encode(segment)
         self.store.objects.put('claims', object_name(0, number), encoded, 0)
 
     def records(self):
-        """Return the records of all segments that stand."""
+        """Return the records of all stored segments."""
         found = []
         for name in self.objects():
             row = self.store.objects.found('claims', name)
@@ -395,10 +397,10 @@
         return found
 
     def objects(self):
-        """Return the names of all segments that stand."""
+        """Return the names of all stored segments."""
         return list(self.store.objects.names.get('claims', []))
 
-    def broken(self):
+    def broken_invariants(self):
         """Return the broken invariants of all hosts."""
         found = []
         for host in self.hosts.values():
--- a/features/builders/claims_guards.py
+++ b/features/builders/claims_guards.py
@@ -1,4 +1,4 @@
-"""Claims with one guard taken away, to show that a story needs it."""
+"""Claims with one guard disabled, to show that a scenario depends on it."""
 
 from contextlib import ExitStack, contextmanager
 from unittest import mock
@@ -13,7 +13,7 @@
     return True
 
 
-async def _won_in_doubt(self, sequence, segment, batch):
+async def _assume_applied(self, sequence, segment, batch):
     name = _log.object_name(self.shard, sequence)
     outcome = await self.store.put('claims', name, segment, if_version=0)
     if isinstance(outcome, (Written, InDoubt)):
@@ -22,7 +22,7 @@
     return await self.reader.read_to_end()
 
 
-async def _next_in_doubt(self, sequence, segment, batch):
+async def _skip_number_in_doubt(self, sequence, segment, batch):
     name = _log.object_name(self.shard, sequence)
     outcome = await self.store.put('claims', name, segment, if_version=0)
     if isinstance(outcome, Written):
@@ -34,16 +34,16 @@
     return await self.reader.read_to_end()
 
 
-async def _unread(self):
+async def _skip_read(self):
     self.state.cursor += 1
     self.end_known_at = self.clock.seconds()
 
 
-async def _unclaimed(self, request, record):
+async def _skip_claim(self, request, record):
     return Held(record)
 
 
-async def _ran_and_released(self, record, run):
+async def _run_and_release(self, record, run):
     outcome = await run()
     if isinstance(outcome, Answered):
         self.outcome_cache.add(record, outcome)
@@ -52,19 +52,19 @@
     return outcome
 
 
-async def _appended_as_own(self, record, patience):
+async def _append_as_own(self, record, patience):
     return await self._append_claim(record, patience, own=True)
 
 
-def _all_folded(oldest, cursor, now):
-    return [row[0] for row in oldest], now
+def _delete_all(oldest_segments, cursor, now):
+    return [row[0] for row in oldest_segments], now
 
 
-def _unexpired_folded(oldest, cursor, now):
-    return [row[0] for row in oldest if row[0] < cursor], now
+def _delete_unexpired(oldest_segments, cursor, now):
+    return [row[0] for row in oldest_segments if row[0] < cursor], now
 
 
-def _blind(function):
+def _unconditional(function):
     async def put(self, kind, name, value, if_version=None):
         return await function(self, kind, name, value)
 
@@ -72,45 +72,47 @@
 
 
 def _patches(guard):
-    from features.builders.claims import Way  # noqa: WPS433
+    from features.builders.claims import StoreLink  # noqa: WPS433
 
     patch = mock.patch.object
     return {
         'the read-back of an append in doubt': [
-            patch(ShardLog, '_put_until_settled', _won_in_doubt),
+            patch(ShardLog, '_put_until_settled', _assume_applied),
         ],
         'settling a number before the next': [
-            patch(ShardLog, '_put_until_settled', _next_in_doubt),
+            patch(ShardLog, '_put_until_settled', _skip_number_in_doubt),
         ],
         'the read of the log before an append': [
-            patch(_reader.ShardReader, 'read_to_end', _unread),
+            patch(_reader.ShardReader, 'read_to_end', _skip_read),
+        ],
+        'create-if-absent': [
+            patch(StoreLink, 'put', _unconditional(StoreLink.put))
         ],
-        'create-if-absent': [patch(Way, 'put', _blind(Way.put))],
         'the bound on a known end': [
             patch(_log, 'is_end_current', _always),
             patch(_reader, 'is_end_current', _always),
         ],
         'the claim before the dispatch': [
-            patch(Claims, '_acquire_claim', _unclaimed),
+            patch(Claims, '_acquire_claim', _skip_claim),
         ],
         'keeping the key of an unknown outcome': [
-            patch(Claims, '_run_claimed', _ran_and_released),
+            patch(Claims, '_run_claimed', _run_and_release),
         ],
         'leaving the claims of others alone': [
-            patch(Claims, 'forwarded', _appended_as_own),
+            patch(Claims, 'forwarded', _append_as_own),
         ],
         'keeping the newest segment': [
-            patch(_truncate, 'select_expired', _all_folded)
+            patch(_truncate, 'select_expired', _delete_all)
         ],
         'keeping segments for the window': [
-            patch(_truncate, 'select_expired', _unexpired_folded),
+            patch(_truncate, 'select_expired', _delete_unexpired),
         ],
     }[guard]
 
 
 @contextmanager
 def without(guard):
-    """Run a block without a guard, which is named in words."""
+    """Run a block with the named guard disabled."""
     with ExitStack() as stack:
         for patch in _patches(guard):
             stack.enter_context(patch)
--- a/features/builders/claims_trace.py
+++ b/features/builders/claims_trace.py
@@ -1,10 +1,10 @@
-"""Recorder of what claims do, for the specification to be held against."""
+"""Records events of claims, to be checked against the specification."""
 
 from contextlib import ExitStack, contextmanager
 from unittest import mock
 
 from features.builders import claims_random
-from features.builders.claims import EntryHost, Way
+from features.builders.claims import EntryHost, StoreLink
 from features.builders.claims_guards import without
 from pollenstile.claims import Claims, ShardLog
 from pollenstile.claims._digests import KIND, parse_sequence
@@ -15,13 +15,13 @@
 
 
 class Recorder:
-    """Events of a story, in the order in which they happen.
+    """Events of a scenario, in the order in which they occur.
 
     Attributes
     ==========
 
     events : list of TraceEvent
-        All of them.
+        Recorded events.
     """
 
     def __init__(self):
@@ -29,34 +29,34 @@
         self.begun = set()
         self.ended = set()
         self.opened = set()
-        self.handed = set()
+        self.dispatched = set()
         self.processes = {}
 
     def process(self, clock):
-        """Return the name of a process: a restarted host is another."""
+        """Return the name of a process; a restarted host is a new process."""
         name = f'process-{len(self.processes) + 1}'
         return self.processes.setdefault(clock, name)
 
     def begin(self, host, record):
-        """Note a request that is to claim its key."""
+        """Record a request that starts to claim its key."""
         self.begun.add(record.ident)
-        self._note('begin', host=host, request=record.ident, key=record.key)
+        self._add('begin', host=host, request=record.ident, key=record.key)
 
     def end(self, action, ident):
-        """Note that a request ends unrun, once."""
+        """Record once that a request ends without a run."""
         if ident in self.begun and ident not in self.ended:
             self.ended.add(ident)
-            self._note(action, request=ident)
+            self._add(action, request=ident)
 
     def open(self, host, name, segment):
-        """Note a batch that is sent for the first time."""
+        """Record a batch when it is sent for the first time."""
         if segment.batch in self.opened:
             return
         self.opened.add(segment.batch)
         steps = {'claim': [], 'release': []}
         for record in segment.records:
             steps[record.step].append(record.ident)
-        self._note(
+        self._add(
             'open',
             host=host,
             shard=name.partition('/')[0],
@@ -67,8 +67,8 @@
         )
 
     def apply(self, name, batch):
-        """Note a batch that the store has taken."""
-        self._note(
+        """Record a batch that the store has applied."""
+        self._add(
             'apply',
             shard=name.partition('/')[0],
             place=parse_sequence(name),
@@ -76,34 +76,34 @@
         )
 
     def dispatch(self, request, attempt):
-        """Note a non-idempotent call that is handed over."""
-        self.handed.add(attempt)
-        self._note('dispatch', request=request.ident)
+        """Record that a non-idempotent call is dispatched."""
+        self.dispatched.add(attempt)
+        self._add('dispatch', request=request.ident)
 
     def give_back(self, request, attempt):
-        """Note that such a call did not run."""
-        if attempt in self.handed:
-            self._note('giveback', request=request.ident)
+        """Record that a dispatched non-idempotent call did not run."""
+        if attempt in self.dispatched:
+            self._add('giveback', request=request.ident)
 
     def crash(self, host):
-        """Note the end of a host."""
-        self._note('crash', host=host)
+        """Record the crash of a host."""
+        self._add('crash', host=host)
 
-    def _note(self, action, **fields):
+    def _add(self, action, **fields):
         self.events.append(TraceEvent(action, **fields))
 
 
-def _before(kept, note):
-    """Return a method that notes its call, then does what it did."""
+def _recording(original, record_call):
+    """Return a method that records its call, then calls the original."""
 
     def method(self, *arguments, **named):
-        note(self, *arguments, **named)
-        return kept(self, *arguments, **named)
+        record_call(self, *arguments, **named)
+        return original(self, *arguments, **named)
 
     return method
 
 
-def _claims_notes(recorder):
+def _claims_hooks(recorder):
     def claimed(claims, request, record, run):
         recorder.begin(recorder.process(claims.clock), record)
 
@@ -129,8 +129,8 @@
     )
 
 
-def _other_notes(recorder):
-    def handed(ledger, request, step, attempt, *, idempotent):
+def _other_hooks(recorder):
+    def dispatched(ledger, request, step, attempt, *, idempotent):
         if not idempotent:
             recorder.dispatch(request, attempt)
 
@@ -140,23 +140,23 @@
     def killed(host):
         recorder.crash(recorder.process(host.clock))
 
-    def put(way, kind, name, segment, if_version=None):
+    def put(store_link, kind, name, segment, if_version=None):
         if kind == KIND:
-            recorder.open(recorder.process(way.clock), name, segment)
+            recorder.open(recorder.process(store_link.clock), name, segment)
 
     return (
-        (Ledger, 'dispatch', handed),
+        (Ledger, 'dispatch', dispatched),
         (Ledger, 'give_back', given_back),
         (EntryHost, 'kill', killed),
-        (Way, 'put', put),
+        (StoreLink, 'put', put),
     )
 
 
-def _stored(recorder):
-    kept = Objects.put
+def _record_stored(recorder):
+    original = Objects.put
 
     def stored(objects, kind, name, encoded, if_version):
-        outcome = kept(objects, kind, name, encoded, if_version)
+        outcome = original(objects, kind, name, encoded, if_version)
         if kind == KIND and isinstance(outcome, Written):
             found = objects.found(kind, name)
             recorder.apply(name, found.value[0])
@@ -166,40 +166,40 @@
 
 
 def _patches(recorder):
-    patches = [_stored(recorder)]
-    for owner, name, note in _claims_notes(recorder) + _other_notes(recorder):
-        wrapped = _before(getattr(owner, name), note)
+    patches = [_record_stored(recorder)]
+    for owner, name, hook in _claims_hooks(recorder) + _other_hooks(recorder):
+        wrapped = _recording(getattr(owner, name), hook)
         patches.append(mock.patch.object(owner, name, wrapped))
     return patches
 
 
 @contextmanager
-def _no_guard_taken():
+def _all_guards():
     yield
 
 
 def recorded_story(seed, guard=''):
-    """Return the events of a random story in which no claim expires.
+    """Return the events of a random scenario in which no claim expires.
 
     Parameters
     ==========
 
     guard : str
-        Which guard of the claims is taken away; empty for none.
+        The guard of the claims to disable; empty for none.
     """
     recorder = Recorder()
-    # The specification knows no windows.
+    # The specification does not model the expiry of claims.
     actions = [
         action
         for action in claims_random._ACTIONS
-        if action is not claims_random.RandomStory.skip_window
+        if action is not claims_random.RandomScenario.skip_window
     ]
     with ExitStack() as stack:
-        stack.enter_context(without(guard) if guard else _no_guard_taken())
+        stack.enter_context(without(guard) if guard else _all_guards())
         stack.enter_context(
             mock.patch.object(claims_random, '_ACTIONS', actions),
         )
         for patch in _patches(recorder):
             stack.enter_context(patch)
-        claims_random.RandomStory(seed).told()
+        claims_random.RandomScenario(seed).run()
     return recorder.events
--- a/features/claims_random.feature
+++ b/features/claims_random.feature
@@ -1,16 +1,17 @@
-Feature: claims in random stories
+Feature: claims in random scenarios
 
-  Scenario: Random claims stories never run a key twice within its window
-    Hosts of the real code die, are paused, cut off from the store and from
-    each other; the store loses answers, applies writes late, is slow or down;
-    the service refuses or freezes; callers repeat their keys at any host.
-    Then no key of 60 random claims stories ran twice within its window
-    And the random claims stories had every outcome at least 20 times
+  Scenario: Random claims scenarios never run a key twice within its window
+    Hosts that run the real code crash, are paused, and are cut off from the
+    store and from each other. The store loses answers, applies writes late, is
+    slow or down. The service refuses or freezes. Callers repeat their keys at
+    any host.
+    Then no key of 60 random claims scenarios ran twice within its window
+    And the random claims scenarios had every outcome at least 20 times
 
-  Scenario Outline: Random claims stories show that <guard> is needed
-    The same stories with one guard taken away. Were it never missed, the
-    stories would not be looking where it matters.
-    Then a random claims story from seed <seed> on fails without "<guard>"
+  Scenario Outline: Random claims scenarios show that <guard> is needed
+    The same scenarios with one guard disabled. If none failed, the scenarios
+    would not cover the fault that the guard prevents.
+    Then a random claims scenario from seed <seed> on fails without "<guard>"
 
     Examples:
       | seed | guard                                  |
--- a/features/claims_store.feature
+++ b/features/claims_store.feature
@@ -1,11 +1,10 @@
 Feature: claims while the store loses answers, is slow or is down
 
   Scenario Outline: A claims append whose answer is lost, <fault>
-    The host can't know whether its append was applied. If it took it as
-    applied, or as not applied, without looking, it would be wrong once in a
-    while.
+    The host can't know whether its append was applied. If it assumed either
+    result without reading the log, it would sometimes be wrong.
     Given claims hosts "h1, h2"
-    When the claims writes of "h1" meet "<fault>"
+    When the claims writes of "h1" fail with "<fault>"
     And claims request "first" with key "k" reaches "h1"
     And 3 claims seconds pass
     And claims request "again" with key "k" reaches "h2"
@@ -24,10 +23,10 @@
       | late, late, request-lost |
 
   Scenario: A claims append in doubt while another host takes its number
-    The append of h1 is lost on its way. h2 takes the number, for the same
-    key. h1 reads back, finds another's batch, and must not run.
+    The append of h1 is delayed. h2 appends at the same number, for the same
+    key. h1 reads back, finds the batch of h2, and must not run the request.
     Given claims hosts "h1, h2"
-    When the claims writes of "h1" meet "late"
+    When the claims writes of "h1" fail with "late"
     And claims request "first" with key "k" reaches "h1"
     And 0.1 claims seconds pass
     And claims request "again" with key "k" reaches "h2"
@@ -38,11 +37,12 @@
     And claims key "k" would run 2 times without "the read-back of an append in doubt"
     And claims key "k" would run 2 times without "settling a number before the next"
 
-  Scenario: Claims of other keys go on after a lost number
-    As before, with two keys. h1's batch has lost its number for good and is
-    sent again under the next; the late write finds its old name taken.
+  Scenario: Claims of other keys are retried after a lost sequence number
+    As before, with two keys. The number of h1's batch was taken by h2, so the
+    batch is sent again under the next one. The late write is then rejected,
+    because its name exists.
     Given claims hosts "h1, h2"
-    When the claims writes of "h1" meet "late"
+    When the claims writes of "h1" fail with "late"
     And claims request "first" with key "a" reaches "h1"
     And 0.1 claims seconds pass
     And claims request "second" with key "b" reaches "h2"
@@ -52,8 +52,8 @@
     And the claims log has key "a" 1 time
 
   Scenario: Claims with the store down
-    The store refuses connections. Keyed minutes are refused as not run, at
-    once. Requests whose upstream drops repeats itself go on, and so do
+    The store refuses connections. Requests with a key are refused at once, as
+    not run. Requests whose upstream deduplicates by key still run, and so do
     idempotent ones.
     Given claims hosts "h1"
     And the claims store is down
@@ -62,13 +62,13 @@
     And pipeline "look-up" gets claims request "look" with key "l" at "h1"
     And 0.2 claims seconds pass
     Then claims request "minutes" ends as "not-run", status 503
-    And claims request "minutes" was told when to ask again
+    And claims request "minutes" gets a time to retry after
     And claims request "deduped" ends as "answered"
     And claims request "look" ends as "answered"
     And claims key "k" ran 0 times
 
   Scenario: Claims after the store is back
-    The caller that was refused as not run asks again with the same key.
+    A caller that was refused as not run retries with the same key.
     Given claims hosts "h1"
     And the claims store is down
     When claims request "first" with key "k" reaches "h1"
@@ -81,9 +81,9 @@
     And claims key "k" ran 1 time
 
   Scenario: Claims with a store that is slow
-    Each call takes 1.5 s. The claim can't be had in the share of the deadline
-    that it may take; the caller is told at once then, not at the deadline.
-    The claim lands after that and is released, so a repeat runs.
+    Each call takes 1.5 s. The claim does not succeed within its share of the
+    deadline; the caller is refused at that moment, not at the deadline. The
+    claim is written later and then released, so a repeat runs.
     Given claims hosts "h1, h2"
     And the claims store takes 1.5 seconds for each call
     When claims request "first" with key "k" reaches "h1"
@@ -97,11 +97,11 @@
     And claims key "k" ran 1 time
 
   Scenario: Claims while an append stays in doubt
-    The answer to an append is lost and then the store is gone. The claim may
-    or may not stand. Its caller and all that come after it are refused at
-    once; when the store is back the claim is settled and released.
+    The answer to an append is lost and then the store goes down. The claim may
+    or may not be in the log. Its caller and all later ones are refused at
+    once. When the store is back, the claim is settled and released.
     Given claims hosts "h1, h2"
-    When the claims writes of "h1" meet "answer-lost"
+    When the claims writes of "h1" fail with "answer-lost"
     And claims request "first" with key "k" reaches "h1"
     And 0.1 claims seconds pass
     And the claims store goes down
@@ -118,7 +118,7 @@
     And claims key "k" ran 1 time
 
   Scenario: A claims host that is cut off from the store
-    One host alone loses the store. It refuses; the caller goes to another.
+    Only one host loses the store. It refuses; the caller retries at another.
     Given claims hosts "h1, h2"
     When claims host "h1" is cut off from the store
     And claims request "first" with key "k" reaches "h1"
@@ -130,12 +130,12 @@
     And claims key "k" ran 1 time
 
   Scenario: A claims host finds its own claim after a forwarded one
-    h1 has h2 append its claim, and the answer is lost between them. h1 finds
-    its own request in the log and runs it. h2 gives the claim up meanwhile;
-    if it released it, a repeat would run a second time.
+    h1 forwards its claim to h2, and the reply is lost. h1 finds its own request
+    in the log and runs it. Meanwhile h2 gives up the claim. If h2 released it,
+    a repeat would run a second time.
     Given claims hosts "h1, h2, h3"
     When claims host "h1" forwards to "h2" and loses its answers
-    And the claims writes of "h2" meet "answer-lost"
+    And the claims writes of "h2" fail with "answer-lost"
     And claims request "first" with key "k" reaches "h1"
     And 8 claims seconds pass
     And claims host "h1" is replaced
@@ -146,17 +146,17 @@
     And claims key "k" ran 1 time
     And claims key "k" would run 2 times without "leaving the claims of others alone"
 
-  Scenario: Claims segments are folded after the window
-    Minutes are logged once an hour for a week. The store would fill up with
-    segments that hold nothing any more.
+  Scenario: Claims segments are deleted after the window
+    Minutes are logged once an hour for a week. Without truncation, the store
+    would fill up with segments whose claims have expired.
     Given claims hosts "h1, h2"
     When 40 claims keys reach hosts in turn, 300 seconds apart
     Then the claims log has at most 6 segments
     And each claims key ran 1 time
 
-  Scenario: Folding keeps a claims key for its whole window
-    A caller asks again after nine minutes of ten; many other keys were
-    claimed meanwhile, at all hosts.
+  Scenario: Truncation keeps a claims key for its whole window
+    A caller retries after nine of ten minutes. Meanwhile many other keys were
+    claimed at all hosts.
     Given claims hosts "h1, h2, h3"
     When claims request "first" with key "k" reaches "h1"
     And 40 claims keys reach hosts in turn, 13 seconds apart
@@ -167,10 +167,10 @@
     And claims key "k" ran 1 time
     And claims key "k" would run 2 times without "keeping segments for the window"
 
-  Scenario: A claims host that pages through the log while it is folded
+  Scenario: A claims host pages through the log while it is truncated
     A new host reads a log of 1,200 segments, 500 a page. Between two pages
-    another host deletes 600 that have expired. The key it looks for stands
-    in the part that is left.
+    another host deletes 600 that have expired. The key of the request is in
+    the remaining part.
     Given claims hosts "h1, h2"
     And a claims log of 1200 segments of which 900 have expired
     When claims request "first" with key "k" reaches "h1"
@@ -183,9 +183,9 @@
     And claims key "k" ran 1 time
 
   Scenario: The claims log never becomes empty
-    All claims have expired. Were all segments folded, a host that starts now
-    would begin at number 1 again, below the numbers at which the others go
-    on, and the two would not see each other's claims.
+    All claims have expired. If all segments were deleted, a host that starts
+    now would begin at number 1 again, below the numbers at which other hosts
+    continue, and the two would not see each other's claims.
     Given claims hosts "h1, h2"
     When claims request "one" with key "a" reaches "h1"
     And 800 claims seconds pass
--- a/features/steps/claims_steps.py
+++ b/features/steps/claims_steps.py
@@ -1,4 +1,4 @@
-"""Steps of claims; a story can be told again without one of its guards."""
+"""Steps of claims; a scenario can be replayed with one guard disabled."""
 
 from behave import given, then, when
 
@@ -10,15 +10,15 @@
 
 
 def _act(context, action):
-    """Let something happen now, and when the story is told again."""
-    context.story.append(action)
+    """Run an action now, and again whenever the scenario is replayed."""
+    context.actions.append(action)
     action(context.world)
 
 
-def _told_without(context, guard):
+def _replay_without(context, guard):
     world = ClaimsWorld(len(context.world.hosts))
     with without(guard):
-        for action in context.story:
+        for action in context.actions:
             action(world)
     return world
 
@@ -32,7 +32,7 @@
 @given('claims hosts "{names}"')
 def step_hosts(context, names):
     context.world = ClaimsWorld(len(names.split(', ')))
-    context.story = []
+    context.actions = []
 
 
 @given('the claims upstream is frozen')
@@ -45,7 +45,7 @@
     _act(context, lambda world: _set(world.booking.faults, 'refusing', True))
 
 
-@when('the claims upstream works again')
+@when('the claims upstream recovers')
 def step_works(context):
     def works(world):
         world.booking.faults.frozen = False
@@ -90,7 +90,7 @@
                 now + left,
             )
             segment = Segment(f'b-{number}', now + left - WINDOW, [record])
-            world.write_segment(number, segment)
+            world.store_segment(number, segment)
 
     _act(context, write)
 
@@ -147,7 +147,7 @@
         names = sorted(world.hosts)
         for number in range(total):
             world.hosts[names[number % len(names)]].ask(f'many-{number}')
-            world.passed(seconds)
+            world.advance(seconds)
 
     context.many = total
     _act(context, ask_all)
@@ -155,10 +155,10 @@
 
 @when('{seconds:g} claims seconds pass')
 def step_pass(context, seconds):
-    _act(context, lambda world: world.passed(seconds))
+    _act(context, lambda world: world.advance(seconds))
 
 
-@when('claims host "{host}" dies')
+@when('claims host "{host}" crashes')
 def step_dies(context, host):
     _act(context, lambda world: world.hosts[host].kill())
 
@@ -177,7 +177,7 @@
     _act(context, lambda world: _set(world.hosts[host].clock, 'paused', True))
 
 
-@when('claims host "{host}" goes on')
+@when('claims host "{host}" resumes')
 def step_goes_on(context, host):
     _act(context, lambda world: world.hosts[host].clock.resume())
 
@@ -194,14 +194,14 @@
 
 @when('claims host "{host}" is cut off from the store')
 def step_cut_store(context, host):
-    _act(context, lambda world: _set(world.hosts[host].way, 'cut', True))
+    _act(context, lambda world: _set(world.hosts[host].store_link, 'cut', True))
 
 
-@when('the claims writes of "{host}" meet "{faults}"')
+@when('the claims writes of "{host}" fail with "{faults}"')
 def step_faults(context, host, faults):
     def meet(world):
         world.store.timeout = 0.5
-        world.hosts[host].way.faults = faults.split(', ')
+        world.hosts[host].store_link.faults = faults.split(', ')
 
     _act(context, meet)
 
@@ -216,7 +216,7 @@
 
 def _submit_held(world, host, key):
     entry = world.hosts[host]
-    entry.way.faults = ['held']
+    entry.store_link.faults = ['held']
     record = Record(
         'claim',
         key_digest('salons', 'log-minutes', key),
@@ -230,27 +230,27 @@
 
 
 @when(
-    'the claims log of "{host}" gets key "{key}" and its next write is held up'
+    'the claims log of "{host}" is given key "{key}" and its write is delayed'
 )
 def step_held(context, host, key):
     _act(context, lambda world: _submit_held(world, host, key))
-    _act(context, lambda world: world.passed(0.1))
+    _act(context, lambda world: world.advance(0.1))
 
 
-@when('the held up claims write of "{host}" arrives')
+@when('the delayed claims write of "{host}" arrives')
 def step_held_arrives(context, host):
-    _act(context, lambda world: world.hosts[host].way.arrive())
+    _act(context, lambda world: world.hosts[host].store_link.deliver_delayed())
 
 
-@then('the claims log of "{host}" did not get key "{key}"')
+@then('the claims log of "{host}" did not claim key "{key}"')
 def step_not_got(context, host, key):
     outcome = _outcome(context, 'held')
     assert not isinstance(outcome, Held), outcome
 
 
-@then('without "{guard}" the claims log of "{host}" would get it')
+@then('without "{guard}" the claims log of "{host}" would claim it')
 def step_would_get(context, guard, host):
-    world = _told_without(context, guard)
+    world = _replay_without(context, guard)
     outcome = world.answers['held'][0]
     assert outcome.record.ident == f'{host}-held', outcome
 
@@ -294,14 +294,14 @@
     assert (outcome.tag, outcome.status) == (tag, status), outcome
 
 
-@then('claims request "{label}" was told when to ask again')
+@then('claims request "{label}" gets a time to retry after')
 def step_retry_after(context, label):
     assert _outcome(context, label).retry_after >= 1
 
 
 @then(
-    'claims request "{label}" is told "{tag}" of "{peer}", '
-    'to ask again after {seconds:d} s',
+    'claims request "{label}" ends as "{tag}" from "{peer}", '
+    'to be retried after {seconds:d} s',
 )
 def step_ends_from(context, label, tag, peer, seconds):
     outcome = _outcome(context, label)
@@ -312,27 +312,27 @@
 @then('claims requests "{labels}" end with the answer to "{label}"')
 def step_same_answer(context, labels, label):
     expected = context.world.labels[label]
-    for one in labels.split(', '):
-        outcome = _outcome(context, one)
-        assert outcome.tag == 'answered', (one, outcome)
-        assert outcome.output['for'] == expected, (one, outcome)
+    for repeat in labels.split(', '):
+        outcome = _outcome(context, repeat)
+        assert outcome.tag == 'answered', (repeat, outcome)
+        assert outcome.output['for'] == expected, (repeat, outcome)
 
 
 @then('claims key "{key}" ran {times:d} time')
 @then('claims key "{key}" ran {times:d} times')
 def step_ran(context, key, times):
-    assert context.world.runs(key) == times, context.world.booking.keys
-    assert not context.world.broken()
+    assert context.world.count_runs(key) == times, context.world.booking.keys
+    assert not context.world.broken_invariants()
 
 
 @then('each claims key ran {times:d} time')
 def step_each_ran(context, times):
     for number in range(context.many):
-        runs = context.world.runs(f'many-{number}')
+        runs = context.world.count_runs(f'many-{number}')
         assert runs == times, (number, runs)
 
 
 @then('claims key "{key}" would run {times:d} times without "{guard}"')
 def step_would_run(context, key, times, guard):
-    world = _told_without(context, guard)
-    assert world.runs(key) == times, (world.booking.keys, world.answers)
+    world = _replay_without(context, guard)
+    assert world.count_runs(key) == times, (world.booking.keys, world.answers)
--- a/pollenstile/claims/__init__.py
+++ b/pollenstile/claims/__init__.py
@@ -4,5 +4,5 @@
 from pollenstile.claims._forward import forwarding, preferred_host
 from pollenstile.claims._log import ShardLog
 from pollenstile.claims._pending import Held, NotClaimed
-from pollenstile.claims._peers import join_peers, sent
+from pollenstile.claims._peers import join_peers, send_append
 from pollenstile.claims._records import Record, Segment
--- a/pollenstile/claims/_log.py
+++ b/pollenstile/claims/_log.py
@@ -328,7 +328,7 @@
         for pending in list(batch):
             pending.settle(failure)
         self.queue = deque(
-            pending for pending in self.queue if pending.must_append
+            queued for queued in self.queue if queued.must_append
         )
 
 
--- a/pollenstile/claims/_peers.py
+++ b/pollenstile/claims/_peers.py
@@ -51,7 +51,7 @@
     answer(_APPEND, partial(_append_for_peer, claims))
 
 
-async def sent(ask, owner, record):
+async def send_append(ask, owner, record):
     """Request that another host append a claim; see ``forwarding``.
 
     Returns
