--- a/features/steps/claims_steps.py
+++ b/features/steps/claims_steps.py
@@ -46,12 +46,12 @@
 
 
 @when('the claims upstream recovers')
-def step_works(context):
-    def works(world):
+def step_recovers(context):
+    def recover(world):
         world.booking.faults.frozen = False
         world.booking.faults.refusing = False
 
-    _act(context, works)
+    _act(context, recover)
 
 
 def _set(thing, name, value):
@@ -159,7 +159,7 @@
 
 
 @when('claims host "{host}" crashes')
-def step_dies(context, host):
+def step_crashes(context, host):
     _act(context, lambda world: world.hosts[host].kill())
 
 
@@ -178,7 +178,7 @@
 
 
 @when('claims host "{host}" resumes')
-def step_goes_on(context, host):
+def step_resumes(context, host):
     _act(context, lambda world: world.hosts[host].clock.resume())
 
 
@@ -199,11 +199,11 @@
 
 @when('the claims writes of "{host}" fail with "{faults}"')
 def step_faults(context, host, faults):
-    def meet(world):
+    def fail(world):
         world.store.timeout = 0.5
         world.hosts[host].store_link.faults = faults.split(', ')
 
-    _act(context, meet)
+    _act(context, fail)
 
 
 @when('claims host "{host}" forwards to "{owner}" and loses its answers')
@@ -214,7 +214,7 @@
     _act(context, forward)
 
 
-def _submit_held(world, host, key):
+def _submit_delayed(world, host, key):
     entry = world.hosts[host]
     entry.store_link.faults = ['held']
     record = Record(
@@ -232,31 +232,31 @@
 @when(
     'the claims log of "{host}" is given key "{key}" and its write is delayed'
 )
-def step_held(context, host, key):
-    _act(context, lambda world: _submit_held(world, host, key))
+def step_delayed(context, host, key):
+    _act(context, lambda world: _submit_delayed(world, host, key))
     _act(context, lambda world: world.advance(0.1))
 
 
 @when('the delayed claims write of "{host}" arrives')
-def step_held_arrives(context, host):
+def step_delayed_arrives(context, host):
     _act(context, lambda world: world.hosts[host].store_link.deliver_delayed())
 
 
 @then('the claims log of "{host}" did not claim key "{key}"')
-def step_not_got(context, host, key):
+def step_not_claimed(context, host, key):
     outcome = _outcome(context, 'held')
     assert not isinstance(outcome, Held), outcome
 
 
 @then('without "{guard}" the claims log of "{host}" would claim it')
-def step_would_get(context, guard, host):
+def step_would_claim(context, guard, host):
     world = _replay_without(context, guard)
     outcome = world.answers['held'][0]
     assert outcome.record.ident == f'{host}-held', outcome
 
 
 @then('the claims log no longer has segment {number:d}')
-def step_folded(context, number):
+def step_segment_deleted(context, number):
     assert object_name(0, number) not in context.world.objects()
 
 
