--- a/features/builders/claims_guards.py
+++ b/features/builders/claims_guards.py
@@ -99,7 +99,7 @@
             patch(Claims, '_run_claimed', _run_and_release),
         ],
         'leaving the claims of others alone': [
-            patch(Claims, 'forwarded', _append_as_own),
+            patch(Claims, 'append_forwarded', _append_as_own),
         ],
         'keeping the newest segment': [
             patch(_truncate, 'select_expired', _delete_all)
--- a/features/builders/claims_trace.py
+++ b/features/builders/claims_trace.py
@@ -178,7 +178,7 @@
     yield
 
 
-def recorded_story(seed, guard=''):
+def record_scenario(seed, guard=''):
     """Return the events of a random scenario in which no claim expires.
 
     Parameters
--- a/pollenstile/claims/_claims.py
+++ b/pollenstile/claims/_claims.py
@@ -14,7 +14,7 @@
 from pollenstile.claims._records import Record, build_release
 from pollenstile.outcomes import Answered, Refused, Unknown
 
-SHARDS = 32
+SHARD_COUNT = 32
 _STEP = 'claim'
 _STORE = 'object API'
 _UNAVAILABLE = 503
@@ -106,8 +106,8 @@
         None if that host can't be reached.
     forward : function or None
         ``await forward(shard, record)`` makes another host append the claim,
-        for larger batches; returns the result of :meth:`forwarded` there, or
-        None if that host can't be reached or did not reply in time.
+        for larger batches; returns the result of :meth:`append_forwarded`
+        there, or None if that host can't be reached or did not reply in time.
     """
 
     __slots__ = (
@@ -134,7 +134,7 @@
         host,
         log,
         count,
-        shards=SHARDS,
+        shards=SHARD_COUNT,
         window=0.0,
     ):
         self.store = store
@@ -197,15 +197,15 @@
             return None
         return cached.outcome
 
-    async def forwarded(self, record, patience):
+    async def append_forwarded(self, record, patience):
         """Append another host's claim; return ``Held`` or ``NotClaimed``."""
         return await self._append_claim(record, patience, own=False)
 
-    def flushed(self):
+    def flush_records(self):
         """Return a Deferred that fires after one attempt to write all."""
         logs = list(self.logs.values())
         return DeferredList(
-            [log.flushed() for log in logs],
+            [log.flush_records() for log in logs],
             consumeErrors=True,
         )
 
--- a/pollenstile/claims/_forward.py
+++ b/pollenstile/claims/_forward.py
@@ -38,7 +38,7 @@
     return max(hosts, key=weight)
 
 
-def forwarding(host, live_hosts, send):
+def build_forwarder(host, live_hosts, send):
     """Return a function to be set as ``Claims.forward``.
 
     Parameters
@@ -50,8 +50,8 @@
         Returns the names of the live hosts, including this one.
     send : function
         ``await send(owner, record)`` makes the host ``owner`` call
-        :meth:`~pollenstile.claims.Claims.forwarded` and returns its result,
-        or None if no reply arrived in time.
+        :meth:`~pollenstile.claims.Claims.append_forwarded` and returns its
+        result, or None if no reply arrived in time.
     """
 
     async def forward(shard, record):
--- a/pollenstile/claims/_log.py
+++ b/pollenstile/claims/_log.py
@@ -141,7 +141,7 @@
             self.submit(build_release(pending.record))
         pending.settle(NotClaimed(reason))
 
-    def flushed(self):
+    def flush_records(self):
         """Return a Deferred that fires after one attempt to write all."""
         self._start_writing()
         if not self.is_writing:
--- a/pollenstile/claims/_peers.py
+++ b/pollenstile/claims/_peers.py
@@ -31,7 +31,7 @@
 _APPEND_RESULT_TYPES = {'held': Held, 'unreached': NotClaimed}
 
 
-def join_peers(claims, ask, answer):
+def connect_peers(claims, ask, answer):
     """Connect claims to the peer protocol, as client and as server.
 
     Parameters
@@ -52,7 +52,7 @@
 
 
 async def send_append(ask, owner, record):
-    """Request that another host append a claim; see ``forwarding``.
+    """Request that another host append a claim; see ``build_forwarder``.
 
     Returns
     =======
@@ -78,7 +78,7 @@
 
 async def _append_for_peer(claims, peer, body):
     record = msgspec.json.decode(body, type=Record)
-    result = await claims.forwarded(record, _APPEND_SECONDS)
+    result = await claims.append_forwarded(record, _APPEND_SECONDS)
     return _encode('held' if isinstance(result, Held) else 'unreached', result)
 
 
--- a/pollenstile/entry/_assembly.py
+++ b/pollenstile/entry/_assembly.py
@@ -1,6 +1,6 @@
 """Putting one entry host together."""
 
-from pollenstile.claims import Claims, join_peers
+from pollenstile.claims import Claims, connect_peers
 from pollenstile.entry._node import Node
 from pollenstile.fleet import Fleet, InForce
 from pollenstile.limits import (
@@ -146,7 +146,7 @@
         core.log,
     )
     if node.claims is not None:
-        join_peers(node.claims, fleet.ask, fleet.answer)
+        connect_peers(node.claims, fleet.ask, fleet.answer)
     return fleet
 
 
--- a/pollenstile/entry/_daemon.py
+++ b/pollenstile/entry/_daemon.py
@@ -158,7 +158,7 @@
     def _flushed(self):
         if self.node.claims is None:
             return succeed(None)
-        return self.node.claims.flushed().addTimeout(
+        return self.node.claims.flush_records().addTimeout(
             _FLUSH_SECONDS,
             self.reactor,
             onTimeoutCancel=lambda *_: None,
