--- a/features/builders/fleet.py
+++ b/features/builders/fleet.py
@@ -7,9 +7,9 @@
     fleet_manifest,
     started_world,
 )
-from pollenstile.fleet import HOST, Record, applied, by_domain
+from pollenstile.fleet import HOST, Record, apply_manifest, by_domain
 from pollenstile.peer import neighbours
-from pollenstile.platform import pauses
+from pollenstile.platform import make_pause
 
 DOMAINS = 'abcdefgh'
 
@@ -28,8 +28,8 @@
 def applying(world, name, reviewed, apply_id, settled=False):
     """Apply a changed manifest; return the list that gets the outcome."""
     told = []
-    pause = pauses(world.clock, world.random, 0.2, 2.0)
-    call = applied(
+    pause = make_pause(world.clock, world.random, 0.2, 2.0)
+    call = apply_manifest(
         world.store,
         next_text(world, name),
         reviewed,
--- a/features/builders/forward.py
+++ b/features/builders/forward.py
@@ -7,14 +7,14 @@
 from twisted.internet.task import Clock
 
 from pollenstile.forward import (
-    Asked,
+    RouteQuery,
     BodyEnd,
     Exchange,
     ForwardCore,
     HeaderNames,
-    Reach,
+    ProbeResult,
     Registry,
-    RepeatBudget,
+    SharedRetryBudget,
     Upstream,
     serve,
 )
@@ -86,7 +86,7 @@
             self.on_data(data)
         # As the client does with a connection whose body has ended.
         self.cancelled = True
-        self.on_end(BodyEnd.WHOLE if whole else BodyEnd.BROKEN)
+        self.on_end(BodyEnd.COMPLETE if whole else BodyEnd.BROKEN)
 
 
 class ScriptedStages:
@@ -158,18 +158,18 @@
 
     def __init__(self, table):
         self.table = table
-        self.proven = True
+        self.verified = True
 
     def is_current(self):
         """Return what the test says."""
-        return self.proven
+        return self.verified
 
-    def is_proven(self):
+    def is_verified(self):
         """Return what the test says."""
-        return self.proven
+        return self.verified
 
 
-class Story:
+class ForwardScenario:
     """One request through a host whose upstreams the test plays."""
 
     def __init__(
@@ -184,18 +184,18 @@
         self.clock = Clock()
         self.calls = []
         self.reached = []
-        self.reaches = Reach.ACCEPTED
+        self.probe_result = ProbeResult.ACCEPTED
         self.logged = []
         self.registry = Registry(self.clock)
         for place in range(upstreams):
-            self.registry.take(
+            self.registry.apply(
                 f'i{place}',
                 Upstream(
                     f'i{place}', SERVICE, f'10.0.0.{place}:1', domains[place]
                 ),
             )
         self.stages = ScriptedStages()
-        self.budget = RepeatBudget(self.clock, 0.2, 58, 10)
+        self.budget = SharedRetryBudget(self.clock, 0.2, 58, 10)
         self.core = ForwardCore(
             self.clock,
             Random(1),
@@ -227,10 +227,10 @@
         self.calls.append(call)
         return call
 
-    def reach(self, address):
+    def probe(self, address):
         """Be the client: open a connection, as the test says."""
         self.reached.append(address)
-        return succeed(self.reaches)
+        return succeed(self.probe_result)
 
     def start(self, deadline=3.0):
         """Take the request in."""
@@ -243,7 +243,7 @@
             b'body',
             self.route,
             self.table,
-            Asked('host', '/a/', f'Bearer {KEY}'),
+            RouteQuery('host', '/a/', f'Bearer {KEY}'),
             TEAM,
             arrived=now,
             aim=now + self.route.aim,
--- a/features/builders/forwardhost.py
+++ b/features/builders/forwardhost.py
@@ -12,10 +12,10 @@
     HeaderNames,
     HttpClient,
     Registry,
-    RepeatBudget,
+    SharedRetryBudget,
     Upstream,
 )
-from pollenstile.forward._face import CallerFactory
+from pollenstile.forward._frontend import CallerFactory
 from pollenstile.routes import Kind, Limits, Route, RouteTable, Target, Team
 
 KEY = 'secret'
@@ -68,16 +68,16 @@
 
     def __init__(self, table):
         self.table = table
-        self.proven = True
+        self.verified = True
         self.current = True
 
     def is_current(self):
         """Return what the test says."""
         return self.current
 
-    def is_proven(self):
+    def is_verified(self):
         """Return what the test says."""
-        return self.proven
+        return self.verified
 
     def age_ms(self):
         """Return 0: the proof is of now."""
@@ -107,7 +107,7 @@
         self.upstream = reactor.listenTCP(0, upstream, interface='127.0.0.1')
         registry = Registry(reactor)
         port = self.upstream.getHost().port
-        registry.take('i1', Upstream('i1', 'desk', f'127.0.0.1:{port}', 'd'))
+        registry.apply('i1', Upstream('i1', 'desk', f'127.0.0.1:{port}', 'd'))
         registry.known = True
         self.configuration = _Configuration(_table(limits or Limits()))
         core = ForwardCore(
@@ -117,7 +117,7 @@
             HttpClient(reactor),
             registry,
             self.configuration,
-            RepeatBudget(reactor, 0.2, 58, 10),
+            SharedRetryBudget(reactor, 0.2, 58, 10),
             None,
             HeaderNames(),
         )
--- a/features/builders/livemutant.py
+++ b/features/builders/livemutant.py
@@ -12,9 +12,9 @@
 import sys
 
 from pollenstile.forward import _configuration, _daemon, _registry, _run
-from pollenstile.forward._decisions import Next
+from pollenstile.forward._decisions import RetryDecision
 from pollenstile.forward._types import Refusal
-from pollenstile.ops.clock import run_steadily
+from pollenstile.ops.clock import use_boot_clock
 from pollenstile.ops.main import main
 from pollenstile.ops.running import result_of
 from pollenstile.soak.live import run_live
@@ -23,22 +23,26 @@
 
 
 def _repeats_all(route, outcome, sends, runs, *, resumed, may_repeat):
-    return Next.AGAIN if sends < 3 and not resumed else Next.GIVE_UP
+    return (
+        RetryDecision.RETRY
+        if sends < 3 and not resumed
+        else RetryDecision.GIVE_UP
+    )
 
 
 def without_once():
     """Send a request again that may run once only."""
-    _run.after_failure = _repeats_all
+    _run.decide_retry = _repeats_all
 
 
 def without_new_configuration():
     """Keep the first configuration for good."""
-    replaced = _configuration.Configuration._replaced
+    replaced = _configuration.Configuration._replace_table
 
     def keep(reader, found):
         return reader.table is not None or replaced(reader, found)
 
-    _configuration.Configuration._replaced = keep
+    _configuration.Configuration._replace_table = keep
 
 
 def _is_never_busy(daemon):
@@ -47,7 +51,7 @@
 
 def without_drain():
     """End a host at once when it is told to stop."""
-    _daemon._LAME_DUCK = 0.0
+    _daemon._LAME_DUCK_SECONDS = 0.0
     _daemon.ForwardDaemon._is_busy = _is_never_busy
 
 
@@ -63,7 +67,7 @@
 
 def without_quarantine():
     """Send on what has crashed three upstreams and more."""
-    _run.held_refusal = lambda core, exchange: None
+    _run.quarantine_refusal = lambda core, exchange: None
 
 
 GUARDS = {
@@ -98,7 +102,7 @@
 def _hunt(guard):
     from twisted.internet import reactor
 
-    run_steadily(reactor)
+    use_boot_clock(reactor)
     seeds = range(1, _MOST_SEEDS + 1)
     result = result_of(reactor, lambda: noticed(reactor, guard, seeds))
     if result is None:
--- a/features/builders/mutations.py
+++ b/features/builders/mutations.py
@@ -116,7 +116,7 @@
 
 
 async def _asked_nothing(watchers, name, poll, now):
-    poll.at = now + 1e6
+    poll.due_at = now + 1e6
 
 
 # State that is never set: the attribute reads as false for good.
--- a/features/builders/peers.py
+++ b/features/builders/peers.py
@@ -6,22 +6,22 @@
 from twisted.internet.task import Clock
 
 from pollenstile.peer import (
-    LEAST_VERSION,
+    MIN_VERSION,
     VERSION,
     Hello,
     Hub,
     Session,
     VirtualWires,
-    keys_from,
-    loaded_schema,
+    parse_keys,
+    load_schema,
 )
 
-NEXT_SCHEMA = loaded_schema(
+NEXT_SCHEMA = load_schema(
     pathlib.Path(__file__).with_name('messages_next.capnp'),
 )
 
 
-def hello_of(host, number=1, boot=1, version=VERSION, least=LEAST_VERSION):
+def hello_of(host, number=1, boot=1, version=VERSION, least=MIN_VERSION):
     """Return the hello of a host."""
     return Hello(
         version,
@@ -36,8 +36,8 @@
 
 def opened_sessions(key='shared'):
     """Return two sessions after their handshake, dialer first."""
-    dialer = Session(keys_from(key), hello_of('a', 1), dialing=True)
-    listener = Session(keys_from(key), hello_of('b', 2), dialing=False)
+    dialer = Session(parse_keys(key), hello_of('a', 1), dialing=True)
+    listener = Session(parse_keys(key), hello_of('b', 2), dialing=False)
     accepted, _ = listener.take(dialer.first_bytes())
     proof, _ = dialer.take(accepted)
     listener.take(proof)
@@ -68,7 +68,7 @@
             self.clock,
             Random(number),
             hello,
-            keys_from(key),
+            parse_keys(key),
             self.wires.connect_from(hello.address),
             self._logger(host),
         )
--- a/features/builders/relay.py
+++ b/features/builders/relay.py
@@ -164,16 +164,16 @@
             fleet.log,
         )
         self.follower.word_seconds = _WORD_SECONDS
-        self.follower.place = lambda: list(fleet.hosts).index(name)
-        self.configuration.loop.covered = self.follower.is_following
-        self.configuration.loop.followed = self.source.is_followed
+        self.follower.rank = lambda: list(fleet.hosts).index(name)
+        self.configuration.loop.can_skip_reads = self.follower.is_following
+        self.configuration.loop.has_followers = self.source.is_followed
         self.configuration.loop.is_answering = self.calls.store.is_answering
         relayed = RelayStore(
             self.calls,
             clock,
             self.follower,
             (KIND, DRAINED),
-            late=(DRAINED,),
+            deferred_kinds=(DRAINED,),
         )
         relayed.is_away = self.configuration.loop.is_failing
         self.relayed = relayed
@@ -234,7 +234,7 @@
         self.delay = 0.002
         self.logged = []
         self.links_at = 0.0
-        self.words = []
+        self.update_sizes = []
         self.write('config', 'main', 1)
         self.write(KIND, 'a', {'state': 'ready'})
         self.hosts = {}
@@ -289,7 +289,7 @@
     def _send_back(self, word, host, answer):
         if host.frozen:
             return
-        self.words.append(len(word))
+        self.update_sizes.append(len(word))
         carried = host.link.carry(len(word))
         carried.addCallback(
             lambda _: self.clock.callLater(self.delay, _fire, answer, word)
--- a/features/builders/requests_http.py
+++ b/features/builders/requests_http.py
@@ -95,7 +95,7 @@
 
 def plain_body(attempt):
     """Return a right reply to a plain call."""
-    return wire.encoded(wire.PlainReply(attempt, {'for': attempt}))
+    return wire.encode_json(wire.PlainReply(attempt, {'for': attempt}))
 
 
 def listening(factory):
@@ -216,7 +216,7 @@
         parts.append(
             wire.CompletionEvent(attempt, [], TOKENS, wire.Usage(TOKENS)),
         )
-        lines = [b'data: %s\n\n' % wire.encoded(one) for one in parts]
+        lines = [b'data: %s\n\n' % wire.encode_json(one) for one in parts]
         return b''.join(lines) + b'data: %s\n\n' % wire.DONE
 
 
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -3,8 +3,8 @@
 from behave import given, then, when
 from twisted.internet.task import Clock
 
-from features.builders.forward import SERVICE, Story
-from pollenstile.forward import ColdShares, EngineView, Registry, Upstream
+from features.builders.forward import SERVICE, ForwardScenario
+from pollenstile.forward import ColdShares, UpstreamView, Registry, Upstream
 
 _STEP = 0.01
 _SPREAD = 0.003
@@ -20,17 +20,17 @@
 def given_cold(context, seconds):
     context.clock = Clock()
     context.registry = Registry(context.clock)
-    context.registry.take('a', _entry(seconds))
+    context.registry.apply('a', _entry(seconds))
 
 
 @when('"a" says that it is warm')
 def when_warm(context):
-    context.registry.take('a', _entry(0.0))
+    context.registry.apply('a', _entry(0.0))
 
 
 @when('"a" says that it is cold for {seconds:g} seconds, with no new start')
 def when_cold_again(context, seconds):
-    context.registry.take('a', _entry(seconds))
+    context.registry.apply('a', _entry(seconds))
 
 
 def _is_cold(context):
@@ -57,7 +57,7 @@
     ' them cold'
 )
 def given_rate(context, rate, names):
-    context.story = Story('once', cold_rate=float(rate))
+    context.story = ForwardScenario('once', cold_rate=float(rate))
     for name in names.split(','):
         view = context.story.registry.views[name]
         view.cold_until = 100.0
@@ -119,7 +119,7 @@
     context.senders = []
     for name, domain in context.domains.items():
         views = [
-            EngineView(
+            UpstreamView(
                 f'i{one}', f'i{one}:1', f'd{one % domains}', cold_until=99
             )
             for one in range(upstreams)
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from pollenstile.forward import Lost, Reach
+from pollenstile.forward import Lost, ProbeResult
 from pollenstile.quarantine import fingerprint
 
 
@@ -28,18 +28,18 @@
 def given_leaves(context, place):
     upstream = _upstream(context, place)
     leaving = replace(upstream, leaving=True)
-    context.story.registry.take(upstream.ident, leaving)
+    context.story.registry.apply(upstream.ident, leaving)
 
 
 @given('another request is under way at the upstream of forwarded send 0')
 def given_busy(context):
     upstream = _upstream(context, 0)
-    context.story.registry.views[upstream.ident].flying += 1
+    context.story.registry.views[upstream.ident].in_flight += 1
 
 
 @when('nobody listens any more at the upstream of forwarded send {place:d}')
 def when_ended(context, place):
-    context.story.reaches = Reach.REFUSED
+    context.story.probe_result = ProbeResult.REFUSED
     _break(context, place)
 
 
@@ -50,7 +50,7 @@
 
 @when('the connection of forwarded send 0 breaks, and nothing answers there')
 def when_unknown(context):
-    context.story.reaches = Reach.UNKNOWN
+    context.story.probe_result = ProbeResult.UNKNOWN
     _break(context, 0)
 
 
--- a/features/steps/deciding_steps.py
+++ b/features/steps/deciding_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 from twisted.internet.defer import Deferred
 
-from features.builders.forward import SERVICE, Story, route
+from features.builders.forward import SERVICE, ForwardScenario, route
 from features.builders.stagework import (
     LIMITS,
     RecordingClient,
@@ -14,8 +14,8 @@
     workers,
 )
 from pollenstile.estimates import Fetching, FirstTokens
-from pollenstile.forward import EngineView, chosen_engine, home_engine
-from pollenstile.forward import patience_of
+from pollenstile.forward import UpstreamView, select_engine, home_engine
+from pollenstile.forward import silence_limits_of
 from pollenstile.routes import StageStep
 from pollenstile.stagework import (
     Chain,
@@ -135,13 +135,13 @@
 @given('model engines in "{domains}" that are idle')
 def given_engines(context, domains):
     context.views = [
-        EngineView(f'e{place}', f'10.0.1.{place}:1', domain, 64)
+        UpstreamView(f'e{place}', f'10.0.1.{place}:1', domain, 64)
         for place, domain in enumerate(domains.split(','))
     ]
 
 
 def _engine_for(context, prompt, inputs):
-    return chosen_engine(
+    return select_engine(
         context.views,
         0,
         'a',
@@ -178,15 +178,15 @@
 
 @given('a "{kind}" request with stage work whose engine has a free place')
 def given_staged(context, kind):
-    context.story = Story(kind, staged=True)
+    context.story = ForwardScenario(kind, staged=True)
     context.story.start()
 
 
 @given('a "{kind}" request with stage work whose engine is full')
 def given_staged_full(context, kind):
-    context.story = Story(kind, staged=True)
+    context.story = ForwardScenario(kind, staged=True)
     for view in context.story.registry.usable(SERVICE):
-        view.flying = view.slots
+        view.in_flight = view.slots
     context.story.start()
 
 
@@ -210,7 +210,7 @@
 def given_gone(context, times):
     context.fetching = Fetching()
     for _ in range(times):
-        context.fetching.note_gone(SERVICE)
+        context.fetching.note_failed_fetch(SERVICE)
 
 
 def _kept(context, size):
@@ -225,7 +225,7 @@
 @then('after {count:d} answers they are kept for {least:g} to {most:g} seconds')
 def then_kept_later(context, count, least, most):
     for _ in range(count):
-        context.fetching.note_read(SERVICE)
+        context.fetching.note_fetched(SERVICE)
     then_kept(context, 1, least, most)
 
 
@@ -269,6 +269,6 @@
 
 @then('with {usual:g} usual seconds its patience is {first} and {between}')
 def then_patience(context, usual, first, between):
-    patience = patience_of(context.route, usual)
+    patience = silence_limits_of(context.route, usual)
     wanted = [None if one == 'none' else float(one) for one in (first, between)]
     assert [patience.first, patience.between] == wanted, patience
--- a/features/steps/drained_steps.py
+++ b/features/steps/drained_steps.py
@@ -4,7 +4,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from features.builders.forward import Story, event_bytes
+from features.builders.forward import ForwardScenario, event_bytes
 from features.builders.loop import result_of, turned_until
 from features.builders.relay import RelayFleet, RelayHost
 from features.builders.stagework import LIMITS, Queue, group, workers
@@ -12,9 +12,9 @@
 from pollenstile.ops._draincmd import (
     HostDrain,
     drain_lines,
-    drain_of,
+    parse_drain,
     exit_code,
-    written_drain,
+    write_drain,
 )
 from pollenstile.platform import Written
 from pollenstile.standin.objectapi import MemoryStore
@@ -25,7 +25,7 @@
 @given('upstreams in "{domains}" and a forwarded "{kind}" request')
 def given_story(context, domains, kind):
     names = domains.split(',')
-    context.story = Story(kind, upstreams=len(names), domains=names)
+    context.story = ForwardScenario(kind, upstreams=len(names), domains=names)
 
 
 @when('the domain "{domain}" is drained')
@@ -329,10 +329,10 @@
 
 @given('a store and the measures of two hosts, of which {state}')
 def given_measures(context, state):
-    first = drain_of('a:1', 'hall', _STATES['both obey'])
+    first = parse_drain('a:1', 'hall', _STATES['both obey'])
     second = HostDrain('b:1', answers=False)
     if _STATES[state]:
-        second = drain_of('b:1', 'hall', _STATES[state])
+        second = parse_drain('b:1', 'hall', _STATES[state])
     context.hosts = [first, second]
 
 
@@ -343,7 +343,7 @@
     for ends in (False, False, True, True):
         done = []
         work = Deferred.fromCoroutine(
-            written_drain(store, 'hall', ends=ends),
+            write_drain(store, 'hall', ends=ends),
         )
         work.addBoth(done.append)
         while not done:
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -23,7 +23,7 @@
 )
 from pollenstile.manifest import text_from_manifest
 from pollenstile.ops.logs import silent_log
-from pollenstile.peer import patch_between, patched, schema
+from pollenstile.peer import patch_between, apply_patch, schema
 
 
 @given(
@@ -300,14 +300,14 @@
     context.new = changed_text(context.manifest, teams=teams)
     patch = patch_between(context.old, context.new)
     assert len(patch.middle) < most, len(patch.middle)
-    assert patched(context.old, patch) == context.new
+    assert apply_patch(context.old, patch) == context.new
 
 
 @then('a peer without a version gets the whole manifest')
 def step_whole(context):
     patch = patch_between('', context.new)
-    assert patched('', patch) == context.new
-    assert patched(context.old[:-1], patch) != context.old
+    assert apply_patch('', patch) == context.new
+    assert apply_patch(context.old[:-1], patch) != context.old
 
 
 @then('fleets of these sizes are connected with at most this many links')
--- a/features/steps/forward_http_steps.py
+++ b/features/steps/forward_http_steps.py
@@ -79,7 +79,7 @@
     large = b'X-Large: %s\r\n' % (b'x' * 3000)
     smuggled = b'Transfer-Encoding: chunked\r\n'
     if fault == 'a key without proof':
-        context.host.configuration.proven = False
+        context.host.configuration.verified = False
     sent = {
         'two lengths': request(extra=b'Content-Length: 3\r\n', body=b'abcd'),
         'a length and chunks': request(extra=smuggled, body=b'0\r\n\r\n'),
--- a/features/steps/forward_state_steps.py
+++ b/features/steps/forward_state_steps.py
@@ -24,7 +24,7 @@
     Route,
     RouteTable,
     Target,
-    picked_service,
+    pick_service,
     route_of,
 )
 from pollenstile.standin.objectapi import MemoryStore
@@ -52,7 +52,7 @@
     def read(self, version, revision):
         """Take a read that is answered at once."""
         found = Found('config', 'main', revision, version)
-        self.reader.take(found, self._clock())
+        self.reader.apply(found, self._clock())
 
     def _clock(self):
         return self.now + self.suspended
@@ -163,15 +163,15 @@
     reader = context.reader.reader
     context.reader.now += seconds - reader.age()
     assert not reader.is_current()
-    reader.loop.away_at = reader.proven_at - 1
+    reader.loop.unreachable_at = reader.verified_at - 1
     assert not reader.is_current()
-    reader.loop.away_at = context.reader.now
+    reader.loop.unreachable_at = context.reader.now
     assert reader.is_current()
 
 
 @then('its keys are trusted')
 def then_are_trusted(context):
-    assert context.reading.is_proven()
+    assert context.reading.is_verified()
 
 
 @then('no more than {count:d} of its reads were under way at a time')
@@ -199,7 +199,7 @@
 def when_bad(context, version):
     context.reader.now += 10
     found = Found('config', 'main', version, 'nonsense')
-    context.reader.reader.take(found, context.reader.now)
+    context.reader.reader.apply(found, context.reader.now)
 
 
 @when(
@@ -209,7 +209,7 @@
     reader = context.reader
     sent = reader.now + pause
     reader.now = sent + wait
-    reader.reader.take(Found('config', 'main', 7, 7), sent)
+    reader.reader.apply(Found('config', 'main', 7, 7), sent)
 
 
 @when('the host is suspended for {seconds:g} seconds')
@@ -227,21 +227,21 @@
     reader = context.reader
     if seconds:
         reader.now += seconds
-        assert reader.reader.is_proven()
+        assert reader.reader.is_verified()
         reader.now -= seconds
         return
-    assert not reader.reader.is_proven()
+    assert not reader.reader.is_verified()
 
 
 @then('not for {seconds:g} seconds')
 def then_not_for(context, seconds):
     context.reader.now += seconds
-    assert not context.reader.reader.is_proven()
+    assert not context.reader.reader.is_verified()
 
 
 @then('its keys are not trusted')
 def then_not_trusted(context):
-    assert not context.reader.reader.is_proven()
+    assert not context.reader.reader.is_verified()
 
 
 @then('the reason is logged once')
@@ -255,7 +255,7 @@
     context.clock.advance(1000)
     context.registry = Registry(context.clock)
     for name in names.split(','):
-        context.registry.take(name, _upstream(name))
+        context.registry.apply(name, _upstream(name))
 
 
 def _upstream(name, *, leaving=False):
@@ -265,12 +265,12 @@
 
 @when('the registry says that "{name}" leaves')
 def when_leaves(context, name):
-    context.registry.take(name, _upstream(name, leaving=True))
+    context.registry.apply(name, _upstream(name, leaving=True))
 
 
 @when('the registry says that "{name}" is back')
 def when_back(context, name):
-    context.registry.take(name, _upstream(name))
+    context.registry.apply(name, _upstream(name))
 
 
 @when('the store fails, and {seconds:g} seconds later "{names}" are missing')
@@ -278,7 +278,7 @@
     context.registry.store_failed_at = context.clock.seconds()
     context.clock.advance(seconds)
     for name in names.split(','):
-        context.registry.take(name, None)
+        context.registry.apply(name, None)
 
 
 @when('{seconds:g} seconds of registry time pass')
@@ -384,7 +384,7 @@
 def then_weights(context, count, least, most):
     route = context.routes.by_host['host'][0]
     rng = Random(4)
-    found = [picked_service(route, rng.random()) for _ in range(count)]
+    found = [pick_service(route, rng.random()) for _ in range(count)]
     assert least <= found.count('most') <= most, found.count('most')
 
 
@@ -412,7 +412,7 @@
 def _tell_member(context):
     found = context.store.objects.found(HOSTS, 'one')
     value = found.value if isinstance(found, Found) else None
-    context.member.take(Change(HOSTS, 'one', 1, value, 1))
+    context.member.apply(Change(HOSTS, 'one', 1, value, 1))
 
 
 @when('it registers')
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -10,14 +10,14 @@
     KEY,
     NAMES,
     SERVICE,
-    Story,
+    ForwardScenario,
     event_bytes,
 )
 from pollenstile.forward import (
-    EngineView,
+    UpstreamView,
     Lost,
-    RepeatBudget,
-    chosen_engine,
+    SharedRetryBudget,
+    select_engine,
     Upstream,
     usable,
 )
@@ -32,13 +32,13 @@
 
 @given('a forwarded "{kind}" request')
 def given_request(context, kind):
-    context.story = Story(kind)
+    context.story = ForwardScenario(kind)
     context.story.start()
 
 
 @given('a forwarded "{kind}" request with stage work')
 def given_staged(context, kind):
-    context.story = Story(kind, staged=True)
+    context.story = ForwardScenario(kind, staged=True)
 
 
 @given('its stage work never ends')
@@ -75,13 +75,13 @@
     story = context.story
     moved = replace(story.route, targets=(Target(service),))
     upstream = Upstream('other', service, '10.0.1.0:1', 'd')
-    story.registry.take('other', upstream)
+    story.registry.apply('other', upstream)
     story.change(by_host={'host': (moved,)})
 
 
 @when('its host can prove nothing any more')
 def when_host_lost(context):
-    context.story.core.configuration.proven = False
+    context.story.core.configuration.verified = False
 
 
 @when('its stage work ends')
@@ -273,7 +273,7 @@
 )
 def given_budget(context, hosts, slack):
     context.clock = Clock()
-    context.budget = RepeatBudget(context.clock, 0.2, slack, 10)
+    context.budget = SharedRetryBudget(context.clock, 0.2, slack, 10)
     context.budget.hosts = hosts
 
 
@@ -302,7 +302,7 @@
 @given('{count:d} model engines that are idle')
 def given_engines(context, count):
     context.views = [
-        EngineView(f'e{place}', f'10.0.1.{place}:1', 'd', 64)
+        UpstreamView(f'e{place}', f'10.0.1.{place}:1', 'd', 64)
         for place in range(count)
     ]
 
@@ -314,7 +314,7 @@
 
 def _chosen(context, subject):
     prompt = (('head', 500), (subject, 4800), ('own', 600))
-    return chosen_engine(
+    return select_engine(
         context.views, 0, 'd', Random(1), prompt, _TOKEN_SECONDS
     )
 
@@ -324,7 +324,7 @@
     found = set()
     for _ in range(count):
         view = _chosen(context, 'unit')
-        view.flying += 1
+        view.in_flight += 1
         found.add(view.ident)
     assert len(found) == 1, found
     context.home = found.pop()
@@ -340,7 +340,7 @@
 def then_full(context):
     for view in context.views:
         if view.ident == context.home:
-            view.flying = 70
+            view.in_flight = 70
     assert _chosen(context, 'unit').ident != context.home
 
 
--- a/features/steps/incarnations_steps.py
+++ b/features/steps/incarnations_steps.py
@@ -96,7 +96,7 @@
 @given('a registry with an upstream "{name}" born at {born:d}')
 def given_registry(context, name, born):
     context.registry = Registry(Clock())
-    context.registry.take(name, _upstream(name, born))
+    context.registry.apply(name, _upstream(name, born))
     context.view = context.registry.usable(SERVICE)[0]
 
 
@@ -109,22 +109,22 @@
 
 @given('a request under way at it')
 def given_under_way(context):
-    context.view.flying += 1
+    context.view.in_flight += 1
 
 
 @when('the entry of "{name}" says that it was born at {born:d}')
 def when_born(context, name, born):
-    context.registry.take(name, _upstream(name, born))
+    context.registry.apply(name, _upstream(name, born))
 
 
 @when('the entry of "{name}" says that it was born at {born:d} and leaves')
 def when_born_leaving(context, name, born):
-    context.registry.take(name, _upstream(name, born, leaving=True))
+    context.registry.apply(name, _upstream(name, born, leaving=True))
 
 
 @when('the request under way ends')
 def when_ends(context):
-    context.view.flying -= 1
+    context.view.in_flight -= 1
 
 
 @when('the request under way finds another incarnation')
@@ -134,7 +134,7 @@
 
 @when('another writer puts a list in the place of "{name}"')
 def when_spoiled(context, name):
-    context.registry.take(name, decode_upstream(name, ['x']))
+    context.registry.apply(name, decode_upstream(name, ['x']))
 
 
 @then(
@@ -142,7 +142,13 @@
 )
 def then_fresh(context, name):
     view = context.registry.usable(SERVICE)[0]
-    seen = (view.ident, view.failures, view.running, view.queued, view.flying)
+    seen = (
+        view.ident,
+        view.failures,
+        view.running,
+        view.queued,
+        view.in_flight,
+    )
     assert seen == (name, 0, 0, 0, 0), seen
 
 
--- a/features/steps/large_configuration_steps.py
+++ b/features/steps/large_configuration_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from features.builders.relay import large_config
-from pollenstile.peer import patch_between, patched
+from pollenstile.peer import patch_between, apply_patch
 
 _MBIT_BYTES = 125_000
 _STEP = 0.05
@@ -43,7 +43,7 @@
 @when('the large configuration changes and {seconds:g} seconds pass')
 def when_changes(context, seconds):
     context.version += 1
-    context.fleet.words.clear()
+    context.fleet.update_sizes.clear()
     context.fleet.write('config', 'main', large_config(context.version))
     context.fleet.pass_by(seconds)
 
@@ -96,7 +96,7 @@
 @then('"{name}" has read the whole again, and trusts keys by that alone')
 def then_whole(context, name):
     assert context.fleet.store.calls['list'] >= 1
-    assert context.fleet.hosts[name].configuration.is_proven()
+    assert context.fleet.hosts[name].configuration.is_verified()
 
 
 @then("the links carried at most {most:g} MB of the store's answers each")
@@ -122,7 +122,9 @@
 
 @then('no word to a follower in them had over {most:d} bytes')
 def then_words(context, most):
-    assert max(context.fleet.words) <= most, max(context.fleet.words)
+    assert max(context.fleet.update_sizes) <= most, max(
+        context.fleet.update_sizes
+    )
 
 
 def _with_added(rng, rows):
@@ -166,7 +168,7 @@
 @then('each patch makes the newer text of the older one')
 def then_patched(context):
     for old, new in context.texts:
-        assert patched(old, patch_between(old, new)) == new, (old, new)
+        assert apply_patch(old, patch_between(old, new)) == new, (old, new)
 
 
 @then('no garbled patch makes another text than the newer one')
@@ -177,6 +179,6 @@
         middle = bytearray(patch.middle)
         middle[place] ^= 1 << context.rng.randrange(8)
         garbled = replace(patch, middle=bytes(middle))
-        assert patched(old, garbled) in {None, new}, (old, new)
+        assert apply_patch(old, garbled) in {None, new}, (old, new)
         moved = replace(patch, prefix=patch.prefix + 1)
-        assert patched(old, moved) in {None, new}, (old, new)
+        assert apply_patch(old, moved) in {None, new}, (old, new)
--- a/features/steps/limits_steps.py
+++ b/features/steps/limits_steps.py
@@ -13,10 +13,10 @@
 class _Open:
     """Admission with its guard removed: everything starts."""
 
-    async def entered(self, request):
+    async def admit(self, request):
         """Return None."""
 
-    def leave(self, request):
+    def request_ended(self, request):
         """Note nothing."""
 
     def stage_ended(self, request, stage):
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -15,7 +15,7 @@
     with_witness,
     with_witnesses_only,
 )
-from pollenstile.peer import Beat, ranked
+from pollenstile.peer import Beat, rank_candidates
 from pollenstile.platform import HostEntry
 from pollenstile.upstream import Load
 
@@ -161,7 +161,7 @@
     pool = world.manifest.pools['engines']
     domain = pool.upstreams[name].domain
     names = [one.name for one in world.hosts.values() if one.domain == domain]
-    return ranked(name, names, 2)
+    return rank_candidates(name, names, 2)
 
 
 @given('one watcher of upstream "{name}" can\'t reach it')
@@ -258,15 +258,17 @@
 @given('membership host "{name}" loses all news for {seconds:d} seconds')
 def step_loses(context, name, seconds):
     fleet = context.world.hosts[name].fleet
-    takers = dict(fleet.hub.takers)
-    fleet.hub.takers.clear()
-    context.world.clock.callLater(seconds, fleet.hub.takers.update, takers)
+    message_handlers = dict(fleet.hub.message_handlers)
+    fleet.hub.message_handlers.clear()
+    context.world.clock.callLater(
+        seconds, fleet.hub.message_handlers.update, message_handlers
+    )
 
 
 @given('no membership host compares sums')
 def step_no_sums(context):
     for host in context.world.hosts.values():
-        host.hub.takers[Beat] = host.fleet.relay.heard
+        host.hub.message_handlers[Beat] = host.fleet.relay.heard
 
 
 @then('each side thinks that the membership hosts of the other are gone')
--- a/features/steps/peer_steps.py
+++ b/features/steps/peer_steps.py
@@ -22,7 +22,7 @@
     Session,
     Unanswered,
     framed,
-    keys_from,
+    parse_keys,
     message_bytes,
     message_from,
     tcp_connect,
@@ -179,7 +179,7 @@
         reactor,
         Random(1),
         hello_of('a'),
-        keys_from('shared'),
+        parse_keys('shared'),
         tcp_connect(reactor),
         silent_log,
     )
@@ -200,7 +200,7 @@
 
 @when('a stranger with another peer key dials the peer port')
 def step_other_key(context):
-    session = Session(keys_from('other'), hello_of('b', 2), dialing=True)
+    session = Session(parse_keys('other'), hello_of('b', 2), dialing=True)
     opening = session.first_bytes()
     context.strangers.append(_stranger(context.port, opening))
 
@@ -228,8 +228,8 @@
 
 @given('a recorded peer handshake')
 def step_recorded(context):
-    dialer = Session(keys_from('shared'), hello_of('a', 1), dialing=True)
-    listener = Session(keys_from('shared'), hello_of('b', 2), dialing=False)
+    dialer = Session(parse_keys('shared'), hello_of('a', 1), dialing=True)
+    listener = Session(parse_keys('shared'), hello_of('b', 2), dialing=False)
     opening = dialer.first_bytes()
     accepted, _ = listener.take(opening)
     proof, _ = dialer.take(accepted)
@@ -239,7 +239,7 @@
 
 @when('the recorded peer handshake is played to the listener again')
 def step_played(context):
-    listener = Session(keys_from('shared'), hello_of('b', 3), dialing=False)
+    listener = Session(parse_keys('shared'), hello_of('b', 3), dialing=False)
     context.error = None
     try:
         for part in context.recorded:
@@ -291,7 +291,7 @@
 def step_oversize(context, size, time):
     session = context.listener
     if time == 'before':
-        session = Session(keys_from('k'), hello_of('c', 3), dialing=False)
+        session = Session(parse_keys('k'), hello_of('c', 3), dialing=False)
     _taken(context, session, size.to_bytes(4))
 
 
--- a/features/steps/quarantine_stage_steps.py
+++ b/features/steps/quarantine_stage_steps.py
@@ -2,11 +2,17 @@
 
 from behave import given, then, when
 
-from features.builders.forward import Story
+from features.builders.forward import ForwardScenario
 from features.builders.quarantine import tell, verdict
 from features.builders.stagework import SERVICE, Queue, group, pieces_of
 from features.builders.stagework import workers as workers_of
-from pollenstile.forward import HeaderNames, Lost, PlainCodec, Reach, Upstream
+from pollenstile.forward import (
+    HeaderNames,
+    Lost,
+    PlainCodec,
+    ProbeResult,
+    Upstream,
+)
 from pollenstile.forward._stagecalls import StageCalls
 from pollenstile.quarantine import HELD_REASON, Suspect
 from pollenstile.stagework import CallLost
@@ -96,13 +102,13 @@
 
 @given('a stage call with pieces of "{one}" and "{other}"')
 def given_call(context, one, other):
-    context.story = Story('once')
+    context.story = ForwardScenario('once')
     core = context.story.core
     calls = StageCalls(core.clock, context.story, PlainCodec(), HeaderNames())
-    calls.look_at_crashes(core.crashes, core.quarantine)
+    calls.attach_crash_detector(core.crashes, core.quarantine)
     worker = workers_of('d')[0]
     upstream = Upstream(worker.ident, SERVICE, worker.address, 'd')
-    core.registry.take(worker.ident, upstream)
+    core.registry.apply(worker.ident, upstream)
     pieces = pieces_of(_piece_of(one), _piece_of(other))
     context.outcomes = []
     calls.call(worker, pieces, 9.0).addCallback(context.outcomes.append)
@@ -110,7 +116,7 @@
 
 @when('its upstream crashes')
 def when_upstream_crashes(context):
-    context.story.reaches = Reach.REFUSED
+    context.story.probe_result = ProbeResult.REFUSED
     lost = Lost('ConnectionLost', 'w0', broken=True)
     context.story.calls[-1].head.callback(lost)
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -9,14 +9,14 @@
 from features.builders.quarantine import tell, verdict
 from pollenstile.bench._crashworld import DEADLY, CrashWorld
 from pollenstile.bench.crashes import FAULTS
-from pollenstile.ops._quarantinecmd import held_requests, lifted
+from pollenstile.ops._quarantinecmd import held_requests, lift_quarantine
 from pollenstile.platform import Change
 from pollenstile.quarantine import (
     HELD_REASON,
-    QUARANTINED,
+    QUARANTINE_KIND,
     News,
     Quarantine,
-    Record,
+    VerdictRecorder,
     Report,
     Suspect,
     unix_ms,
@@ -54,7 +54,7 @@
 def _entries(context):
     listed = []
     store = _fleet(context).store
-    work = Deferred.fromCoroutine(store.listed(QUARANTINED))
+    work = Deferred.fromCoroutine(store.listed(QUARANTINE_KIND))
     work.addCallback(listed.append)
     context.world.pass_by(0.1)
     return listed[0].objects
@@ -177,7 +177,7 @@
 @when('an operator deletes its entry')
 def when_deleted(context):
     store = _fleet(context).store
-    Deferred.fromCoroutine(store.delete(QUARANTINED, _held(context)))
+    Deferred.fromCoroutine(store.delete(QUARANTINE_KIND, _held(context)))
 
 
 def _listed(context):
@@ -195,7 +195,7 @@
 @when('an operator lifts it by the command')
 def when_lifted(context):
     store = _fleet(context).store
-    Deferred.fromCoroutine(lifted(store, _held(context)))
+    Deferred.fromCoroutine(lift_quarantine(store, _held(context)))
 
 
 @then('the command lists no request')
@@ -206,7 +206,7 @@
 @when('one host sees it run to its end')
 def when_whole(context):
     host = _fleet(context).running()[-1]
-    host.core.quarantine.note_whole(_held(context))
+    host.core.quarantine.note_completed(_held(context))
 
 
 @when('a host reports 3 upstreams as crashed under a request, wrongly')
@@ -336,16 +336,16 @@
     context.store = MemoryStore(clock)
     context.quarantine = Quarantine(clock, 'h', lambda service: 9)
     context.quarantine.now_ms = lambda: 2000
-    context.record = Record(context.store, context.quarantine, {})
+    context.record = VerdictRecorder(context.store, context.quarantine, {})
     tell(context.quarantine, verdict('f1', changed=1000, is_held=False))
 
 
 @when('the store has a newer entry for the same request')
 def when_newer(context):
     entry = {'team': 'team', 'service': 's', 'crashes': 3, 'since_ms': 1500}
-    put = context.store.put(QUARANTINED, 'f1', entry)
+    put = context.store.put(QUARANTINE_KIND, 'f1', entry)
     Deferred.fromCoroutine(put)
-    context.record.take(Change(QUARANTINED, 'f1', 1, entry, 1))
+    context.record.take(Change(QUARANTINE_KIND, 'f1', 1, entry, 1))
 
 
 @then('the host keeps it from upstreams')
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -65,11 +65,11 @@
     hosts = context.fleet.hosts
     for _ in range(round(seconds / _STEP)):
         context.fleet.pass_by(_STEP)
-        newest = hosts['r'].configuration.proven_at
+        newest = hosts['r'].configuration.verified_at
         for name in ('s', 't', 'u'):
-            proven_at = hosts[name].configuration.proven_at
-            if proven_at > newest:
-                context.younger.append((name, proven_at, newest))
+            verified_at = hosts[name].configuration.verified_at
+            if verified_at > newest:
+                context.younger.append((name, verified_at, newest))
             age = hosts[name].configuration.age()
             context.oldest = max(context.oldest, age)
 
@@ -101,7 +101,7 @@
 def when_read(context, name, version):
     configuration = context.fleet.hosts[name].configuration
     found = Found('config', 'main', configuration.revision + 1, version)
-    configuration.take(found, context.fleet.clock.seconds())
+    configuration.apply(found, context.fleet.clock.seconds())
 
 
 @when('the upstream "{name}" comes as the reader freezes')
@@ -136,7 +136,7 @@
         raise KeyError(word.source)
 
     context.fleet.hosts[name].follower.configuration = SimpleNamespace(
-        told=fail_once,
+        apply_update=fail_once,
         revision=configuration.revision,
     )
 
@@ -185,13 +185,13 @@
 
 @then('the keys of "{name}" are trusted')
 def then_trusted(context, name):
-    assert context.fleet.hosts[name].configuration.is_proven()
+    assert context.fleet.hosts[name].configuration.is_verified()
 
 
 @then('no keys are trusted')
 def then_none_trusted(context):
     for host in context.fleet.hosts.values():
-        assert not host.configuration.is_proven(), host.name
+        assert not host.configuration.is_verified(), host.name
 
 
 @then('"{names}" follow "{reader}"')
@@ -271,4 +271,4 @@
 @then('all keys are trusted')
 def then_all_trusted(context):
     for host in context.fleet.hosts.values():
-        assert host.configuration.is_proven(), host.name
+        assert host.configuration.is_verified(), host.name
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -304,7 +304,7 @@
 def _texts(request):
     earlier = [{}, *[{'encode': output} for output in _expected(request)]]
     prompts = [
-        wire.encoded({'input': request.content, 'results': results})
+        wire.encode_json({'input': request.content, 'results': results})
         for results in earlier
     ]
     return [
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -7,7 +7,7 @@
 from twisted.internet.task import Clock
 
 from features.builders.limits import SLOTS, Story, small_manifest
-from pollenstile.routing import Hints, Tracker, chosen
+from pollenstile.routing import Hints, Tracker, choose_upstream
 from pollenstile.upstream import Load
 
 
@@ -25,7 +25,7 @@
         self.rng = random.Random(3)
 
     def choose(self, **hints):
-        return chosen(
+        return choose_upstream(
             self.pool,
             self.tracker,
             'here',
--- a/pollenstile/bench/_crashworld.py
+++ b/pollenstile/bench/_crashworld.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import Deferred
 
 from pollenstile.bench._domainworld import DomainWorld
-from pollenstile.forward import Asked, Exchange, serve
+from pollenstile.forward import RouteQuery, Exchange, serve
 from pollenstile.routes import Kind, Route, Target
 from pollenstile.standin.crashing import NAMES, CrashingUpstreams
 from pollenstile.standin.exchanges import KeptAnswer
@@ -108,7 +108,7 @@
             body,
             self.route,
             core.configuration.table,
-            Asked('host', '/a/x'),
+            RouteQuery('host', '/a/x'),
             _TEAM,
             arrived=now,
             aim=now + _AIM,
--- a/pollenstile/bench/_stagehosts.py
+++ b/pollenstile/bench/_stagehosts.py
@@ -17,12 +17,12 @@
 from pollenstile.forward._members import PeerHost
 from pollenstile.ops.logs import silent_log
 from pollenstile.peer import (
-    LEAST_VERSION,
+    MIN_VERSION,
     VERSION,
     Hello,
     Hub,
     VirtualWires,
-    keys_from,
+    parse_keys,
 )
 from pollenstile.stagework import Owner, StageClient, StageService
 from pollenstile.standin.clock import VirtualClock
@@ -58,8 +58,8 @@
         self.hub = Hub(
             fleet.clock,
             Random(name),
-            Hello(VERSION, LEAST_VERSION, name, 'd', name, boot),
-            keys_from('key'),
+            Hello(VERSION, MIN_VERSION, name, 'd', name, boot),
+            parse_keys('key'),
             fleet.wires.connect_from(name),
             silent_log,
         )
--- a/pollenstile/bench/fleetworld.py
+++ b/pollenstile/bench/fleetworld.py
@@ -284,7 +284,7 @@
         found = []
         for name, host in self.hosts.items():
             state = host.tracker.state(upstream)
-            if not state.leaving and state.barred_until <= now:
+            if not state.leaving and state.ejected_until <= now:
                 found.append(name)
         return found
 
--- a/pollenstile/bench/floor.py
+++ b/pollenstile/bench/floor.py
@@ -35,7 +35,7 @@
 )
 from pollenstile.ops.agents import agent_for
 from pollenstile.ops.body import BytesProducer
-from pollenstile.ops.collector import set_collector
+from pollenstile.ops.collector import configure_garbage_collector
 from pollenstile.ops.exits import GOOD
 from pollenstile.ops.http import site_for
 from pollenstile.ops.logs import configure_logs, event_log
@@ -169,7 +169,7 @@
     entry = _entry_address(reactor, _manifest(plain, engine))
     call = wire.PlainCall('r/call/1', 'call', 'a leak under the sink')
     documents = {
-        'call': (f'{plain}/v1/call', wire.encoded(call)),
+        'call': (f'{plain}/v1/call', wire.encode_json(call)),
         'few': (f'{engine}/v1/completions', _completion(_FEW_TOKENS)),
         'many': (f'{engine}/v1/completions', _completion(_MANY_TOKENS)),
     }
@@ -181,7 +181,7 @@
             'forwarder': _forwarded(reactor, uri, document),
             'entry': Target(
                 f'http://{entry}/v1/pipelines/{kind}'.encode(),
-                wire.encoded({'input': 'a leak under the sink'}),
+                wire.encode_json({'input': 'a leak under the sink'}),
             ),
         }
     return targets
@@ -193,12 +193,12 @@
 
 
 def _completion(tokens):
-    return wire.encoded(wire.CompletionCall('demo', 'a leak', tokens))
+    return wire.encode_json(wire.CompletionCall('demo', 'a leak', tokens))
 
 
 async def _measured(reactor, arguments):
     targets = _targets(reactor)
-    set_collector()
+    configure_garbage_collector()
     pool = HTTPConnectionPool(reactor, persistent=True)
     pool.maxPersistentPerHost = arguments.side_by_side
     agent = agent_for(reactor, pool)
--- a/pollenstile/bench/live.py
+++ b/pollenstile/bench/live.py
@@ -16,14 +16,19 @@
 from twisted.internet.defer import Deferred, gatherResults
 from twisted.internet.task import deferLater
 
-from pollenstile.fleet import Accepted, Current, applied, current_config
-from pollenstile.ops._admin import admin_at
-from pollenstile.ops._statuscmd import entries_from
+from pollenstile.fleet import (
+    Accepted,
+    CurrentConfig,
+    apply_manifest,
+    current_config,
+)
+from pollenstile.ops._admin import admin_reader
+from pollenstile.ops._statuscmd import parse_entries
 from pollenstile.ops._stores import store_at
 from pollenstile.ops.exits import BAD_RESULT, GOOD, UNREACHED
 from pollenstile.ops.running import result_of
 from pollenstile.ops.settings import SettingsError, address
-from pollenstile.platform import pauses
+from pollenstile.platform import make_pause
 
 _LOOK_SECONDS = 0.005
 _MOST_SECONDS = 10.0
@@ -66,12 +71,12 @@
     """Measure and print; return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
-    entries = entries_from(arguments.entry)
+    entries = parse_entries(arguments.entry)
     try:
         store = store_at(reactor, address(arguments.platform))
     except ValueError as error:
         raise SettingsError([f'--platform: {error}']) from None
-    readers = [admin_at(reactor, entry) for entry in entries]
+    readers = [admin_reader(reactor, entry) for entry in entries]
     return result_of(
         reactor,
         lambda: _measured(reactor, store, readers, arguments),
@@ -99,15 +104,15 @@
 async def _spread(reactor, store, readers):
     """Apply the manifest in force anew; return a Spread, or None."""
     before = await current_config(store)
-    if not isinstance(before, Current) or not before.text:
+    if not isinstance(before, CurrentConfig) or not before.text:
         return None
     started = reactor.seconds()
-    outcome = await applied(
+    outcome = await apply_manifest(
         store,
         before.text,
         before.version,
         secrets.token_hex(_MARK_BYTES),
-        pauses(reactor, Random(), 0.2, 2.0),
+        make_pause(reactor, Random(), 0.2, 2.0),
     )
     if not isinstance(outcome, Accepted):
         return None
--- a/pollenstile/bench/policies.py
+++ b/pollenstile/bench/policies.py
@@ -30,10 +30,10 @@
 
     __slots__ = ()
 
-    async def entered(self, request):
+    async def admit(self, request):
         """Return None."""
 
-    def leave(self, request):
+    def request_ended(self, request):
         """Note nothing."""
 
     def stage_ended(self, request, stage):
--- a/pollenstile/bench/shared.py
+++ b/pollenstile/bench/shared.py
@@ -20,15 +20,21 @@
 from pollenstile.forward import Configuration
 from pollenstile.ops.logs import silent_log
 from pollenstile.peer import (
-    LEAST_VERSION,
+    MIN_VERSION,
     VERSION,
     Hello,
     Hub,
     VirtualWires,
-    keys_from,
+    parse_keys,
 )
 from pollenstile.platform import watch
-from pollenstile.relay import ASK, Follower, Readers, RelayStore, Source
+from pollenstile.relay import (
+    RELAY_SUBJECT,
+    Follower,
+    Readers,
+    RelayStore,
+    Source,
+)
 from pollenstile.routes import RouteTable, StageLimits
 from pollenstile.stagework import (
     Group,
@@ -62,8 +68,8 @@
         self.hub = Hub(
             fleet.clock,
             Random(name),
-            Hello(VERSION, LEAST_VERSION, name, _DOMAIN, name, 1),
-            keys_from('key'),
+            Hello(VERSION, MIN_VERSION, name, _DOMAIN, name, 1),
+            parse_keys('key'),
             fleet.wires.connect_from(name),
             silent_log,
         )
@@ -73,7 +79,7 @@
             fleet.store, clock, clock.seconds, Random(name), RouteTable, 5.0
         )
         source = Source(name, clock, clock.seconds, self.configuration)
-        self.hub.requests.subjects[ASK] = source.answer
+        self.hub.requests.subjects[RELAY_SUBJECT] = source.answer
         readers = Readers(self.hub, name, _DOMAIN, 1.0)
         readers.order = [_READER]
         self.follower = Follower(
@@ -83,8 +89,8 @@
             self.configuration,
             readers.current,
         )
-        self.configuration.loop.covered = self.follower.is_following
-        self.configuration.loop.followed = source.is_followed
+        self.configuration.loop.can_skip_reads = self.follower.is_following
+        self.configuration.loop.has_followers = source.is_followed
         relayed = RelayStore(fleet.store, clock, self.follower, (_KIND,))
         running = watch(
             relayed, _KIND, source.note, clock, Random(name), silent_log
--- a/pollenstile/claims/_log.py
+++ b/pollenstile/claims/_log.py
@@ -31,7 +31,13 @@
 from pollenstile.claims._records import Segment, build_release
 from pollenstile.claims._state import find_holder, is_end_current
 from pollenstile.claims._truncate import TruncationState, truncate_log
-from pollenstile.platform import InDoubt, NotApplied, Written, paused, pauses
+from pollenstile.platform import (
+    InDoubt,
+    NotApplied,
+    Written,
+    paused,
+    make_pause,
+)
 
 _MAX_BATCH_RECORDS = 1000
 _RELEASE_RETRY_SECONDS = 5.0
@@ -97,7 +103,7 @@
         self.count = count
         self.window = window
         self.reader = ShardReader(store, clock, shard, log)
-        self.pause = pauses(clock, rng, cap=_MAX_PAUSE_SECONDS)
+        self.pause = make_pause(clock, rng, cap=_MAX_PAUSE_SECONDS)
         self.queue = deque()
         self.flush_waiters = []
         self.truncation = TruncationState()
--- a/pollenstile/entry/_assembly.py
+++ b/pollenstile/entry/_assembly.py
@@ -11,16 +11,16 @@
 )
 from pollenstile.ops.logs import silent_log
 from pollenstile.ops.metrics import Metrics
-from pollenstile.ops.settings import shown
+from pollenstile.ops.settings import format_address
 from pollenstile.peer import (
-    LEAST_VERSION,
+    MIN_VERSION,
     VERSION,
     Hello,
     Hub,
-    keys_from,
+    parse_keys,
 )
 from pollenstile.pipeline import Core, Ledger
-from pollenstile.placement import built_placement
+from pollenstile.placement import build_placement
 from pollenstile.routing import Tracker
 
 _BOOT_BITS = 48
@@ -126,16 +126,16 @@
     core = node.core
     hello = Hello(
         version=VERSION,
-        least=LEAST_VERSION,
+        least=MIN_VERSION,
         host=core.host,
         domain=core.domain,
-        address=shown(settings.peer_listen),
+        address=format_address(settings.peer_listen),
         boot=int(core.clock.seconds() * _MS),
     )
-    keys = keys_from(settings.peer_key)
+    keys = parse_keys(settings.peer_key)
     hub = Hub(core.clock, core.rng, hello, keys, connect, core.log)
     if keys:
-        hub.dialer.seeds = tuple(shown(one) for one in settings.peers)
+        hub.dialer.seeds = tuple(format_address(one) for one in settings.peers)
     fleet = Fleet(
         hub,
         node.in_force,
@@ -167,7 +167,7 @@
     suspend_clock : function
         Returns seconds, suspended time included.
     """
-    node.placement = built_placement(
+    node.placement = build_placement(
         node.core,
         node.boot,
         store,
--- a/pollenstile/entry/_daemon.py
+++ b/pollenstile/entry/_daemon.py
@@ -165,7 +165,7 @@
         )
 
     def _drained(self):
-        return self.caller_port.factory.channels.drained().addTimeout(
+        return self.caller_port.factory.channels.close_gracefully().addTimeout(
             _DRAIN_SECONDS,
             self.reactor,
             onTimeoutCancel=self._abort,
--- a/pollenstile/estimates/_fetching.py
+++ b/pollenstile/estimates/_fetching.py
@@ -55,12 +55,12 @@
         least = _LEAST_SECONDS + _LINK_FACTOR * size / link
         return least * 2 ** self.doublings.get(service, 0.0)
 
-    def note_gone(self, service):
+    def note_failed_fetch(self, service):
         """Note that an engine came for results that were released."""
         doublings = self.doublings.get(service, 0.0)
         self.doublings[service] = min(_MOST_DOUBLINGS, doublings + 1)
 
-    def note_read(self, service):
+    def note_fetched(self, service):
         """Note that an engine has read its results."""
         doublings = self.doublings.get(service, 0.0)
         self.doublings[service] = max(0.0, doublings - _TAKEN_BACK)
--- a/pollenstile/fleet/__init__.py
+++ b/pollenstile/fleet/__init__.py
@@ -2,11 +2,11 @@
 
 from pollenstile.fleet._apply import (
     Accepted,
-    Current,
+    CurrentConfig,
     RaceLost,
     Replaced,
     Unsettled,
-    applied,
+    apply_manifest,
     current_config,
     hosts_behind,
 )
--- a/pollenstile/fleet/_apply.py
+++ b/pollenstile/fleet/_apply.py
@@ -10,8 +10,8 @@
     Superseded,
     Written,
     field_mark,
-    settled_put,
-    unpaused,
+    put_with_readback,
+    no_pause,
 )
 
 MARK_FIELD = 'apply'
@@ -72,7 +72,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Current:
+class CurrentConfig:
     """What stands in the store; version 0 and no text when nothing does.
 
     Parameters
@@ -92,23 +92,23 @@
 
 
 async def current_config(store):
-    """Return ``Current``, or ``Unavailable``."""
+    """Return ``CurrentConfig``, or ``Unavailable``."""
     found = await store.get(CONFIG_KIND, CONFIG_NAME)
     if isinstance(found, Absent):
-        return Current(0, '')
+        return CurrentConfig(0, '')
     if not isinstance(found, Found):
         return found
     fields = found.value if isinstance(found.value, dict) else {}
     text = fields.get('text')
     history = fields.get(HISTORY_FIELD)
-    return Current(
+    return CurrentConfig(
         found.version,
         text if isinstance(text, str) else '',
         tuple(history) if isinstance(history, list) else (),
     )
 
 
-async def applied(store, text, reviewed, apply_id, pause=unpaused):
+async def apply_manifest(store, text, reviewed, apply_id, pause=no_pause):
     """Write a manifest over the version that it was reviewed against.
 
     Explanation
@@ -130,7 +130,7 @@
     apply_id : str
         Never used for another write.
     pause : function
-        See :func:`~pollenstile.platform.settled_put`.
+        See :func:`~pollenstile.platform.put_with_readback`.
 
     Returns
     =======
@@ -138,12 +138,12 @@
     Accepted, RaceLost, Replaced or Unsettled
     """
     current = await current_config(store)
-    if not isinstance(current, Current):
+    if not isinstance(current, CurrentConfig):
         return Unsettled(current.step, current.peer, current.reason)
     if current.version != reviewed:
         return RaceLost(current.version)
     history = [*current.history, apply_id][-_MOST_HISTORY:]
-    outcome = await settled_put(
+    outcome = await put_with_readback(
         store,
         CONFIG_KIND,
         CONFIG_NAME,
@@ -167,7 +167,7 @@
     # the race, or it was in force and the next writer has replaced it; that
     # writer read ours first and keeps its mark in the history.
     current = await current_config(store)
-    if not isinstance(current, Current):
+    if not isinstance(current, CurrentConfig):
         return Unsettled(current.step, current.peer, current.reason)
     if apply_id in current.history:
         return Replaced(current.version)
--- a/pollenstile/fleet/_census.py
+++ b/pollenstile/fleet/_census.py
@@ -19,7 +19,7 @@
 
 from twisted.internet.defer import gatherResults
 
-from pollenstile.peer import BadMessageError, Unanswered, decoded, schema
+from pollenstile.peer import BadMessageError, Unanswered, decode_struct, schema
 
 SUBJECT = 'status'
 _MOST_QUERIES = 256
@@ -77,7 +77,7 @@
         return self._gathered(query, seconds, '')
 
     def _asked(self, host, body):
-        query, seconds = decoded(schema.StatusAsk, body, _question)
+        query, seconds = decode_struct(schema.StatusAsk, body, _question)
         if query in self.queries:
             return _encoded([])
         self._note(query)
@@ -130,7 +130,7 @@
 
 def _statuses(answer):
     try:
-        return decoded(schema.StatusAnswer, answer, _read)
+        return decode_struct(schema.StatusAnswer, answer, _read)
     except BadMessageError:
         return []
 
--- a/pollenstile/fleet/_fleet.py
+++ b/pollenstile/fleet/_fleet.py
@@ -89,7 +89,7 @@
         self.probe_at = 0.0
         self.seen = None
         hub.beat = self._beat
-        hub.takers[Beat] = self._heard
+        hub.message_handlers[Beat] = self._heard
         in_force.listeners.append(self._configured)
 
     def start(self):
@@ -103,7 +103,7 @@
         """Tell the peers that this host is leaving; links stay."""
         self.hosts.leaving = True
         self.hosts.announce()
-        self.hub.beat_now()
+        self.hub.send_beats()
 
     def stop(self):
         """End all loops and close all links."""
--- a/pollenstile/fleet/_hosts.py
+++ b/pollenstile/fleet/_hosts.py
@@ -88,8 +88,8 @@
         self.leaving = False
         self.gone_since = {}
         self.stale = True
-        hub.ups.append(self._met)
-        hub.downs.append(self._lost)
+        hub.link_up_handlers.append(self._met)
+        hub.link_down_handlers.append(self._lost)
         table.listeners.append(self._changed)
 
     @property
--- a/pollenstile/fleet/_platformnews.py
+++ b/pollenstile/fleet/_platformnews.py
@@ -3,7 +3,7 @@
 from twisted.internet.defer import Deferred, maybeDeferred
 
 from pollenstile.fleet import events
-from pollenstile.peer import ranked
+from pollenstile.peer import rank_candidates
 from pollenstile.platform import Found, HostList, WatchTiming, watch
 
 CONFIG_KIND = 'config'
@@ -104,8 +104,10 @@
         own = hosts.live.get(hosts.name)
         names = hosts.names_in(own.domain) if own else [hosts.name]
         if self.store is not None:
-            self._config(hosts.name in ranked('config', names, _WATCHING), now)
-        listing = hosts.name in ranked('hosts', names, _LISTING)
+            self._config(
+                hosts.name in rank_candidates('config', names, _WATCHING), now
+            )
+        listing = hosts.name in rank_candidates('hosts', names, _LISTING)
         if self.read_hosts is not None and listing and now >= self.list_at:
             self.list_at = now + _LIST_SECONDS * self.random.uniform(0.8, 1.2)
             call = maybeDeferred(self.read_hosts)
--- a/pollenstile/fleet/_relay.py
+++ b/pollenstile/fleet/_relay.py
@@ -8,10 +8,10 @@
     Beat,
     RecentTexts,
     Unanswered,
-    decoded,
+    decode_struct,
     patch_fields,
     patch_from,
-    patched,
+    apply_patch,
     schema,
     text_digest,
 )
@@ -71,7 +71,7 @@
 
     def content(self, host, body):
         """Return the content in force, for a peer that asks."""
-        asked = decoded(schema.ConfigAsk, body, _asked)
+        asked = decode_struct(schema.ConfigAsk, body, _asked)
         snapshot = self.in_force.snapshot
         if snapshot is None:
             return schema.ConfigContent.new_message().to_bytes()
@@ -86,7 +86,7 @@
     def _keep(self, snapshot):
         text = self.in_force.text
         self.kept.keep(text_digest(text), text)
-        self.hub.beat_now()
+        self.hub.send_beats()
 
     async def _learn(self, link, version):
         try:
@@ -123,10 +123,12 @@
 
     def _text_of(self, answer):
         try:
-            version, patch = decoded(schema.ConfigContent, answer, _content)
+            version, patch = decode_struct(
+                schema.ConfigContent, answer, _content
+            )
         except BadMessageError:
             return None
-        text = patched(self.in_force.text, patch)
+        text = apply_patch(self.in_force.text, patch)
         return None if text is None else (version, text)
 
     def _pause(self):
--- a/pollenstile/fleet/_sharing.py
+++ b/pollenstile/fleet/_sharing.py
@@ -78,9 +78,9 @@
         self.changed = 0.0
         self.timer = None
         table.listeners.append(self._changed)
-        hub.takers[News] = self._take_news
-        hub.takers[Sums] = self._take_sums
-        hub.downs.append(self._forget_link)
+        hub.message_handlers[News] = self._take_news
+        hub.message_handlers[Sums] = self._take_sums
+        hub.link_down_handlers.append(self._forget_link)
 
     def stop(self):
         """Send nothing more."""
--- a/pollenstile/fleet/_upstreams.py
+++ b/pollenstile/fleet/_upstreams.py
@@ -249,7 +249,7 @@
     def _bar_only(self, barred, now):
         for name in barred:
             state = self.tracker.state(name)
-            state.barred_until = max(state.barred_until, now + _BAR_SECONDS)
+            state.ejected_until = max(state.ejected_until, now + _BAR_SECONDS)
         for name in sorted(barred - self.down):
             record = self.table.record(UPSTREAM, name)
             self.log(
@@ -259,7 +259,7 @@
                 witnesses=list(record.witnesses),
             )
         for name in sorted(self.down - barred):
-            self.tracker.state(name).barred_until = now
+            self.tracker.state(name).ejected_until = now
             self.log(events.UPSTREAM_BACK, upstream=name)
         self.down = barred
 
--- a/pollenstile/fleet/_watchers.py
+++ b/pollenstile/fleet/_watchers.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.defer import Deferred
 
-from pollenstile.peer import ranked
+from pollenstile.peer import rank_candidates
 
 
 WATCHERS = 2
@@ -103,7 +103,7 @@
                 near[domain] = hosts.near(domain)
             if own.name not in near[domain]:
                 continue
-            watchers = ranked(name, near[domain], WATCHERS)
+            watchers = rank_candidates(name, near[domain], WATCHERS)
             if own.name in watchers:
                 shares[name] = watchers
         return shares
--- a/pollenstile/forward/__init__.py
+++ b/pollenstile/forward/__init__.py
@@ -1,20 +1,20 @@
 """Opaque HTTP exchanges, forwarded to upstreams untouched."""
 
-from pollenstile.forward._budget import RepeatBudget
-from pollenstile.forward._choose import (
-    EngineView,
-    chosen_engine,
-    chosen_plain,
+from pollenstile.forward._budget import SharedRetryBudget
+from pollenstile.forward._selection import (
+    UpstreamView,
+    select_engine,
+    select_plain_upstream,
     home_engine,
     subject_of,
     usable,
 )
-from pollenstile.forward._client import HttpClient, Reach
+from pollenstile.forward._client import HttpClient, ProbeResult
 from pollenstile.forward._cold import ColdShares
 from pollenstile.forward._configuration import Configuration
 from pollenstile.forward._core import ForwardCore
 from pollenstile.forward._daemon import ForwardDaemon
-from pollenstile.forward._decisions import patience_of
+from pollenstile.forward._decisions import silence_limits_of
 from pollenstile.forward._drained import DRAINED, DrainedDomains
 from pollenstile.forward._gauges import DRAINED_SECONDS, UNDER_WAY
 from pollenstile.forward._plaincodec import (
@@ -26,7 +26,7 @@
 from pollenstile.forward._run import serve
 from pollenstile.forward._settings import HostSettings
 from pollenstile.forward._types import (
-    Asked,
+    RouteQuery,
     BodyEnd,
     Exchange,
     HeaderNames,
--- a/pollenstile/forward/_admission.py
+++ b/pollenstile/forward/_admission.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from pollenstile.forward._types import Refusal
-from pollenstile.routes import Route, Team, picked_service, route_of, team_of
+from pollenstile.routes import Route, Team, pick_service, route_of, team_of
 
 # Where refusals of this module arise.
 _STEP = 'entry'
@@ -29,7 +29,7 @@
     team: Team | None
 
 
-def admitted(configuration, asked):
+def admit_request(configuration, query):
     """Return :class:`Admitted`, or a :class:`Refusal`.
 
     Parameters
@@ -42,21 +42,21 @@
     """
     if not configuration.is_current():
         return _unavailable('the configuration can not be checked')
-    outcome = _allowed(configuration.table, asked)
+    outcome = _allowed(configuration.table, query)
     has_key = isinstance(outcome, Admitted) and outcome.team is not None
-    if has_key and not configuration.is_proven():
+    if has_key and not configuration.is_verified():
         return _unavailable('the key can not be checked')
     return outcome
 
 
-def _allowed(table, asked):
+def _allowed(table, query):
     """Return what a route table says of a request, whatever its age."""
-    route = route_of(table, asked.host, asked.path)
+    route = route_of(table, query.host, query.path)
     if route is None:
         return Refusal(_NOT_FOUND, 'no such route', _STEP)
     if table.keys is None or route.public:
         return Admitted(route, None)
-    team = team_of(table, asked.authorization)
+    team = team_of(table, query.authorization)
     if team is None:
         return Refusal(_UNAUTHORIZED, 'unknown key', _STEP)
     return Admitted(route, team)
@@ -75,14 +75,14 @@
     table = core.configuration.table
     if table is exchange.table:
         return None
-    outcome = _allowed(table, exchange.asked)
+    outcome = _allowed(table, exchange.query)
     if isinstance(outcome, Refusal):
         return outcome
     exchange.table = table
     exchange.team = outcome.team.name if outcome.team else ''
     targets = {target.service for target in outcome.route.targets}
     if exchange.service not in targets:
-        exchange.service = picked_service(outcome.route, core.rng.random())
+        exchange.service = pick_service(outcome.route, core.rng.random())
         core.budget.note_first(exchange.service)
     return None
 
--- a/pollenstile/forward/_assembly.py
+++ b/pollenstile/forward/_assembly.py
@@ -4,28 +4,28 @@
 from dataclasses import dataclass
 from functools import partial
 
-from pollenstile.forward._budget import RepeatBudget
+from pollenstile.forward._budget import SharedRetryBudget
 from pollenstile.forward._client import HttpClient
 from pollenstile.forward._cold import ColdShares
 from pollenstile.forward._configuration import Configuration
 from pollenstile.forward._core import ForwardCore
 from pollenstile.forward._drained import DRAINED, DrainedDomains
 from pollenstile.forward._members import HOSTS, Members, PeerHost
-from pollenstile.forward._owners import Owners
+from pollenstile.forward._owners import StageOwners
 from pollenstile.forward._registry import UPSTREAMS, Registry
 from pollenstile.forward._settings import word_seconds
 from pollenstile.forward._stagecalls import StageCalls
 from pollenstile.ops.logs import silent_log
-from pollenstile.ops.settings import shown
-from pollenstile.peer import LEAST_VERSION, VERSION, Hello, Hub, tcp_connect
+from pollenstile.ops.settings import format_address
+from pollenstile.peer import MIN_VERSION, VERSION, Hello, Hub, tcp_connect
 from pollenstile.quarantine import (
-    QUARANTINED,
+    QUARANTINE_KIND,
     Quarantine,
-    Record,
-    Sharing,
+    VerdictRecorder,
+    VerdictSharing,
 )
 from pollenstile.relay import (
-    ASK,
+    RELAY_SUBJECT,
     Follower,
     Readers,
     RelayStore,
@@ -59,8 +59,8 @@
     stages: object
     relay: object
     drained: DrainedDomains
-    sharing: Sharing
-    record: Record
+    sharing: VerdictSharing
+    record: VerdictRecorder
 
 
 @dataclass(slots=True)
@@ -115,7 +115,7 @@
     calls = StageCalls(reactor, client, adapter.codec, adapter.names, log)
     calls.on_misdirected = registry.drop
     budget = _built_budget(reactor, settings)
-    owners = Owners(
+    owners = StageOwners(
         reactor,
         registry,
         configuration,
@@ -138,7 +138,7 @@
         cold=ColdShares(settings.host, settings.domain),
         quarantine=quarantine,
     )
-    calls.look_at_crashes(core.crashes, quarantine)
+    calls.attach_crash_detector(core.crashes, quarantine)
     members = Members(
         store,
         reactor,
@@ -154,8 +154,8 @@
         core.stages,
         _built_relay(settings, store, suspend_clock, core, hub),
         DrainedDomains(registry, reactor, log),
-        Sharing(hub, quarantine, members.hosts, log),
-        Record(store, quarantine, members.hosts, log),
+        VerdictSharing(hub, quarantine, members.hosts, log),
+        VerdictRecorder(store, quarantine, members.hosts, log),
     )
 
 
@@ -174,7 +174,7 @@
 
 
 def _built_budget(reactor, settings):
-    return RepeatBudget(
+    return SharedRetryBudget(
         reactor,
         settings.repeat_ratio,
         settings.repeat_slack,
@@ -194,7 +194,7 @@
     configuration = core.configuration
     ident = f'{settings.host}/{hub.hello.boot}'
     source = Source(ident, clock, suspend_clock, configuration)
-    hub.requests.subjects[ASK] = source.answer
+    hub.requests.subjects[RELAY_SUBJECT] = source.answer
     readers = Readers(hub, settings.host, settings.domain, settings.capacity)
     follower = Follower(
         clock,
@@ -204,45 +204,45 @@
         readers.current,
         core.log,
     )
-    follower.place = readers.place
+    follower.rank = readers.rank
     follower.word_seconds = word_seconds(settings)
     relayed = RelayStore(
         store,
         clock,
         follower,
-        (UPSTREAMS, HOSTS, DRAINED, QUARANTINED),
-        early=HOSTS,
-        late=(DRAINED, QUARANTINED),
+        (UPSTREAMS, HOSTS, DRAINED, QUARANTINE_KIND),
+        immediate_kind=HOSTS,
+        deferred_kinds=(DRAINED, QUARANTINE_KIND),
     )
 
-    def covered():
+    def can_skip_reads():
         age = configuration.age()
         joining = relayed.is_joining() and age < _JOIN_PROOF
         # A reader's word may hold and still prove nothing here: its revision
         # can be an older one, or one that this host could not use.
-        followed = follower.is_following() and age < follower.word_seconds
-        return followed or joining
+        has_followers = follower.is_following() and age < follower.word_seconds
+        return has_followers or joining
 
     loop = configuration.loop
 
     def is_away():
-        return loop.is_failing() or loop.read_at < follower.direct_at
+        return loop.is_failing() or loop.read_at < follower.direct_since
 
     relayed.is_away = is_away
-    follower.on_direct.append(loop.wake)
-    loop.covered = covered
+    follower.direct_listeners.append(loop.wake)
+    loop.can_skip_reads = can_skip_reads
     loop.is_answering = store.is_answering
-    loop.followed = source.is_followed
+    loop.has_followers = source.is_followed
     return Relay(source, follower, readers, relayed)
 
 
 def _built_hub(reactor, rng, settings, log):
     hello = Hello(
         version=VERSION,
-        least=LEAST_VERSION,
+        least=MIN_VERSION,
         host=settings.host,
         domain=settings.domain,
-        address=shown(settings.peers),
+        address=format_address(settings.peers),
         boot=int(time.time() * _MS),
     )
     hub = Hub(reactor, rng, hello, (), tcp_connect(reactor), log)
--- a/pollenstile/forward/_attempt.py
+++ b/pollenstile/forward/_attempt.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.defer import CancelledError, Deferred, TimeoutError
 
-from pollenstile.forward._choose import own_tokens
+from pollenstile.forward._selection import own_tokens
 from pollenstile.forward._crashes import incarnation_of
 from pollenstile.forward._learning import (
     learn_failure,
@@ -146,7 +146,7 @@
             Event after which a stream goes on; empty for its beginning.
         """
         tokens = sum(size for _, size in self.exchange.prompt)
-        self.view.flying += 1
+        self.view.in_flight += 1
         self.view.flying_tokens += tokens
         try:
             outcome = await self._sent(patience, last_event)
@@ -161,7 +161,7 @@
 
     def _leave(self, tokens):
         self.reading.stop()
-        self.view.flying -= 1
+        self.view.in_flight -= 1
         self.view.flying_tokens -= tokens
 
     async def _sent(self, patience, last_event):
@@ -231,7 +231,7 @@
     async def _failing(self, head, patience):
         parts = []
         end = await self._body(head, parts.append, patience)
-        if end is not BodyEnd.WHOLE:
+        if end is not BodyEnd.COMPLETE:
             return self._torn('torn failure', end)
         return Failing(
             head.code,
@@ -251,7 +251,7 @@
                 self._write_held()
 
         end = await self._body(head, take, patience)
-        if end is not BodyEnd.WHOLE:
+        if end is not BodyEnd.COMPLETE:
             return self._torn('torn answer', end)
         if not self.answer.begun:
             self._begin(head)
@@ -265,7 +265,7 @@
                 self.heard = True
                 self.first_at = self.core.clock.seconds()
                 self._learn_first()
-            events = self.splitter.whole(data)
+            events = self.splitter.feed(data)
             if not events:
                 return
             if not self.answer.begun:
@@ -273,7 +273,7 @@
             self.answer.write(events)
 
         end = await self._body(head, take, patience.first, patience.between)
-        if end is not BodyEnd.WHOLE:
+        if end is not BodyEnd.COMPLETE:
             return self._torn('torn stream', end)
         if not self.answer.begun:
             self._begin(head)
@@ -357,12 +357,12 @@
             tokens = own_tokens(exchange.prompt)
             self.core.first_tokens.learn(exchange.service, tokens, took)
         if exchange.handles:
-            self.core.fetching.note_read(exchange.service)
+            self.core.fetching.note_fetched(exchange.service)
 
     def _learn(self, outcome):
         now = self.core.clock.seconds()
         if outcome is GONE:
-            self.core.fetching.note_gone(self.exchange.service)
+            self.core.fetching.note_failed_fetch(self.exchange.service)
             return
         if isinstance(outcome, NotRun):
             learn_unreached(self.view, now)
--- a/pollenstile/forward/_budget.py
+++ b/pollenstile/forward/_budget.py
@@ -8,7 +8,7 @@
 _USED_SHARE = 0.6
 
 
-class RepeatBudget:
+class SharedRetryBudget:
     """Sends beyond the first of each request, by service.
 
     Explanation
--- a/pollenstile/forward/_client.py
+++ b/pollenstile/forward/_client.py
@@ -32,7 +32,7 @@
 CONNECT_SECONDS = 0.35
 
 
-class Reach(enum.Enum):
+class ProbeResult(enum.Enum):
     """What comes of opening a connection."""
 
     ACCEPTED = 'accepted'
@@ -73,7 +73,7 @@
 
     def connectionMade(self):
         """Note that somebody listens; called by twisted."""
-        self.factory.done.callback(Reach.ACCEPTED)
+        self.factory.done.callback(ProbeResult.ACCEPTED)
         self.transport.abortConnection()
 
 
@@ -87,7 +87,9 @@
     def clientConnectionFailed(self, connector, reason):
         """Note why there is no connection; called by twisted."""
         refused = reason.check(ConnectionRefusedError) is not None
-        self.done.callback(Reach.REFUSED if refused else Reach.UNKNOWN)
+        self.done.callback(
+            ProbeResult.REFUSED if refused else ProbeResult.UNKNOWN
+        )
 
 
 class _Body(Protocol):
@@ -113,7 +115,7 @@
         if reason.check(PotentialDataLoss):
             whole = self.call.protocol.closed_cleanly
         self.call.close()
-        self.on_end(BodyEnd.WHOLE if whole else BodyEnd.BROKEN)
+        self.on_end(BodyEnd.COMPLETE if whole else BodyEnd.BROKEN)
 
 
 class Call:
@@ -228,8 +230,8 @@
     def __init__(self, reactor):
         self.reactor = reactor
 
-    def reach(self, address):
-        """Open a connection and close it; return a Deferred of ``Reach``."""
+    def probe(self, address):
+        """Open a connection and close it; return a Deferred of ``ProbeResult``."""
         greeter = _Greeter()
         host, _, port = address.rpartition(':')
         self.reactor.connectTCP(
--- a/pollenstile/forward/_configloop.py
+++ b/pollenstile/forward/_configloop.py
@@ -5,7 +5,7 @@
 from pollenstile.forward import events
 from pollenstile.forward._configreads import newer_config, whole_config
 from pollenstile.ops.logs import silent_log
-from pollenstile.platform import Compacted, Unavailable, branched, paused
+from pollenstile.platform import Compacted, Unavailable, fork_deferred, paused
 
 # Seconds between reads. A change has to be in force within 2 s of its write;
 # this leaves one failed read and the answer's way.
@@ -89,12 +89,12 @@
     """
 
     __slots__ = (
-        'away_at',
+        'unreachable_at',
         'clock',
         'configuration',
-        'covered',
+        'can_skip_reads',
         'failures',
-        'followed',
+        'has_followers',
         'idle',
         'is_answering',
         'log',
@@ -116,14 +116,14 @@
         self.random = random
         self.configuration = configuration
         self.log = log
-        self.covered = _never
-        self.followed = _never
+        self.can_skip_reads = _never
+        self.has_followers = _never
         self.is_answering = _never
         self.on_read = None
         self.idle = None
         self.failures = 0
         self.silent = False
-        self.away_at = -1000.0
+        self.unreachable_at = -1000.0
         self.under_way = 0
         self.whole_under_way = 0
         self.whole_at = -1000.0
@@ -142,7 +142,7 @@
         the first that it answers.
         """
         while self.running:
-            if self.covered():
+            if self.can_skip_reads():
                 await self._idle()
                 continue
             began = self.clock.seconds()
@@ -171,7 +171,7 @@
 
     def _answered(self, hold):
         """Return a Deferred of a read's end, or of the time for another."""
-        reading = branched(Deferred.fromCoroutine(self._read(hold)))
+        reading = fork_deferred(Deferred.fromCoroutine(self._read(hold)))
         limit = hold + _RETRY_PERIOD
         return reading.addTimeout(
             limit, self.clock, onTimeoutCancel=self._unanswered
@@ -192,7 +192,7 @@
     def _hold(self):
         if not self._is_large():
             return _LEAST_HOLD
-        return _FOLLOWED_HOLD if self.followed() else _LARGE_HOLD
+        return _FOLLOWED_HOLD if self.has_followers() else _LARGE_HOLD
 
     def _is_large(self):
         return len(self.configuration.text) > _LARGE_TEXT
@@ -203,7 +203,7 @@
             return _RETRY_PERIOD
         if self._is_large() or self.configuration.in_storm:
             return _SETTLE
-        return _FOLLOWED_PERIOD if self.followed() else _READ_PERIOD
+        return _FOLLOWED_PERIOD if self.has_followers() else _READ_PERIOD
 
     def _may_read(self):
         """Return whether a further read may be sent now.
@@ -272,7 +272,7 @@
             self._note_away()
 
     def _note_away(self):
-        self.away_at = self.configuration.suspend_clock()
+        self.unreachable_at = self.configuration.suspend_clock()
 
     def _note(self, outcome, *, answered):
         if answered and self.failures:
--- a/pollenstile/forward/_configuration.py
+++ b/pollenstile/forward/_configuration.py
@@ -82,7 +82,7 @@
         'log',
         'loop',
         'newest',
-        'proven_at',
+        'verified_at',
         'revision',
         'revoke_seconds',
         'seen',
@@ -115,11 +115,11 @@
         self.seen = None
         self.seen_at = -1000.0
         self.in_storm = False
-        self.proven_at = -1000.0
+        self.verified_at = -1000.0
         self.listeners = []
         self.loop = ConfigurationLoop(store, clock, random, self, log)
 
-    def is_proven(self):
+    def is_verified(self):
         """Return whether keys may be trusted now."""
         return self.age() < _PROOF_SHARE * self.revoke_seconds
 
@@ -145,12 +145,12 @@
         was kept from asking: by its own load, or by whom it relied on. That the
         store was lost before the proof says nothing of now.
         """
-        is_away = self.loop.away_at > self.proven_at
+        is_away = self.loop.unreachable_at > self.verified_at
         return is_away or self.age() < self.apply_seconds
 
     def age(self):
         """Return the seconds since the proof was true."""
-        return self.suspend_clock() - self.proven_at
+        return self.suspend_clock() - self.verified_at
 
     def age_ms(self):
         """Return the age in whole milliseconds, as log lines have it."""
@@ -173,17 +173,17 @@
         self.seen = max(news.revision, self.seen or 0)
         self.seen_at = max(began, self.seen_at)
         if news.found is not None:
-            self.take(news.found, began)
+            self.apply(news.found, began)
         elif news.changed:
             # Deleted: what is in force here is not the newest any more.
             self.newest = max(self.newest, news.revision)
         elif self.newest == self.revision:
-            self.proven_at = max(self.proven_at, began)
+            self.verified_at = max(self.verified_at, began)
         moved = self.newest > before
         # A whole that brought nothing new ends a storm of changes.
         self.in_storm = moved and (self.in_storm or not whole)
 
-    def take(self, found, began):
+    def apply(self, found, began):
         """Take one read.
 
         Parameters
@@ -201,9 +201,9 @@
             if not self._replaced(found):
                 return
             self.revision = found.version
-        self.proven_at = max(self.proven_at, began)
+        self.verified_at = max(self.verified_at, began)
 
-    def told(self, word, began):
+    def apply_update(self, word, began):
         """Take another host's word; return whether it makes reads needless.
 
         Explanation
@@ -220,24 +220,24 @@
         began : float
             On the suspend clock, before the other host was asked.
         """
-        proven_at = began - word.aged
+        verified_at = began - word.aged
         if word.config is not None:
-            self.take(word.config, proven_at)
+            self.apply(word.config, verified_at)
         if word.config_revision < self.revision:
             # A reader that lags says nothing of what this host has read.
             return self.is_fresh()
         if word.config_revision > self.revision:
             return False
-        self.proven_at = max(self.proven_at, proven_at)
+        self.verified_at = max(self.verified_at, verified_at)
         if word.seen:
             # If the reader is lost, this host asks for what is newer than
             # this; the whole, asked for by all followers at once, would fill
             # the links that are slow already.
             self.seen = max(word.seen, self.seen or 0)
-            self.seen_at = max(proven_at, self.seen_at)
+            self.seen_at = max(verified_at, self.seen_at)
         return True
 
-    def told_seen(self):
+    def resumable_revision(self):
         """Return the store's revision that other hosts may go on from.
 
         Explanation
--- a/pollenstile/forward/_crashes.py
+++ b/pollenstile/forward/_crashes.py
@@ -6,7 +6,7 @@
 from twisted.internet.task import deferLater
 
 from pollenstile.forward import events
-from pollenstile.forward._client import Reach
+from pollenstile.forward._client import ProbeResult
 from pollenstile.ops.logs import silent_log
 
 # Seconds until a second look where connections are refused and a request of
@@ -152,7 +152,7 @@
 
     async def _has_ended(self, upstream):
         """Return whether nobody listens, and nothing is under way there."""
-        if await self.client.reach(upstream.address) is not Reach.REFUSED:
+        if await self.client.probe(upstream.address) is not ProbeResult.REFUSED:
             return False
         if not self._is_busy(upstream):
             return True
@@ -161,7 +161,7 @@
             # One that is full refuses connections too, and goes on with what
             # it has.
             return False
-        return await self.client.reach(upstream.address) is Reach.REFUSED
+        return await self.client.probe(upstream.address) is ProbeResult.REFUSED
 
     def _note_ended(self, upstream):
         self.ended[upstream] = True
@@ -178,7 +178,7 @@
             address=upstream.address,
             born=upstream.born,
             requests=[one.fingerprint for one in known],
-            ran_ms=[int(one.ran * _MS) for one in known],
+            ran_ms=[int(one.run_seconds * _MS) for one in known],
         )
         self.on_crash(upstream.name, upstream.service, known)
 
@@ -191,7 +191,7 @@
 
     def _is_busy(self, upstream):
         view = self.registry.views.get(upstream.ident)
-        if view is not None and view.flying > 0:
+        if view is not None and view.in_flight > 0:
             return True
         return any(is_busy(upstream) for is_busy in self.busy_checks)
 
--- a/pollenstile/forward/_daemon.py
+++ b/pollenstile/forward/_daemon.py
@@ -9,15 +9,15 @@
 
 from pollenstile.forward import events
 from pollenstile.forward._assembly import built_parts, link_peers
-from pollenstile.forward._face import CallerFactory
+from pollenstile.forward._frontend import CallerFactory
 from pollenstile.forward._gauges import TIMES, add_gauges
 from pollenstile.forward._settings import word_seconds
 from pollenstile.forward._storewatches import StoreWatches
-from pollenstile.ops.http import quiet
+from pollenstile.ops.http import disable_access_log
 from pollenstile.ops.logs import silent_log
-from pollenstile.ops.measures import Measures, MeasuresFace
-from pollenstile.ops.settings import shown
-from pollenstile.peer import Beat, keys_from, tcp_listen
+from pollenstile.ops.measures import Measures, MetricsResource
+from pollenstile.ops.settings import format_address
+from pollenstile.peer import Beat, parse_keys, tcp_listen
 
 # Seconds for which a leaving host still takes requests: the balancer asks
 # each second and needs two answers that it is not ready.
@@ -143,17 +143,18 @@
         self.parts.members.listeners.append(self._hosts_changed)
         callers = self._listen(settings.callers, self.factory)
         ready = self._listen(
-            settings.ready, quiet(Site(_Ready(self), reactor=self.reactor))
+            settings.ready,
+            disable_access_log(Site(_Ready(self), reactor=self.reactor)),
         )
         if settings.metrics is not None:
             add_gauges(self.measures, self.parts, self.factory)
-            site = Site(MeasuresFace(self.measures), reactor=self.reactor)
-            self._listen(settings.metrics, quiet(site))
+            site = Site(MetricsResource(self.measures), reactor=self.reactor)
+            self._listen(settings.metrics, disable_access_log(site))
         self.log(
             events.FORWARD_STARTED,
-            callers=shown(_bound(callers)),
-            ready=shown(_bound(ready)),
-            peers=shown(settings.peers),
+            callers=format_address(_bound(callers)),
+            ready=format_address(_bound(ready)),
+            peers=format_address(settings.peers),
             domain=settings.domain,
         )
         self.review.clock = self.reactor
@@ -203,7 +204,7 @@
         self.leaving = True
         self.parts.relay.source.leaving = True
         self.factory.leave()
-        self.parts.hub.beat_now()
+        self.parts.hub.send_beats()
         self._review()
         self.log(events.FORWARD_LEAVING, in_flight=self.factory.in_flight)
         return Deferred.fromCoroutine(self._stopped())
@@ -242,20 +243,22 @@
             await deferLater(self.reactor, _JOIN_PERIOD)
         key = await self.parts.members.peer_key()
         hub = self.parts.hub
-        hub.keys = keys_from(key.decode())
+        hub.keys = parse_keys(key.decode())
         self.parts.core.quarantine.key = key
         port = tcp_listen(self.reactor, self.settings.peers, hub)
         self.ports.append(port)
         # Port 0 lets the system choose; peers are told what it chose.
         bound = _bound(port)
-        address = shown(self.settings.peers_seen or bound)
+        address = format_address(self.settings.peers_seen or bound)
         hub.hello = replace(hub.hello, address=address)
         members = self.parts.members
         members.entry = replace(members.entry, address=address)
         hub.start()
         self._hosts_changed()
         self.parts.relay.follower.start()
-        self.log(events.FORWARD_JOINED, peers=shown(bound), seen=address)
+        self.log(
+            events.FORWARD_JOINED, peers=format_address(bound), seen=address
+        )
         await members.register()
 
     def _knows_enough(self):
--- a/pollenstile/forward/_decisions.py
+++ b/pollenstile/forward/_decisions.py
@@ -29,14 +29,14 @@
 _UNKNOWN_PAUSE = 0.75
 
 
-class Next(enum.Enum):
+class RetryDecision(enum.Enum):
     """What to do after a failed attempt."""
 
-    AGAIN = 'again'
+    RETRY = 'again'
     GIVE_UP = 'give-up'
 
 
-def after_failure(route, outcome, sends, runs, *, resumed, may_repeat=True):
+def decide_retry(route, outcome, sends, runs, *, resumed, may_repeat=True):
     """Return whether a request may be sent again.
 
     Explanation
@@ -60,12 +60,18 @@
         of its callers together.
     """
     if isinstance(outcome, NotRun):
-        return Next.AGAIN if sends < _MOST_SENDS else Next.GIVE_UP
+        return (
+            RetryDecision.RETRY
+            if sends < _MOST_SENDS
+            else RetryDecision.GIVE_UP
+        )
     if not route.repeatable or not may_repeat:
-        return Next.GIVE_UP
+        return RetryDecision.GIVE_UP
     if resumed and route.kind is not Kind.STREAM:
-        return Next.GIVE_UP
-    return Next.AGAIN if runs < route.attempts else Next.GIVE_UP
+        return RetryDecision.GIVE_UP
+    return (
+        RetryDecision.RETRY if runs < route.attempts else RetryDecision.GIVE_UP
+    )
 
 
 @dataclass(slots=True, frozen=True)
@@ -84,7 +90,7 @@
     between: float | None = None
 
 
-def patience_of(route, usual):
+def silence_limits_of(route, usual):
     """Return the :class:`SilenceLimits` of an attempt.
 
     Parameters
--- a/pollenstile/forward/_face.py
+++ b/pollenstile/forward/_frontend.py
@@ -6,7 +6,7 @@
 
 from pollenstile.forward import events
 from pollenstile.forward._parse import parsed_exchange
-from pollenstile.forward._run import is_abandoned_at_once, serve
+from pollenstile.forward._run import is_cancelled_on_disconnect, serve
 from pollenstile.forward._types import Refusal
 from pollenstile.routes import Limits
 
@@ -315,7 +315,7 @@
             request=answer.exchange.ident,
             route=answer.exchange.route.name,
         )
-        if is_abandoned_at_once(answer.exchange):
+        if is_cancelled_on_disconnect(answer.exchange):
             answer.work.cancel()
 
     def leave(self):
--- a/pollenstile/forward/_gauges.py
+++ b/pollenstile/forward/_gauges.py
@@ -81,5 +81,5 @@
     """Return how much this host has at the upstreams of each domain."""
     running = Counter(calls.pieces_in)
     for view in registry.views.values():
-        running[view.domain] += view.flying
+        running[view.domain] += view.in_flight
     return running
--- a/pollenstile/forward/_learning.py
+++ b/pollenstile/forward/_learning.py
@@ -60,4 +60,4 @@
     view.queued = queued
     view.slots = max(1, slots)
     view.load_at = now
-    view.load_flying = view.flying
+    view.load_flying = view.in_flight
--- a/pollenstile/forward/_members.py
+++ b/pollenstile/forward/_members.py
@@ -92,7 +92,7 @@
         self.registered = False
         self.standing = None
 
-    def take(self, change):
+    def apply(self, change):
         """Take a change of an entry."""
         if change.name == self.host:
             self.standing = change.value
--- a/pollenstile/forward/_owners.py
+++ b/pollenstile/forward/_owners.py
@@ -4,7 +4,7 @@
 from pollenstile.stagework import Owner
 
 
-class Owners:
+class StageOwners:
     """Queues by service, made when first asked for.
 
     Parameters
--- a/pollenstile/forward/_parse.py
+++ b/pollenstile/forward/_parse.py
@@ -1,9 +1,9 @@
 """From a caller's bytes to an exchange, or to the reason why not."""
 
-from pollenstile.forward._admission import admitted
-from pollenstile.forward._types import Asked, Exchange, Refusal
+from pollenstile.forward._admission import admit_request
+from pollenstile.forward._types import RouteQuery, Exchange, Refusal
 from pollenstile.ops.numbers import whole_number
-from pollenstile.routes import Kind, picked_service, urgency_of
+from pollenstile.routes import Kind, pick_service, urgency_of
 
 _MS = 1000
 # Where refusals of this module arise.
@@ -51,18 +51,18 @@
     hosts = answer.requestHeaders.getRawHeaders(b'host', ())
     if len(hosts) != 1 or not target.startswith(b'/'):
         return Refusal(_BAD_REQUEST, 'host or target', _STEP)
-    asked = Asked(
+    query = RouteQuery(
         hosts[0].decode('latin-1'),
         target.partition(b'?')[0].decode('latin-1'),
         _text(answer, b'authorization'),
     )
-    outcome = admitted(core.configuration, asked)
+    outcome = admit_request(core.configuration, query)
     if isinstance(outcome, Refusal):
         return outcome
-    return _exchange(core, answer, asked, outcome)
+    return _exchange(core, answer, query, outcome)
 
 
-def _exchange(core, answer, asked, outcome):
+def _exchange(core, answer, query, outcome):
     route = outcome.route
     team = outcome.team
     names = core.names
@@ -85,7 +85,7 @@
         body=answer.content.getvalue(),
         route=route,
         table=core.configuration.table,
-        asked=asked,
+        query=query,
         team=team.name if team else '',
         urgency=urgency_of(route, team),
         arrived=now,
@@ -95,13 +95,13 @@
         stage_key=_text(answer, names.stage_key),
         prompt=prompt,
         last_event=_last_event(answer, names, route),
-        service=picked_service(route, core.rng.random()),
+        service=pick_service(route, core.rng.random()),
         proof_ms=core.configuration.age_ms(),
-        fingerprint=_fingerprint(core, answer, asked, team),
+        fingerprint=_fingerprint(core, answer, query, team),
     )
 
 
-def _fingerprint(core, answer, asked, team):
+def _fingerprint(core, answer, query, team):
     """Return what a request shares with its repeats only.
 
     Explanation
@@ -113,7 +113,7 @@
     return core.quarantine.fingerprint(
         team.name.encode() if team else b'',
         answer.method,
-        asked.host.lower().encode(),
+        query.host.lower().encode(),
         answer.uri,
         answer.content.getvalue(),
     )
--- a/pollenstile/forward/_placing.py
+++ b/pollenstile/forward/_placing.py
@@ -1,8 +1,8 @@
 """Where a request goes, by what its host knows now."""
 
-from pollenstile.forward._choose import (
-    chosen_engine,
-    chosen_plain,
+from pollenstile.forward._selection import (
+    select_engine,
+    select_plain_upstream,
     home_engine,
     load_of,
     own_tokens,
@@ -64,8 +64,8 @@
     if not ready:
         return _none_ready(core, exchange, views, rate)
     if not exchange.prompt:
-        return chosen_plain(ready, now, core.domain, core.rng)
-    return chosen_engine(
+        return select_plain_upstream(ready, now, core.domain, core.rng)
+    return select_engine(
         ready,
         now,
         core.domain,
--- a/pollenstile/forward/_registry.py
+++ b/pollenstile/forward/_registry.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from pollenstile.forward import events
-from pollenstile.forward._choose import EngineView
+from pollenstile.forward._selection import UpstreamView
 from pollenstile.ops.logs import silent_log
 
 # Kind of the upstreams' own entries in the store.
@@ -114,7 +114,7 @@
         self.drained = domains
         self._index()
 
-    def take(self, ident, upstream):
+    def apply(self, ident, upstream):
         """Take an entry; None says that it is missing."""
         timer = self.lapsed.pop(ident, None)
         if timer is not None:
@@ -201,7 +201,7 @@
             # An upstream that started again under its identifier knows nothing
             # of before. With the load, failures and requests under way of its
             # last incarnation it was taken for full or sick.
-            self.views[upstream.ident] = EngineView(
+            self.views[upstream.ident] = UpstreamView(
                 upstream.ident,
                 upstream.address,
                 upstream.domain,
--- a/pollenstile/forward/_run.py
+++ b/pollenstile/forward/_run.py
@@ -11,11 +11,11 @@
     Failing,
 )
 from pollenstile.forward._decisions import (
-    Next,
-    after_failure,
+    RetryDecision,
+    decide_retry,
     expired_refusal,
     final_refusal,
-    patience_of,
+    silence_limits_of,
     retry_after,
 )
 from pollenstile.forward._placing import (
@@ -27,7 +27,7 @@
     usual_seconds,
 )
 from pollenstile.forward._runlines import log_end, log_send
-from pollenstile.forward._suspicion import held_refusal, learned
+from pollenstile.forward._suspicion import quarantine_refusal, learned
 from pollenstile.forward._types import Lost, NotRun, Refusal
 from pollenstile.quarantine import HELD_REASON
 from pollenstile.routes import Kind
@@ -127,7 +127,7 @@
     async def whole(self):
         """Run the stages, then the attempts."""
         self.core.budget.note_first(self.exchange.service)
-        refusal = held_refusal(self.core, self.exchange)
+        refusal = quarantine_refusal(self.core, self.exchange)
         if refusal is not None:
             self._refuse(refusal)
             return
@@ -239,7 +239,7 @@
             self.attempt.splitter.last = last_event.encode('latin-1')
         log_send(self, view)
         usual = usual_seconds(self.core, self.exchange, view)
-        patience = patience_of(self.exchange.route, usual)
+        patience = silence_limits_of(self.exchange.route, usual)
         outcome = await self.attempt.outcome(patience, last_event)
         if not isinstance(outcome, NotRun):
             self.runs += 1
@@ -253,7 +253,7 @@
             lost = Lost(f'status {outcome.status}', self.attempt.view.ident)
         else:
             lost = outcome
-        following = after_failure(
+        following = decide_retry(
             self.exchange.route,
             lost,
             self.sends,
@@ -263,7 +263,7 @@
                 self.exchange.fingerprint
             ),
         )
-        again = following is Next.AGAIN
+        again = following is RetryDecision.RETRY
         arrived = getattr(outcome, 'arrived', True)
         if again and arrived:
             again = self.core.budget.spend(self.exchange.service)
@@ -316,7 +316,7 @@
     One that may have run is not refused as if it had not, and an answer that
     has begun is brought to its end; unless the request crashes upstreams.
     """
-    refusal = held_refusal(run.core, run.exchange)
+    refusal = quarantine_refusal(run.core, run.exchange)
     if refusal is not None:
         return refusal
     if not run.runs and not run.answer.begun:
@@ -326,7 +326,7 @@
     return chosen_view(run.core, run.exchange, run.tried, inputs)
 
 
-def is_abandoned_at_once(exchange):
+def is_cancelled_on_disconnect(exchange):
     """Return whether a request is stopped when its caller leaves.
 
     Explanation
--- a/pollenstile/forward/_choose.py
+++ b/pollenstile/forward/_selection.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class EngineView:
+class UpstreamView:
     """What this host knows of one upstream.
 
     Attributes
@@ -62,7 +62,7 @@
     domain: str
     slots: int = 1
     born: int = 0
-    flying: int = 0
+    in_flight: int = 0
     flying_tokens: int = 0
     running: int = 0
     queued: int = 0
@@ -91,9 +91,9 @@
     10
     """
     if now - view.load_at > _LOAD_SECONDS:
-        return view.flying
+        return view.in_flight
     told = view.running + view.queued
-    return max(view.flying, told + view.flying - view.load_flying)
+    return max(view.in_flight, told + view.in_flight - view.load_flying)
 
 
 def usable(views, now, tried=()):
@@ -133,7 +133,7 @@
     return prompt[-2][0] if len(prompt) > 1 else ''
 
 
-def chosen_plain(views, now, domain, rng):
+def select_plain_upstream(views, now, domain, rng):
     """Return the upstream of a plain service that answers soonest, or None.
 
     Parameters
@@ -187,7 +187,7 @@
     return max(views, key=weight)
 
 
-def chosen_engine(views, now, domain, rng, prompt, token_seconds, inputs=None):
+def select_engine(views, now, domain, rng, prompt, token_seconds, inputs=None):
     """Return the model engine whose first token comes soonest, or None.
 
     Explanation
--- a/pollenstile/forward/_settings.py
+++ b/pollenstile/forward/_settings.py
@@ -21,7 +21,7 @@
     revoke_seconds : float
         Within this time a key that was taken away stops working.
     repeat_ratio, repeat_slack, repeat_window : float
-        See :class:`~pollenstile.forward.RepeatBudget`.
+        See :class:`~pollenstile.forward.SharedRetryBudget`.
     grace_seconds : float
         From the signal to stop until the process is killed.
     apply_seconds : float
--- a/pollenstile/forward/_sse.py
+++ b/pollenstile/forward/_sse.py
@@ -39,7 +39,7 @@
         self.last = b''
         self.rest = b''
 
-    def whole(self, data):
+    def feed(self, data):
         """Return the bytes up to the end of the last whole event."""
         self.rest += data
         end = self.rest.rfind(_END)
--- a/pollenstile/forward/_stagecalls.py
+++ b/pollenstile/forward/_stagecalls.py
@@ -72,7 +72,7 @@
         self.crashes = None
         self.on_answer = None
 
-    def look_at_crashes(self, crashes, quarantine):
+    def attach_crash_detector(self, crashes, quarantine):
         """Report what was under way at upstreams that crash."""
         self.crashes = crashes
         self.on_answer = quarantine.note_answer
--- a/pollenstile/forward/_storewatches.py
+++ b/pollenstile/forward/_storewatches.py
@@ -6,7 +6,7 @@
 from pollenstile.forward._registry import UPSTREAMS
 from pollenstile.ops.logs import silent_log
 from pollenstile.platform import WatchTiming, watch
-from pollenstile.quarantine import QUARANTINED
+from pollenstile.quarantine import QUARANTINE_KIND
 
 # Registry: a watch is answered within this time. One that went silent with all
 # connections is noticed and armed anew within 2.5 s; from 3 s after such a
@@ -101,7 +101,7 @@
             _drains_timing(drain_seconds),
         )
         self._watch(
-            QUARANTINED,
+            QUARANTINE_KIND,
             self.parts.record.take,
             _nothing_to_do,
             _QUARANTINE_TIMING,
--- a/pollenstile/forward/_suspicion.py
+++ b/pollenstile/forward/_suspicion.py
@@ -10,7 +10,7 @@
 _BAD_GATEWAY = 502
 
 
-def held_refusal(core, exchange):
+def quarantine_refusal(core, exchange):
     """Return why a request that crashes upstreams is not sent, or None.
 
     Explanation
@@ -37,7 +37,7 @@
     quarantine = core.quarantine
     content = exchange.fingerprint
     if isinstance(outcome, (Delivered, Failing)):
-        quarantine.note_whole(content)
+        quarantine.note_completed(content)
         return succeed(None)
     if not isinstance(outcome, Lost) or not outcome.broken:
         return succeed(None)
--- a/pollenstile/forward/_types.py
+++ b/pollenstile/forward/_types.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class RouteQuery:
     """What a request asks for, and in whose name.
 
     Parameters
@@ -124,7 +124,7 @@
     body: bytes
     route: object
     table: object
-    asked: Asked
+    query: RouteQuery
     team: str = ''
     urgency: int = 0
     arrived: float = 0.0
@@ -198,6 +198,6 @@
 class BodyEnd(enum.Enum):
     """How an answer's body ended."""
 
-    WHOLE = 'whole'
+    COMPLETE = 'whole'
     BROKEN = 'broken'
     SILENT = 'silent'
--- a/pollenstile/forward/_watched.py
+++ b/pollenstile/forward/_watched.py
@@ -26,7 +26,7 @@
         self.settings = read()
         self.wrong = ''
 
-    def look(self, take, log):
+    def poll(self, take, log):
         """Hand changed settings over; a wrong file is logged once.
 
         Parameters
--- a/pollenstile/limits/_admission.py
+++ b/pollenstile/limits/_admission.py
@@ -46,7 +46,7 @@
 
     __slots__ = (
         'cost',
-        'entered',
+        'admit',
         'latest',
         'needed',
         'rank',
@@ -58,7 +58,7 @@
     )
 
     def __init__(self, request, times, needed, now):
-        self.entered = now
+        self.admit = now
         manifest = request.snapshot.manifest
         stages = request.pipeline.stages
         self.request = request
@@ -145,7 +145,7 @@
         self.running = 0
         self.tickets = {}
 
-    async def entered(self, request):
+    async def admit(self, request):
         """Return None when a request may start, or a refusal.
 
         Explanation
@@ -154,7 +154,7 @@
         A request that can't meet its deadline behind the present queue is
         refused at once, before anything of it is sent, so that *not run* is
         true; it is never kept waiting to keep its caller quiet. Whoever gets
-        None calls :meth:`leave` once.
+        None calls :meth:`request_ended` once.
         """
         times = expected_times(request, self.tracker)
         needed = needed_time(request, self.tracker, times)
@@ -169,7 +169,7 @@
             return self._refusal(waiting, wait, 'too many requests wait')
         return await self._queued(waiting)
 
-    def leave(self, request):
+    def request_ended(self, request):
         """Note that an admitted request has ended."""
         self.running -= 1
         self.gate.give_back(self.tickets.pop(request.ident))
@@ -228,7 +228,7 @@
         return flow_wait(
             len(flow.items),
             self.flow_rates.rate(waiting.key),
-            self.clock.seconds() - flow.items[0].entered,
+            self.clock.seconds() - flow.items[0].admit,
         )
 
     def _make_room(self, waiting):
@@ -291,7 +291,7 @@
                 return
             waiting = self.queue.pop(key)
             waiting.timer.cancel()
-            self.flow_rates.add(key, waiting.entered)
+            self.flow_rates.add(key, waiting.admit)
             self._start(waiting)
             waiting.started.callback(None)
 
--- a/pollenstile/limits/_concurrency.py
+++ b/pollenstile/limits/_concurrency.py
@@ -207,7 +207,7 @@
         total = 0.0
         for name, upstream in pool.upstreams.items():
             state = states(name)
-            if state.leaving or state.barred_until > now:
+            if state.leaving or state.ejected_until > now:
                 continue
             total += self.limit(name, upstream.slots).value
         return max(1.0, total)
--- a/pollenstile/peer/__init__.py
+++ b/pollenstile/peer/__init__.py
@@ -17,7 +17,7 @@
     Hello,
     News,
     Sums,
-    decoded,
+    decode_struct,
     message_bytes,
     message_from,
 )
@@ -28,19 +28,19 @@
     patch_between,
     patch_fields,
     patch_from,
-    patched,
+    apply_patch,
     text_digest,
 )
-from pollenstile.peer._rendezvous import place_in_ring, ranked
+from pollenstile.peer._rendezvous import place_in_ring, rank_candidates
 from pollenstile.peer._requests import Unanswered
-from pollenstile.peer._schema import SCHEMA_PATH, loaded_schema, schema
+from pollenstile.peer._schema import SCHEMA_PATH, load_schema, schema
 from pollenstile.peer._session import (
-    LEAST_VERSION,
+    MIN_VERSION,
     VERSION,
     ProtocolError,
     Session,
     State,
-    keys_from,
+    parse_keys,
 )
 from pollenstile.peer._tcp import tcp_connect, tcp_listen
 from pollenstile.peer._virtual import VirtualWires
--- a/pollenstile/peer/_hub.py
+++ b/pollenstile/peer/_hub.py
@@ -63,7 +63,7 @@
         'beat_period',
         'clock',
         'dialer',
-        'downs',
+        'link_down_handlers',
         'hello',
         'keys',
         'links',
@@ -75,10 +75,10 @@
         'sent',
         'silence_limit',
         'stopped',
-        'takers',
+        'message_handlers',
         'tick',
         'timer',
-        'ups',
+        'link_up_handlers',
     )
 
     def __init__(self, clock, random, hello, keys, connect, log):
@@ -89,9 +89,9 @@
         self.log = log
         self.links = {}
         self.others = []
-        self.takers = {}
-        self.ups = []
-        self.downs = []
+        self.message_handlers = {}
+        self.link_up_handlers = []
+        self.link_down_handlers = []
         self.beat = Beat
         self.tick = _TICK
         self.beat_period = BEAT_PERIOD
@@ -119,13 +119,13 @@
         """Return every connection, in handshake too."""
         return [*self.links.values(), *self.others]
 
-    def accepted(self, wire, address):
+    def accept(self, wire, address):
         """Return the receiver of a connection that a peer opened."""
         receiver = Receiver(self, address, dialing=False)
         receiver.opened(wire)
         return receiver
 
-    def beat_now(self):
+    def send_beats(self):
         """Send a heartbeat at once, for news that can't wait."""
         for link in list(self.links.values()):
             self._beat(link)
@@ -202,7 +202,7 @@
             return
         self.links.pop(host)
         self.log(events.PEER_LOST, peer=host, reason=reason)
-        for down in self.downs:
+        for down in self.link_down_handlers:
             down(host, link)
 
     def bytes_sent(self):
@@ -245,7 +245,7 @@
         self.dialer.reached(link.address)
         self.log(events.PEER_OPENED, peer=link.host, address=link.address)
         self._beat(link)
-        for up in list(self.ups):
+        for up in list(self.link_up_handlers):
             up(link)
 
     def _is_better(self, link, before):
@@ -262,7 +262,7 @@
     def _deliver(self, link, message):
         if isinstance(message, Beat):
             link.beat = message
-        taker = self.takers.get(type(message))
+        taker = self.message_handlers.get(type(message))
         if taker is None:
             return
         try:
--- a/pollenstile/peer/_messages.py
+++ b/pollenstile/peer/_messages.py
@@ -115,7 +115,7 @@
 
 def hello_from(encoded):
     """Return a hello; raise BadMessageError otherwise."""
-    return decoded(schema.Hello, encoded, _hello)
+    return decode_struct(schema.Hello, encoded, _hello)
 
 
 def _hello(reader):
@@ -126,7 +126,7 @@
     return kind(*[getattr(reader, name) for name in _FIELDS[kind]])
 
 
-def decoded(struct, encoded, build):
+def decode_struct(struct, encoded, build):
     """Return what ``build`` makes of an encoded struct.
 
     Raises
@@ -174,7 +174,7 @@
     >>> message_from(message_bytes(Beat(version=7)))
     Beat(version=7, members=0, leaving=False, quarantine=0)
     """
-    return decoded(schema.Message, encoded, _message)
+    return decode_struct(schema.Message, encoded, _message)
 
 
 def _message(reader):
--- a/pollenstile/peer/_neighbours.py
+++ b/pollenstile/peer/_neighbours.py
@@ -1,6 +1,6 @@
 """Which peers a host keeps a link to."""
 
-from pollenstile.peer._rendezvous import place_in_ring, ranked
+from pollenstile.peer._rendezvous import place_in_ring, rank_candidates
 
 _ALL_WITHIN = 4
 _CHOSEN = 2
@@ -44,7 +44,7 @@
     found = set(own)
     if len(own) > _ALL_WITHIN:
         found = {place_in_ring(host, own)}
-        found.update(ranked(f'link/{host}', own, _CHOSEN))
+        found.update(rank_candidates(f'link/{host}', own, _CHOSEN))
     for other, names in domains.items():
         if other != domain:
             found.update(_across(host, [host, *own], domain, names, other))
@@ -53,8 +53,8 @@
 
 def _across(host, own, domain, names, other):
     pair = '/'.join(sorted([domain, other]))
-    near = ranked(pair, own, _GATEWAYS)
-    far = ranked(pair, names, _GATEWAYS)
+    near = rank_candidates(pair, own, _GATEWAYS)
+    far = rank_candidates(pair, names, _GATEWAYS)
     if not far:
         return []
     width = max(len(near), len(far))
--- a/pollenstile/peer/_patch.py
+++ b/pollenstile/peer/_patch.py
@@ -231,7 +231,7 @@
     return len(text) if end < 0 else end + len(_ROW_END)
 
 
-def patched(old, patch):
+def apply_patch(old, patch):
     """Return the new text, or None when the patch does not fit the old one."""
     before = old.encode()
     if patch.prefix + patch.suffix > len(before):
--- a/pollenstile/peer/_rendezvous.py
+++ b/pollenstile/peer/_rendezvous.py
@@ -23,7 +23,7 @@
     return hashlib.blake2b(text, digest_size=_BYTES).digest()
 
 
-def ranked(subject, candidates, most):
+def rank_candidates(subject, candidates, most):
     """Return the first ``most`` candidates of a subject, best first.
 
     Examples
--- a/pollenstile/peer/_requests.py
+++ b/pollenstile/peer/_requests.py
@@ -51,8 +51,8 @@
         self.hub = hub
         self.subjects = {}
         self.numbers = itertools.count(1)
-        hub.takers[Ask] = self._answer
-        hub.takers[Answer] = self._answered
+        hub.message_handlers[Ask] = self._answer
+        hub.message_handlers[Answer] = self._answered
 
     def ask(self, host, subject, body, timeout, address=''):
         """Send a request to a host; see :meth:`Hub.ask`."""
@@ -80,19 +80,19 @@
         link.send(Ask(number, subject, body))
 
     def _send_later(self, host, subject, body, answer):
-        ups = self.hub.ups
+        link_up_handlers = self.hub.link_up_handlers
 
         def met(link):
-            if link.host == host and met in ups:
-                ups.remove(met)
+            if link.host == host and met in link_up_handlers:
+                link_up_handlers.remove(met)
                 self._send(link, subject, body, answer)
 
         def ended(result):
-            if met in ups:
-                ups.remove(met)
+            if met in link_up_handlers:
+                link_up_handlers.remove(met)
             return result
 
-        ups.append(met)
+        link_up_handlers.append(met)
         answer.addBoth(ended)
 
     def _answered(self, link, message):
--- a/pollenstile/peer/_schema.py
+++ b/pollenstile/peer/_schema.py
@@ -9,6 +9,6 @@
 schema = capnp.load(str(SCHEMA_PATH))
 
 
-def loaded_schema(path):
+def load_schema(path):
     """Return the schema of another file, such as a neighbouring release's."""
     return capnp.load(str(path))
--- a/pollenstile/peer/_session.py
+++ b/pollenstile/peer/_session.py
@@ -35,7 +35,7 @@
 )
 
 VERSION = 1
-LEAST_VERSION = 1
+MIN_VERSION = 1
 NONCE_BYTES = 16
 
 _TAG = 32
@@ -221,7 +221,7 @@
             raise ProtocolError(f'bad message: {error}') from None
 
 
-def keys_from(text):
+def parse_keys(text):
     """Return the keys of a setting, parted by commas.
 
     Examples
--- a/pollenstile/peer/_tcp.py
+++ b/pollenstile/peer/_tcp.py
@@ -76,7 +76,7 @@
         self.receiver = None
 
     def opened(self, wire):
-        self.receiver = self.hub.accepted(wire, self.address)
+        self.receiver = self.hub.accept(wire, self.address)
 
     def received(self, content):
         self.receiver.received(content)
--- a/pollenstile/peer/_virtual.py
+++ b/pollenstile/peer/_virtual.py
@@ -52,7 +52,7 @@
         near.other = far
         far.other = near
         near.receiver = receiver
-        far.receiver = hub.accepted(far, origin)
+        far.receiver = hub.accept(far, origin)
         receiver.opened(near)
 
 
--- a/pollenstile/pipeline/_core.py
+++ b/pollenstile/pipeline/_core.py
@@ -4,7 +4,7 @@
 
 from pollenstile.limits import CostAccount
 from pollenstile.ops.logs import silent_log
-from pollenstile.routing import chosen
+from pollenstile.routing import choose_upstream
 
 
 def _count_nothing(name, number=1):
@@ -57,7 +57,7 @@
     demand : function
         Takes a request that is accepted, to count its calls by model.
     choose : function
-        Picks an upstream; see :func:`pollenstile.routing.chosen`.
+        Picks an upstream; see :func:`pollenstile.routing.choose_upstream`.
     log : function
         Writes events.
     count : function
@@ -80,7 +80,7 @@
     claims: object = None
     holds: object = _hold_all
     demand: object = _demand_nothing
-    choose: object = chosen
+    choose: object = choose_upstream
     log: object = silent_log
     count: object = _count_nothing
     timing: object = _count_nothing
--- a/pollenstile/pipeline/_run.py
+++ b/pollenstile/pipeline/_run.py
@@ -58,13 +58,13 @@
 
 
 async def _admitted_outcome(core, request, on_token):
-    refusal = await core.admission.entered(request)
+    refusal = await core.admission.admit(request)
     if refusal is not None:
         return refusal
     try:
         return await _claimed_outcome(core, request, on_token)
     finally:
-        core.admission.leave(request)
+        core.admission.request_ended(request)
 
 
 async def _claimed_outcome(core, request, on_token):
--- a/pollenstile/quarantine/__init__.py
+++ b/pollenstile/quarantine/__init__.py
@@ -3,8 +3,8 @@
 from pollenstile.quarantine._evidence import Crash, Evidence
 from pollenstile.quarantine._fingerprint import fingerprint
 from pollenstile.quarantine._quarantine import HELD_REASON, Quarantine, unix_ms
-from pollenstile.quarantine._record import QUARANTINED, Record
-from pollenstile.quarantine._sharing import Sharing
+from pollenstile.quarantine._record import QUARANTINE_KIND, VerdictRecorder
+from pollenstile.quarantine._sharing import VerdictSharing
 from pollenstile.quarantine._types import News, Report, Suspect, Verdict
 from pollenstile.quarantine._verdict import Blame, blamed, chance_of
 from pollenstile.quarantine._verdicts import HOLD_SECONDS, Verdicts
--- a/pollenstile/quarantine/_codec.py
+++ b/pollenstile/quarantine/_codec.py
@@ -2,11 +2,11 @@
 
 import pathlib
 
-from pollenstile.peer import decoded, loaded_schema
+from pollenstile.peer import decode_struct, load_schema
 from pollenstile.quarantine._types import News, Report, Suspect, Verdict
 
 _MS = 1000
-_schema = loaded_schema(pathlib.Path(__file__).with_name('messages.capnp'))
+_schema = load_schema(pathlib.Path(__file__).with_name('messages.capnp'))
 
 
 def news_bytes(news, now):
@@ -30,7 +30,7 @@
             tuple(_verdict_from(one, now) for one in reader.verdicts),
         )
 
-    return decoded(_schema.News, encoded, build)
+    return decode_struct(_schema.News, encoded, build)
 
 
 def _report_row(report):
@@ -42,7 +42,7 @@
             {
                 'fingerprint': bytes.fromhex(one.fingerprint),
                 'team': one.team,
-                'ranMs': max(0, int(one.ran * _MS)),
+                'ranMs': max(0, int(one.run_seconds * _MS)),
             }
             for one in report.suspects
         ],
--- a/pollenstile/quarantine/_evidence.py
+++ b/pollenstile/quarantine/_evidence.py
@@ -128,7 +128,7 @@
             return False
         hosts = crash.hosts.setdefault(suspect.fingerprint, set())
         hosts.add(report.host)
-        if known is not None and known.ran >= suspect.ran:
+        if known is not None and known.run_seconds >= suspect.run_seconds:
             return False
         crash.suspects[suspect.fingerprint] = suspect
         under = self.under.setdefault(suspect.fingerprint, set())
--- a/pollenstile/quarantine/_quarantine.py
+++ b/pollenstile/quarantine/_quarantine.py
@@ -111,7 +111,7 @@
         report = Report(incarnation, service, self.host, fresh)
         self._tell(self.take(News(reports=(report,))))
 
-    def note_whole(self, content):
+    def note_completed(self, content):
         """Note that a request ran to its end on some upstream."""
         if not content:
             return
--- a/pollenstile/quarantine/_record.py
+++ b/pollenstile/quarantine/_record.py
@@ -3,14 +3,14 @@
 from twisted.internet.defer import Deferred
 
 from pollenstile.ops.logs import silent_log
-from pollenstile.peer import ranked
+from pollenstile.peer import rank_candidates
 from pollenstile.platform import Conflict, Written, paused
 from pollenstile.quarantine import events
 from pollenstile.quarantine._types import News, Verdict
 from pollenstile.quarantine._verdicts import HOLD_SECONDS
 
 # Kind of the store's entries, one for each request, by its fingerprint.
-QUARANTINED = 'pollenstile-quarantine'
+QUARANTINE_KIND = 'pollenstile-quarantine'
 # Seconds for which each host waits for those before it to write a verdict.
 _TURN_SECONDS = 1.0
 # Seconds between tries while the store does not answer.
@@ -18,7 +18,7 @@
 _MS = 1000
 
 
-class Record:
+class VerdictRecorder:
     """Writes verdicts into the store, and takes what stands there.
 
     Explanation
@@ -111,7 +111,7 @@
                 'since_ms': verdict.changed,
                 'host': self.quarantine.host,
             }
-            outcome = await self.store.put(QUARANTINED, name, entry, 0)
+            outcome = await self.store.put(QUARANTINE_KIND, name, entry, 0)
             if isinstance(outcome, (Written, Conflict)):
                 return
             self.log(
@@ -127,7 +127,7 @@
         is_first = _place(name, self.quarantine.host, hosts) == 0
         if name in self.standing and is_first:
             self.standing.discard(name)
-            Deferred.fromCoroutine(self.store.delete(QUARANTINED, name))
+            Deferred.fromCoroutine(self.store.delete(QUARANTINE_KIND, name))
 
     def _verdict(self, change):
         """Return the verdict of an entry, or None where it holds none."""
@@ -152,4 +152,4 @@
 
 def _place(name, host, hosts):
     """Return a host's place among those that could do something."""
-    return ranked(name, hosts, len(hosts)).index(host)
+    return rank_candidates(name, hosts, len(hosts)).index(host)
--- a/pollenstile/quarantine/_sharing.py
+++ b/pollenstile/quarantine/_sharing.py
@@ -26,7 +26,7 @@
 _COMPARE_PERIOD = 1.0
 
 
-class Sharing:
+class VerdictSharing:
     """Tells neighbours what is new here, and compares verdicts with peers.
 
     Explanation
@@ -71,7 +71,7 @@
         quarantine.on_news = self.tell
         hub.requests.subjects[TELL] = self._told
         hub.requests.subjects[COMPARE] = self._compared
-        hub.takers[Beat] = self._beaten
+        hub.message_handlers[Beat] = self._beaten
 
     def tell(self, news, source=''):
         """Tell the neighbours something, but not the host it came from."""
--- a/pollenstile/quarantine/_types.py
+++ b/pollenstile/quarantine/_types.py
@@ -20,7 +20,7 @@
 
     fingerprint: str
     team: str = ''
-    ran: float = 0.0
+    run_seconds: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
--- a/pollenstile/quarantine/_verdict.py
+++ b/pollenstile/quarantine/_verdict.py
@@ -105,8 +105,8 @@
 def _blame(fingerprint, own, rate):
     # What crashes its upstreams does so as it begins; one that once ran for
     # longer could have been met by chance for as long each time.
-    ran = max(crash.suspects[fingerprint].ran for crash in own)
-    expected = ran * sum(rate(crash.at) for crash in own)
+    run_seconds = max(crash.suspects[fingerprint].run_seconds for crash in own)
+    expected = run_seconds * sum(rate(crash.at) for crash in own)
     suspect = own[-1].suspects[fingerprint]
     return Blame(suspect, len(own), chance_of(len(own), expected))
 
--- a/pollenstile/relay/__init__.py
+++ b/pollenstile/relay/__init__.py
@@ -8,5 +8,5 @@
     Word,
 )
 from pollenstile.relay._reader import Readers, reader_of
-from pollenstile.relay._source import ASK, Source
+from pollenstile.relay._source import RELAY_SUBJECT, Source
 from pollenstile.relay._store import RelayStore
--- a/pollenstile/relay/_follower.py
+++ b/pollenstile/relay/_follower.py
@@ -5,7 +5,7 @@
 from twisted.internet.defer import Deferred
 
 from pollenstile.ops.logs import silent_log
-from pollenstile.peer import BadMessageError, Unanswered, patched
+from pollenstile.peer import BadMessageError, Unanswered, apply_patch
 from pollenstile.platform import paused
 from pollenstile.relay import events
 from pollenstile.relay._messages import (
@@ -16,7 +16,7 @@
     word_from,
 )
 from pollenstile.relay._skipping import SkippedReaders
-from pollenstile.relay._source import ASK
+from pollenstile.relay._source import RELAY_SUBJECT
 
 # Seconds for which a reader holds an ask while there is nothing new, and for
 # which its answer may be late. Together they are the time within which a reader
@@ -102,14 +102,14 @@
         'ask',
         'clock',
         'configuration',
-        'direct_at',
+        'direct_since',
         'feeds',
         'following',
         'is_unfit',
         'log',
         'needs_whole',
         'numbers',
-        'on_direct',
+        'direct_listeners',
         'place',
         'reader',
         'running',
@@ -142,8 +142,8 @@
         self.source = ''
         self.numbers = {}
         self.feeds = {}
-        self.on_direct = []
-        self.direct_at = -1000.0
+        self.direct_listeners = []
+        self.direct_since = -1000.0
         self.skipped = SkippedReaders(clock)
         self.unfit_words = 0
         self.is_unfit = False
@@ -214,7 +214,9 @@
         )
         revision = 0 if self.needs_whole else self.configuration.revision
         asked = Asked(self.source, revision, cursors, _HOLD)
-        answer = await self.ask(host, ASK, asked_bytes(asked), _HOLD + _LATE)
+        answer = await self.ask(
+            host, RELAY_SUBJECT, asked_bytes(asked), _HOLD + _LATE
+        )
         try:
             reason = self._took(host, answer, began)
         except Exception as error:
@@ -262,12 +264,12 @@
         self.needs_whole = word is None
         if word is None:
             return ''
-        told = self.configuration.told(word, began)
-        if told and word.aged < self.word_seconds:
+        apply_update = self.configuration.apply_update(word, began)
+        if apply_update and word.aged < self.word_seconds:
             self._follow(host, word)
             self._hold_until(began - word.aged + self.word_seconds)
             return ''
-        return _TOO_OLD if told else 'configuration not told'
+        return _TOO_OLD if apply_update else 'configuration not told'
 
     def _hold_until(self, ends):
         """Go by the word until a moment on the suspend clock, not longer.
@@ -309,7 +311,7 @@
         """Return a word with the whole for a patch; None if that fails."""
         if word.patch is None:
             return word
-        text = patched(self.configuration.text, word.patch)
+        text = apply_patch(self.configuration.text, word.patch)
         if text is None:
             return None
         return replace(word, config=config_from(word.config_revision, text))
@@ -324,8 +326,8 @@
             age_ms=self.configuration.age_ms(),
         )
         self.following = ''
-        self.direct_at = self.suspend_clock()
-        for listener in self.on_direct:
+        self.direct_since = self.suspend_clock()
+        for listener in self.direct_listeners:
             listener()
 
 
--- a/pollenstile/relay/_messages.py
+++ b/pollenstile/relay/_messages.py
@@ -8,8 +8,8 @@
 from pollenstile.peer import (
     BadMessageError,
     Patch,
-    decoded,
-    loaded_schema,
+    decode_struct,
+    load_schema,
     patch_fields,
     patch_from,
 )
@@ -19,7 +19,7 @@
 # A frame between peers has room for a value of the store's largest size and
 # not for two; a configuration over this is read from the store instead.
 _LARGEST_CONFIG = 600_000
-_schema = loaded_schema(pathlib.Path(__file__).with_name('messages.capnp'))
+_schema = load_schema(pathlib.Path(__file__).with_name('messages.capnp'))
 
 
 @dataclass(slots=True, frozen=True)
@@ -134,7 +134,7 @@
             reader.holdMs / _MS,
         )
 
-    return decoded(_schema.Asked, encoded, build)
+    return decode_struct(_schema.Asked, encoded, build)
 
 
 def word_bytes(word):
@@ -182,7 +182,7 @@
             reader.seen,
         )
 
-    return decoded(_schema.Word, encoded, build)
+    return decode_struct(_schema.Word, encoded, build)
 
 
 def _news_row(news):
--- a/pollenstile/relay/_reader.py
+++ b/pollenstile/relay/_reader.py
@@ -62,7 +62,7 @@
 
         return reader_of(self.order, self.host, asked)
 
-    def place(self):
+    def rank(self):
         """Return how many hosts would read before this one."""
         return self.order.index(self.host)
 
--- a/pollenstile/relay/_source.py
+++ b/pollenstile/relay/_source.py
@@ -12,7 +12,7 @@
     word_bytes,
 )
 
-ASK = 'store-word'
+RELAY_SUBJECT = 'store-word'
 # Seconds since this host's own read of the configuration after which it says
 # that it knows nothing. A follower then reads the store itself: 1.2 s, one
 # turn of its own watch and the way are under the 2 s within which a host in
@@ -220,12 +220,12 @@
         return Word(
             self.ident,
             fit=True,
-            aged=now - self.configuration.proven_at - (now - came),
+            aged=now - self.configuration.verified_at - (now - came),
             config_revision=revision,
             config=self.configuration.found if is_older and not patch else None,
             news=news,
             patch=patch,
-            seen=self.configuration.told_seen(),
+            seen=self.configuration.resumable_revision(),
         )
 
     def _news(self, asked, *, at_last):
--- a/pollenstile/relay/_store.py
+++ b/pollenstile/relay/_store.py
@@ -12,7 +12,7 @@
     Found,
     Listing,
     Unavailable,
-    branched,
+    fork_deferred,
     paused,
 )
 
@@ -147,27 +147,35 @@
 
     __slots__ = (
         'clock',
-        'early',
+        'immediate_kind',
         'feeds',
         'follower',
         'is_away',
         'joins_by',
-        'late',
+        'deferred_kinds',
         'store',
     )
 
-    def __init__(self, store, clock, follower, kinds, early='', late=()):
+    def __init__(
+        self,
+        store,
+        clock,
+        follower,
+        kinds,
+        immediate_kind='',
+        deferred_kinds=(),
+    ):
         self.store = store
         self.clock = clock
-        self.early = early
-        self.late = late
+        self.immediate_kind = immediate_kind
+        self.deferred_kinds = deferred_kinds
         self.is_away = _never
         self.joins_by = clock.seconds() + _JOIN_SECONDS
         self.follower = follower
         self.feeds = {kind: _Feed() for kind in kinds}
         for kind, feed in self.feeds.items():
             follower.feeds[kind] = feed.take
-        follower.on_direct.append(self._wake)
+        follower.direct_listeners.append(self._wake)
 
     def is_joining(self):
         """Return whether this host may soon have a reader to follow."""
@@ -188,7 +196,7 @@
     async def listed(self, kind, prefix='', after='', limit=PAGE_LIMIT):
         """Return all objects from the reader's word, or a page of the store."""
         feed = self.feeds.get(kind)
-        if kind in self.late and self._awaits_reader(kind):
+        if kind in self.deferred_kinds and self._awaits_reader(kind):
             await self._news_by_join(feed)
         while self._is_told(feed):
             if feed.known:
@@ -249,7 +257,7 @@
         return self.clock.seconds() - feed.called_at >= _AWAY_PERIOD
 
     def _awaits_reader(self, kind):
-        waits = kind != self.early and not self.follower.following
+        waits = kind != self.immediate_kind and not self.follower.following
         return waits and self.is_joining()
 
     def _news_by_join(self, feed):
@@ -265,7 +273,7 @@
     def _news(self, feed):
         if feed.waiting is None:
             feed.waiting = Deferred(lambda _: None)
-        return branched(feed.waiting)
+        return fork_deferred(feed.waiting)
 
     def _wake(self):
         # What was told and not yet taken is dropped here, and told whole when
--- a/pollenstile/routes/__init__.py
+++ b/pollenstile/routes/__init__.py
@@ -20,7 +20,7 @@
     Team,
 )
 from pollenstile.routes._matching import (
-    picked_service,
+    pick_service,
     route_of,
     team_of,
     urgency_of,
--- a/pollenstile/routes/_matching.py
+++ b/pollenstile/routes/_matching.py
@@ -40,7 +40,7 @@
     return team.urgency
 
 
-def picked_service(route, point):
+def pick_service(route, point):
     """Return the target that a point from 0 to 1 falls on.
 
     Examples
--- a/pollenstile/routing/__init__.py
+++ b/pollenstile/routing/__init__.py
@@ -6,7 +6,7 @@
     Hints,
     busyness,
     candidates_of,
-    chosen,
+    choose_upstream,
 )
 from pollenstile.routing._decayed import DecayedQuantiles
 from pollenstile.routing._ejection import bar_time, is_panic
--- a/pollenstile/routing/_choose.py
+++ b/pollenstile/routing/_choose.py
@@ -106,7 +106,7 @@
         if state.leaving:
             continue
         members.append((name, upstream, state))
-        if state.barred_until > now:
+        if state.ejected_until > now:
             barred.add(name)
     out = set(excluded)
     if not is_panic(len(members), len(barred)):
@@ -116,7 +116,7 @@
     return [member for member in members if member[0] not in out]
 
 
-def chosen(pool, tracker, domain, rng, excluded=(), hints=_NO_HINTS):
+def choose_upstream(pool, tracker, domain, rng, excluded=(), hints=_NO_HINTS):
     """Return the upstream that a call should go to.
 
     Parameters
--- a/pollenstile/routing/_tracker.py
+++ b/pollenstile/routing/_tracker.py
@@ -31,7 +31,7 @@
     """
 
     __slots__ = (
-        'barred_until',
+        'ejected_until',
         'failures',
         'in_flight',
         'leaving',
@@ -46,7 +46,7 @@
         self.reported = 0.0
         self.own_at_report = 0
         self.failures = 0
-        self.barred_until = 0.0
+        self.ejected_until = 0.0
         self.leaving = False
 
 
@@ -93,12 +93,12 @@
         state.in_flight -= 1
         if failed:
             state.failures += 1
-            state.barred_until = self.clock.seconds() + bar_time(
+            state.ejected_until = self.clock.seconds() + bar_time(
                 state.failures,
             )
             return
         state.failures = 0
-        state.barred_until = 0.0
+        state.ejected_until = 0.0
         if load is not None:
             self.reported(name, load)
 
--- a/pollenstile/soak/_checks.py
+++ b/pollenstile/soak/_checks.py
@@ -86,13 +86,13 @@
 def _prompts(exchange):
     content = exchange.ask.content
     if exchange.ask.name == 'draft':
-        return [wire.encoded({'input': content, 'results': {}})]
+        return [wire.encode_json({'input': content, 'results': {}})]
     ident = exchange.request.ident
     prompts = []
     for domain in DOMAINS:
         result = {'by': f'encoders-{domain}', 'for': ident}
         document = {'input': content, 'results': {'lookup': result}}
-        prompts.append(wire.encoded(document))
+        prompts.append(wire.encode_json(document))
     return prompts
 
 
--- a/pollenstile/soak/_gates.py
+++ b/pollenstile/soak/_gates.py
@@ -89,7 +89,7 @@
 
     def accept(self, hub, origin):
         """Let the hub take a connection that a peer opened."""
-        self.receiver = hub.accepted(self.wire, origin)
+        self.receiver = hub.accept(self.wire, origin)
 
     def _received(self, content):
         self.receiver.received(content)
@@ -124,7 +124,7 @@
         """Whether nobody listens there."""
         return not self.process.alive or self.hub.stopped
 
-    def accepted(self, wire, origin):
+    def accept(self, wire, origin):
         """Return the receiver of a connection that a peer opened."""
         gate = PeerGate(self.process)
         gate.wire = wire
--- a/pollenstile/stagework/_codec.py
+++ b/pollenstile/stagework/_codec.py
@@ -2,11 +2,11 @@
 
 import pathlib
 
-from pollenstile.peer import decoded, loaded_schema
+from pollenstile.peer import decode_struct, load_schema
 from pollenstile.stagework._types import Group, GroupDone, GroupRefused
 
 _MS = 1000
-_schema = loaded_schema(pathlib.Path(__file__).with_name('messages.capnp'))
+_schema = load_schema(pathlib.Path(__file__).with_name('messages.capnp'))
 
 
 def group_bytes(group, now):
@@ -54,7 +54,7 @@
             reader.team,
         )
 
-    return decoded(_schema.Group, encoded, build)
+    return decode_struct(_schema.Group, encoded, build)
 
 
 def answer_bytes(outcome):
@@ -86,7 +86,7 @@
             return GroupRefused(reader.reason, retry_after, wait, waited)
         return GroupDone(tuple(reader.handles), wait, reader.tight, waited)
 
-    return decoded(_schema.GroupAnswer, encoded, build)
+    return decode_struct(_schema.GroupAnswer, encoded, build)
 
 
 def release_bytes(service, handles, *, is_forwarded=False):
@@ -105,7 +105,7 @@
     def build(reader):
         return reader.service, tuple(reader.handles), reader.passedOn
 
-    return decoded(_schema.Release, encoded, build)
+    return decode_struct(_schema.Release, encoded, build)
 
 
 def read_bytes(request, step):
@@ -120,7 +120,7 @@
     def build(reader):
         return reader.request, reader.step
 
-    return decoded(_schema.Read, encoded, build)
+    return decode_struct(_schema.Read, encoded, build)
 
 
 def backlog_bytes(service):
@@ -130,7 +130,9 @@
 
 def backlog_from(encoded):
     """Decode the service of a backlog query."""
-    return decoded(_schema.Backlog, encoded, lambda reader: reader.service)
+    return decode_struct(
+        _schema.Backlog, encoded, lambda reader: reader.service
+    )
 
 
 def cancel_bytes(service, request):
@@ -145,4 +147,4 @@
     def build(reader):
         return reader.service, reader.request
 
-    return decoded(_schema.Cancel, encoded, build)
+    return decode_struct(_schema.Cancel, encoded, build)
--- a/pollenstile/stagework/_requesters.py
+++ b/pollenstile/stagework/_requesters.py
@@ -49,8 +49,8 @@
         self.held = {}
         self.pending = {}
         self.boots = {}
-        hub.ups.append(self._handle_link_up)
-        hub.downs.append(self._handle_link_down)
+        hub.link_up_handlers.append(self._handle_link_up)
+        hub.link_down_handlers.append(self._handle_link_down)
 
     def record_request(self, host, group):
         """Record a requested group and the requester of its input results."""
--- a/pollenstile/standin/crashing.py
+++ b/pollenstile/standin/crashing.py
@@ -12,7 +12,7 @@
 
 from twisted.internet.defer import Deferred
 
-from pollenstile.forward import BodyEnd, HeaderNames, Lost, NotRun, Reach
+from pollenstile.forward import BodyEnd, HeaderNames, Lost, NotRun, ProbeResult
 from pollenstile.standin.exchanges import Head, HeldCall
 
 NAMES = HeaderNames()
@@ -203,7 +203,7 @@
             self.clock.callLater(_GAP, self._event, process, call, number + 1)
             return
         process.calls.remove(call)
-        call.end(BodyEnd.WHOLE)
+        call.end(BodyEnd.COMPLETE)
 
 
 class _Client:
@@ -220,7 +220,7 @@
         upstreams.clock.callLater(2 * _WAY, upstreams.connected, call)
         return call
 
-    def reach(self, address):
+    def probe(self, address):
         """Return a Deferred of whether somebody listens."""
         done = Deferred()
         self.upstreams.clock.callLater(2 * _WAY, self._reached, address, done)
@@ -228,4 +228,4 @@
 
     def _reached(self, address, done):
         is_there = self.upstreams.processes.get(address) is not None
-        done.callback(Reach.ACCEPTED if is_there else Reach.REFUSED)
+        done.callback(ProbeResult.ACCEPTED if is_there else ProbeResult.REFUSED)
--- a/pollenstile/standin/engine.py
+++ b/pollenstile/standin/engine.py
@@ -96,7 +96,7 @@
         if self.engine.faults.refusing:
             return answer_problem(request, 503, 'refusing', wire.NOT_RUN)
         try:
-            call = wire.completion_call(request.content.read())
+            call = wire.decode_completion_call(request.content.read())
         except wire.DecodeError as error:
             return answer_problem(request, 400, str(error), wire.NOT_RUN)
         _Stream(self.engine, request, call).begin()
@@ -124,7 +124,7 @@
         self.http = http
         self.call = call
         self.attempt = (http.getHeader(wire.ATTEMPT_HEADER) or '').strip()
-        self.prompt = wire.encoded(call.prompt)
+        self.prompt = wire.encode_json(call.prompt)
         self.offset = call.resume_offset
         self.sent = 0
         self.started = 0.0
@@ -179,7 +179,7 @@
 
     def write(self, event):
         """Send one event."""
-        self.http.write(b'data: %s\n\n' % wire.encoded(event))
+        self.http.write(b'data: %s\n\n' % wire.encode_json(event))
 
     def finish(self):
         """Send usage, load and the end mark."""
--- a/pollenstile/standin/plain.py
+++ b/pollenstile/standin/plain.py
@@ -67,7 +67,7 @@
         if self.server.faults.refusing:
             return answer_problem(request, 503, 'refusing', wire.NOT_RUN)
         try:
-            call = wire.plain_call(request.content.read())
+            call = wire.decode_plain_call(request.content.read())
         except wire.DecodeError as error:
             return answer_problem(request, 400, str(error), wire.NOT_RUN)
         _Running(self.server, request, call).begin()
--- a/pollenstile/standin/virtual.py
+++ b/pollenstile/standin/virtual.py
@@ -190,7 +190,7 @@
 
     def token(self, offset):
         """Return a token, the same from every engine."""
-        return token(wire.encoded(self.call.content), offset)
+        return token(wire.encode_json(self.call.content), offset)
 
     def text(self):
         """Return the whole text."""
--- a/pollenstile/upstream/_bodies.py
+++ b/pollenstile/upstream/_bodies.py
@@ -70,7 +70,7 @@
             self.end(Lost('connection lost'))
             return
         try:
-            reply = wire.plain_reply(b''.join(self.received))
+            reply = wire.decode_plain_reply(b''.join(self.received))
         except wire.DecodeError:
             self.end(Lost('malformed reply'))
             return
@@ -121,7 +121,7 @@
             self._complete()
             return
         try:
-            decoded = wire.completion_event(event)
+            decoded = wire.decode_completion_event(event)
         except wire.DecodeError:
             self._break('malformed event')
             return
--- a/pollenstile/upstream/_http.py
+++ b/pollenstile/upstream/_http.py
@@ -174,7 +174,7 @@
             b'POST',
             uri.encode(),
             _headers(call),
-            BytesProducer(wire.encoded(_document(call))),
+            BytesProducer(wire.encode_json(_document(call))),
         )
         exchange.response.addCallback(exchange.headers_came, call.kind)
         exchange.response.addErrback(exchange.failed)
--- a/pollenstile/upstream/wire.py
+++ b/pollenstile/upstream/wire.py
@@ -93,9 +93,9 @@
     load: LoadReport = field(default_factory=LoadReport)
 
 
-encoded = msgspec.json.encode
-completion_event = msgspec.json.Decoder(CompletionEvent).decode
-completion_call = msgspec.json.Decoder(CompletionCall).decode
-plain_call = msgspec.json.Decoder(PlainCall).decode
-plain_reply = msgspec.json.Decoder(PlainReply).decode
+encode_json = msgspec.json.encode
+decode_completion_event = msgspec.json.Decoder(CompletionEvent).decode
+decode_completion_call = msgspec.json.Decoder(CompletionCall).decode
+decode_plain_call = msgspec.json.Decoder(PlainCall).decode
+decode_plain_reply = msgspec.json.Decoder(PlainReply).decode
 DecodeError = msgspec.MsgspecError
