--- a/features/builders/entryhost.py
+++ b/features/builders/entryhost.py
@@ -12,9 +12,9 @@
 from pollenstile.upstream import http_transport
 
 _LOCAL = '127.0.0.1'
-_SEED = 7
+_RNG_SEED = 7
 # Work takes a hundredth of its usual time.
-_SCALE = 0.01
+_TIME_SCALE = 0.01
 
 
 class EntryHost:
@@ -23,7 +23,7 @@
     def __init__(self, path):
         with open(path, encoding='utf-8') as source:
             manifest = manifest_from_text(source.read())
-        started = started_anywhere(reactor, manifest, _SCALE)
+        started = started_anywhere(reactor, manifest, _TIME_SCALE)
         self.standins = started[0]
         self.manifest = started[1]
         environment = {
@@ -32,7 +32,7 @@
         }
         self.node = built_node(
             reactor,
-            random.Random(_SEED),
+            random.Random(_RNG_SEED),
             settings_from(None, ENTRY, environment),
             http_transport(reactor),
         )
@@ -44,7 +44,9 @@
 
     def runs(self):
         """Return how many calls all upstreams have run."""
-        return sum(len(one.server.runs) for one in self.standins.values())
+        return sum(
+            len(standin.server.runs) for standin in self.standins.values()
+        )
 
     def close(self):
         """Stop listening."""
--- a/features/builders/mutations.py
+++ b/features/builders/mutations.py
@@ -1,4 +1,4 @@
-"""Guards of the request path, each to be taken away on its own."""
+"""Mutations of the request path: each removes one guard of the code."""
 
 from contextlib import ExitStack, contextmanager
 
@@ -19,7 +19,7 @@
 
 @contextmanager
 def patched(owner, name, replacement):
-    """Replace an attribute for a while."""
+    """Replace an attribute while the block runs."""
     original = getattr(owner, name)
     setattr(owner, name, replacement)
     try:
@@ -28,63 +28,63 @@
         setattr(owner, name, original)
 
 
-def _never(*arguments, **keywords):
+def _return_false(*arguments, **keywords):
     return False
 
 
-def _always(*arguments, **keywords):
+def _return_true(*arguments, **keywords):
     return True
 
 
-def _nothing(*arguments, **keywords):
+def _do_nothing(*arguments, **keywords):
     """Do nothing."""
 
 
-def _crashed(*arguments, **keywords):
+def _raise_error(*arguments, **keywords):
     raise ValueError('a fault of the program')
 
 
-def _whole_budget(budget, expected, attempts_left):
+def _full_budget(budget, expected, attempts_left):
     return budget
 
 
-def _any_token(assembly, offset, text):
+def _append_any_token(assembly, offset, text):
     assembly.parts.append(text)
     return True
 
 
-def _taken_late(run, attempt, event):
-    run.attempts.live[attempt.number] = attempt
+def _accept_late_event(run, attempt, event):
+    run.attempts.in_flight[attempt.number] = attempt
     _ORIGINAL_EVENT(run, attempt, event)
 
 
-def _taken_from_cut(run, attempt, event):
+def _accept_abandoned_event(run, attempt, event):
     if run.result.called:
         return
-    _taken_late(run, attempt, event)
+    _accept_late_event(run, attempt, event)
 
 
 _ORIGINAL_EVENT = StageRun._on_event
 
 
-def _forgetful_cut(attempts, attempt):
-    attempts.core.ledger.cut(attempts.request, attempt.ident)
+def _abandon_without_record(attempts, attempt):
+    attempts.core.ledger.abandon(attempts.request, attempt.ident)
     if attempt.cancel is not None:
         attempt.cancel()
 
 
-def _resumed_from_start(attempts, attempt, timeout, assembly):
+def _build_call_from_start(attempts, attempt, timeout, assembly):
     return _ORIGINAL_CALL(attempts, attempt, timeout, Assembly())
 
 
-_ORIGINAL_CALL = Attempts._call
+_ORIGINAL_CALL = Attempts._build_call
 
 
-def _said_not_run(request, stage, result, cost, place):
+def _refuse_as_not_run(request, stage, result, cost, index):
     return Refused(503, result.reason, stage.name, result.peer)
 
 
-def _newest_offer(in_force, version, text, source):
+def _offer_any_version(in_force, version, text, source):
     if in_force.snapshot is not None and version < in_force.version:
         in_force.snapshot.version = 0
     return _ORIGINAL_OFFER(in_force, version, text, source)
@@ -93,75 +93,79 @@
 _ORIGINAL_OFFER = InForce.offer
 
 
-def _no_end(budget, expected, attempts_left):
+def _no_timeout(budget, expected, attempts_left):
     return 1e6
 
 
-async def _outcome_again(core, request, on_token=_nothing):
-    outcome = await _ORIGINAL_OUTCOME(core, request, on_token)
+async def _run_again_on_failure(core, request, on_token=_do_nothing):
+    outcome = await _ORIGINAL_RUN_REQUEST(core, request, on_token)
     if outcome.tag == 'failed':
-        return await _ORIGINAL_OUTCOME(core, request, on_token)
+        return await _ORIGINAL_RUN_REQUEST(core, request, on_token)
     return outcome
 
 
-_ORIGINAL_OUTCOME = pipeline.outcome_of
+_ORIGINAL_RUN_REQUEST = pipeline.outcome_of
 
 
-def _idle_at_once(node):
+def _report_idle(node):
     return succeed(None)
 
 
-async def _unclaimed(claims, request, run):
+async def _run_unclaimed(claims, request, run):
     return await run()
 
 
-async def _asked_nothing(watchers, name, poll, now):
+async def _never_poll(watchers, name, poll, now):
     poll.due_at = now + 1e6
 
 
-# State that is never set: the attribute reads as false for good.
-_NEVER_SET = property(_never, _nothing)
+# Replaces an attribute so that it always reads as false.
+_NEVER_SET = property(_return_false, _do_nothing)
 
 _PATCHES = {
-    'one outcome': [(pipeline, 'outcome_of', _outcome_again)],
-    'timeouts': [(_stage, 'attempt_timeout', _no_end)],
-    'waiting for the last request': [(Node, 'idle', _idle_at_once)],
-    'claims': [(Claims, 'outcome', _unclaimed)],
-    'membership': [(Watchers, '_ask', _asked_nothing)],
+    'one outcome': [(pipeline, 'outcome_of', _run_again_on_failure)],
+    'timeouts': [(_stage, 'attempt_timeout', _no_timeout)],
+    'waiting for the last request': [(Node, 'idle', _report_idle)],
+    'claims': [(Claims, 'outcome', _run_unclaimed)],
+    'membership': [(Watchers, '_ask', _never_poll)],
     'leaving': [(UpstreamState, 'leaving', _NEVER_SET)],
-    'foreign replies': [(StageRun, '_is_foreign', _never)],
-    'foreign refusals': [(StageRun, '_is_foreign_refusal', _never)],
-    'late replies': [(StageRun, '_on_event', _taken_late)],
-    'replies of cut attempts': [(StageRun, '_on_event', _taken_from_cut)],
+    'foreign replies': [(StageRun, '_is_foreign', _return_false)],
+    'foreign refusals': [(StageRun, '_is_foreign_refusal', _return_false)],
+    'late replies': [(StageRun, '_on_event', _accept_late_event)],
+    'replies of cut attempts': [
+        (StageRun, '_on_event', _accept_abandoned_event)
+    ],
     'offsets': [
-        (Assembly, 'accepts', _any_token),
-        (Assembly, 'has_gap', _never),
+        (Assembly, 'accepts', _append_any_token),
+        (Assembly, 'has_gap', _return_false),
     ],
-    'short streams': [(_stage, '_is_short', _never)],
-    'resuming': [(Attempts, '_call', _resumed_from_start)],
-    'room for a second attempt': [(_stage, 'attempt_timeout', _whole_budget)],
+    'short streams': [(_stage, '_is_incomplete', _return_false)],
+    'resuming': [(Attempts, '_build_call', _build_call_from_start)],
+    'room for a second attempt': [(_stage, 'attempt_timeout', _full_budget)],
     'one run': [
-        (_stage, 'may_retry', _always),
-        (_stage, 'worth_sending', _always),
+        (_stage, 'may_retry', _return_true),
+        (_stage, 'has_enough_time', _return_true),
+    ],
+    'time for a non-idempotent call': [
+        (_stage, 'has_enough_time', _return_true),
     ],
-    'time for a non-idempotent call': [(_stage, 'worth_sending', _always)],
     'time for a hedge': [
-        (_stage, name, _always)
-        for name in ('worth_sending', 'hedge_helps')
+        (_stage, name, _return_true)
+        for name in ('has_enough_time', 'hedge_avoids_queue')
         if hasattr(_stage, name)
     ],
-    'memory of runs': [(Attempts, 'cut', _forgetful_cut)],
-    'truthful refusals': [(_run, '_failure_outcome', _said_not_run)],
-    'sound refusals': [(Attempts, 'give_back', _crashed)],
-    'cancelled losers': [(Attempts, 'drop_all', _nothing)],
-    'retry budget': [(RetryBudget, 'spent', _always)],
-    'rising versions': [(InForce, 'offer', _newest_offer)],
+    'memory of runs': [(Attempts, 'abandon', _abandon_without_record)],
+    'truthful refusals': [(_run, '_failure_outcome', _refuse_as_not_run)],
+    'sound refusals': [(Attempts, 'give_back', _raise_error)],
+    'cancelled losers': [(Attempts, 'drop_all', _do_nothing)],
+    'retry budget': [(RetryBudget, 'spent', _return_true)],
+    'rising versions': [(InForce, 'offer', _offer_any_version)],
 }
 
 
 @contextmanager
 def without(guard):
-    """Run a block with a guard taken away."""
+    """Run a block without the guard of the given name."""
     with ExitStack() as stack:
         for owner, name, replacement in _PATCHES[guard]:
             stack.enter_context(patched(owner, name, replacement))
--- a/features/builders/requests.py
+++ b/features/builders/requests.py
@@ -31,16 +31,18 @@
 TEAM = 'callers'
 TOKENS = 6
 _FIRST_PORT = 9000
-_WORK = 0.02
-_GAP = 0.01
-_LATENCY = 0.001
-_ROUNDING = 0.001
+_WORK_SECONDS = 0.02
+_TOKEN_GAP = 0.01
+_LATENCY_SECONDS = 0.001
+_ROUNDING_SECONDS = 0.001
 
 
 def _pool(kind, name, count, first, **fields):
     upstreams = {
-        f'{name}-{place + 1}': Upstream('here', f'127.0.0.1:{first + place}')
-        for place in range(count)
+        f'{name}-{position + 1}': Upstream(
+            'here', f'127.0.0.1:{first + position}'
+        )
+        for position in range(count)
     }
     return Pool(kind, upstreams, **fields)
 
@@ -94,7 +96,7 @@
 
 
 def _upstreams(clock, manifest):
-    times = Times(lambda: _WORK, lambda: _GAP)
+    times = Times(lambda: _WORK_SECONDS, lambda: _TOKEN_GAP)
     built = {}
     for pool in manifest.pools.values():
         for name, declared in pool.upstreams.items():
@@ -112,17 +114,17 @@
     return sink
 
 
-class Sent:
+class SentRequest:
     """One request: what was passed on, and its outcomes."""
 
-    __slots__ = ('ended', 'outcomes', 'request', 'running', 'tokens')
+    __slots__ = ('ended_at', 'outcomes', 'request', 'running', 'tokens')
 
     def __init__(self, request):
         self.request = request
         self.tokens = []
         self.outcomes = []
         self.running = None
-        self.ended = 0.0
+        self.ended_at = 0.0
 
     @property
     def outcome(self):
@@ -148,12 +150,12 @@
     """
 
     __slots__ = (
+        'called_names',
         'calls',
         'cancelled',
         'clock',
         'hook',
         'links',
-        'names',
         'node',
         'sent',
         'upstreams',
@@ -163,7 +165,7 @@
         self.clock = Clock()
         self.calls = []
         self.cancelled = []
-        self.names = []
+        self.called_names = []
         self.links = {}
         self.sent = []
         self.hook = _unchanged
@@ -171,7 +173,7 @@
         network = VirtualNetwork(
             self.clock,
             self.upstreams,
-            lambda origin, name: _LATENCY,
+            lambda origin, name: _LATENCY_SECONDS,
             lambda origin, name: self.links.get(name, UP),
         )
         environment = {'POLLENSTILE_HOST': 'h', 'POLLENSTILE_DOMAIN': 'here'}
@@ -186,14 +188,14 @@
     def _hooked(self, transport):
         def start(name, upstream, call, sink):
             self.calls.append(call)
-            self.names.append(name)
+            self.called_names.append(name)
             cancel = transport(name, upstream, call, self.hook(call, sink))
 
-            def noted():
+            def cancel_and_record():
                 self.cancelled.append(call.attempt)
                 cancel()
 
-            return noted
+            return cancel_and_record
 
         return start
 
@@ -210,13 +212,13 @@
             self.clock.seconds() + (budget or declared),
             key,
         )
-        sent = Sent(request)
+        sent = SentRequest(request)
         self.sent.append(sent)
         sent.running = Deferred.fromCoroutine(
             outcome_of(self.node.core, request, sent.tokens.append),
         )
         self.node.track(sent.running)
-        sent.running.addBoth(self._ended, sent)
+        sent.running.addBoth(self._record_outcome, sent)
         return sent
 
     def pipeline(self, name):
@@ -224,18 +226,18 @@
         snapshot = self.node.in_force.snapshot
         return snapshot.manifest.pipelines[name]
 
-    def _ended(self, outcome, sent):
+    def _record_outcome(self, outcome, sent):
         sent.outcomes.append(outcome)
-        sent.ended = self.clock.seconds()
+        sent.ended_at = self.clock.seconds()
 
     def in_time(self):
         """Return whether each outcome came before its deadline."""
         return all(
-            sent.ended <= sent.request.deadline + _ROUNDING
+            sent.ended_at <= sent.request.deadline + _ROUNDING_SECONDS
             for sent in self.sent
         )
 
-    def fault(self, pool, name, value):
+    def set_fault(self, pool, name, value):
         """Set a fault of every upstream of a pool, by its first letters."""
         for upstream in self.upstreams.values():
             if upstream.name.startswith(pool):
--- a/features/builders/requests_http.py
+++ b/features/builders/requests_http.py
@@ -8,7 +8,12 @@
 from twisted.web.server import Site
 
 from features.builders.loop import kept_result, turned_until
-from features.builders.requests import TEAM, TOKENS, Sent, requests_manifest
+from features.builders.requests import (
+    TEAM,
+    TOKENS,
+    SentRequest,
+    requests_manifest,
+)
 from pollenstile.entry import built_node
 from pollenstile.manifest import text_from_manifest
 from pollenstile.ops.http import site_for
@@ -20,7 +25,7 @@
 LOOPBACK = '127.0.0.1'
 
 
-class Counted:
+class ConnectionCounter:
     """Connections that a port's factory has made."""
 
     __slots__ = ('lost', 'made')
@@ -49,7 +54,7 @@
         return factory
 
 
-class Raw(Protocol):
+class RawServer(Protocol):
     """Answers each request by a function; counts them."""
 
     def __init__(self, reply):
@@ -69,13 +74,13 @@
 
 
 def raw_factory(reply):
-    """Return a factory of :class:`Raw`."""
+    """Return a factory of :class:`RawServer`."""
     factory = Factory()
-    factory.buildProtocol = lambda address: Raw(reply)
+    factory.buildProtocol = lambda address: RawServer(reply)
     return factory
 
 
-def header_of(head, name):
+def find_header(head, name):
     """Return a header of a request's head."""
     for line in head.split('\r\n')[1:]:
         key, _, value = line.partition(': ')
@@ -113,7 +118,7 @@
     return site_for(PlainResource(server), reactor)
 
 
-class Made:
+class StartedCall:
     """One call that was made."""
 
     __slots__ = ('attempt', 'cancel', 'events')
@@ -147,11 +152,11 @@
             1000,
             idempotent=idempotent,
         )
-        made = Made(attempt)
+        made = StartedCall(attempt)
         made.cancel = self.start('one', self, call, made.events.append)
         return made
 
-    def ended(self, **options):
+    def call_and_wait(self, **options):
         """Make a call; return its attempt and its end."""
         made = self.call(**options)
         turned_until(lambda: made.events)
@@ -159,14 +164,14 @@
         return self.ends[-1]
 
 
-def node_to(port):
+def build_node_calling(port):
     """Return a node whose every upstream listens at one port."""
     environment = {'POLLENSTILE_HOST': 'h', 'POLLENSTILE_DOMAIN': 'here'}
-    raw = http_transport(reactor)
-    there = Caller(port)
+    http_start = http_transport(reactor)
+    caller = Caller(port)
 
     def transport(name, upstream, call, sink):
-        return raw(name, there, call, sink)
+        return http_start(name, caller, call, sink)
 
     node = built_node(
         reactor,
@@ -179,7 +184,7 @@
     return node
 
 
-def outcome_at(node, name):
+def run_to_outcome(node, name):
     """Run a request at a node; return its tokens and its outcome."""
     request = Request(
         node.next_ident(),
@@ -189,7 +194,7 @@
         'leak',
         node.core.clock.seconds() + 1.0,
     )
-    sent = Sent(request)
+    sent = SentRequest(request)
     sent.outcomes = kept_result(
         outcome_of(node.core, request, sent.tokens.append),
     )
@@ -197,7 +202,7 @@
     return sent
 
 
-class Doubled(Resource):
+class RepeatingEngine(Resource):
     """An engine that sends each token twice."""
 
     isLeaf = True
@@ -220,6 +225,6 @@
         return b''.join(lines) + b'data: %s\n\n' % wire.DONE
 
 
-def doubled_site():
+def repeating_engine_site():
     """Return a site of an engine that repeats itself."""
-    return Site(Doubled())
+    return Site(RepeatingEngine())
--- a/features/steps/requests_http_steps.py
+++ b/features/steps/requests_http_steps.py
@@ -9,7 +9,7 @@
 
 
 def _serve(context, factory):
-    context.counted = build.Counted()
+    context.counted = build.ConnectionCounter()
     port = build.listening(context.counted.watch(factory))
     context.port = port
     context.caller = build.Caller(port)
@@ -30,7 +30,7 @@
         if protocol.answered > 1:
             context.silent.append(head)
         else:
-            attempt = build.header_of(head, wire.ATTEMPT_HEADER)
+            attempt = build.find_header(head, wire.ATTEMPT_HEADER)
             build.answer(protocol, 200, build.plain_body(attempt))
 
     _serve(context, build.raw_factory(reply))
@@ -47,9 +47,9 @@
 @given('a requests server that answers {status:d} with {body}')
 def step_answers(context, status, body):
     def reply(protocol, head, received):
-        whole = _BODIES.get(body)
-        if whole is not None:
-            build.answer(protocol, status, whole)
+        complete = _BODIES.get(body)
+        if complete is not None:
+            build.answer(protocol, status, complete)
             return
         build.answer(protocol, status, b'{"attempt"', length=100)
         protocol.transport.loseConnection()
@@ -63,7 +63,7 @@
 )
 def step_refuses(context, status, outcome, attempt):
     def reply(protocol, head, received):
-        own = build.header_of(head, wire.ATTEMPT_HEADER)
+        own = build.find_header(head, wire.ATTEMPT_HEADER)
         stated = {'own': own, 'another': 'other/call/1', 'none': ''}[attempt]
         headers = [f'{wire.ATTEMPT_HEADER}: {stated}'] if stated else []
         if outcome != 'none':
@@ -75,17 +75,17 @@
 
 @given('a requests server that streams each token twice')
 def step_doubled(context):
-    _serve(context, build.doubled_site())
+    _serve(context, build.repeating_engine_site())
 
 
 @when('a requests call is sent and its answer is read')
 def step_call(context):
-    context.caller.ended()
+    context.caller.call_and_wait()
 
 
 @when('a non-idempotent requests call is sent and its answer is read')
 def step_call_once(context):
-    context.caller.ended(idempotent=False)
+    context.caller.call_and_wait(idempotent=False)
 
 
 @when('a requests call to the frozen server is cut')
@@ -140,8 +140,8 @@
 
 @when('a "{name}" request is sent to the requests server')
 def step_request(context, name):
-    node = build.node_to(context.port)
-    sent = build.outcome_at(node, name)
+    node = build.build_node_calling(context.port)
+    sent = build.run_to_outcome(node, name)
     context.tokens = sent.tokens
     context.outcome = sent.outcome
     assert not node.core.ledger.broken, node.core.ledger.broken
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -11,7 +11,7 @@
 
 from features.builders import requests as build
 from features.builders.mutations import without
-from pollenstile.entry._face import _Exchange
+from pollenstile.entry._frontend import _Exchange
 from pollenstile.outcomes import Answered
 from pollenstile.pipeline import _stage
 from pollenstile.standin.engine import token
@@ -36,7 +36,7 @@
     context.checks = []
 
 
-def _act(context, action):
+def _perform(context, action):
     context.plan.append(action)
     action(context.world)
 
@@ -64,12 +64,12 @@
 
 @when('a "{name}" request is sent')
 def step_send(context, name):
-    _act(context, lambda world: world.send(name))
+    _perform(context, lambda world: world.send(name))
 
 
 @when('a "{name}" request is sent with key "{key}"')
 def step_send_key(context, name, key):
-    _act(context, lambda world: world.send(name, key=key))
+    _perform(context, lambda world: world.send(name, key=key))
 
 
 @when('claims take {seconds:g} seconds for requests')
@@ -81,7 +81,7 @@
 
         world.node.core.claims = claims
 
-    _act(context, slow_claims)
+    _perform(context, slow_claims)
 
 
 @when('claims crash for requests')
@@ -92,7 +92,7 @@
 
         world.node.core.claims = claims
 
-    _act(context, crashing)
+    _perform(context, crashing)
 
 
 @when('a "{name}" request is sent with {left:d} ms left when its hedge is due')
@@ -102,31 +102,31 @@
         due = _stage._HEDGE_FACTOR * stage.expect_ms
         world.send(name, budget=(due + left) / 1000)
 
-    _act(context, send)
+    _perform(context, send)
 
 
 @when('a "{name}" request with {seconds:g} seconds is sent')
 def step_send_budget(context, name, seconds):
-    _act(context, lambda world: world.send(name, budget=seconds))
+    _perform(context, lambda world: world.send(name, budget=seconds))
 
 
 @when('{count:d} "{name}" requests are sent')
 def step_send_many(context, count, name):
-    _act(context, lambda world: [world.send(name) for _ in range(count)])
+    _perform(context, lambda world: [world.send(name) for _ in range(count)])
 
 
 @when('{seconds:g} request seconds pass')
 def step_pass(context, seconds):
-    _act(context, lambda world: world.wait(seconds))
+    _perform(context, lambda world: world.wait(seconds))
 
 
 def _called(world):
-    return world.upstreams[world.names[-1]]
+    return world.upstreams[world.called_names[-1]]
 
 
 @when('the called upstream breaks streams after {count:d} tokens')
 def step_cut(context, count):
-    _act(
+    _perform(
         context,
         lambda world: setattr(_called(world).faults, 'cut_after', count),
     )
@@ -134,46 +134,50 @@
 
 @when('the called upstream is frozen')
 def step_frozen(context):
-    _act(context, lambda world: setattr(_called(world).faults, 'frozen', True))
+    _perform(
+        context, lambda world: setattr(_called(world).faults, 'frozen', True)
+    )
 
 
 @when('the called upstream is {factor:g} times slower for requests')
 def step_slow(context, factor):
-    _act(context, lambda world: setattr(_called(world).faults, 'slow', factor))
+    _perform(
+        context, lambda world: setattr(_called(world).faults, 'slow', factor)
+    )
 
 
 @when('the upstreams of "{pool}" are {factor:g} times slower for requests')
 def step_pool_slow(context, pool, factor):
-    _act(context, lambda world: world.fault(pool, 'slow', factor))
+    _perform(context, lambda world: world.set_fault(pool, 'slow', factor))
 
 
 @when('the upstreams of "{pool}" are frozen for requests')
 def step_pool_frozen(context, pool):
-    _act(context, lambda world: world.fault(pool, 'frozen', True))
+    _perform(context, lambda world: world.set_fault(pool, 'frozen', True))
 
 
 @when('the upstreams of "{pool}" refuse requests')
 def step_pool_refuses(context, pool):
-    _act(context, lambda world: world.fault(pool, 'refusing', True))
+    _perform(context, lambda world: world.set_fault(pool, 'refusing', True))
 
 
 @when('the upstreams of "{pool}" answer requests with another\'s identifier')
 def step_pool_foreign(context, pool):
-    _act(context, lambda world: world.fault(pool, 'foreign', True))
+    _perform(context, lambda world: world.set_fault(pool, 'foreign', True))
 
 
 @when('the other upstreams refuse requests')
 def step_others_refuse(context):
     def refuse(world):
         for name, upstream in world.upstreams.items():
-            upstream.faults.refusing = name not in world.names
+            upstream.faults.refusing = name not in world.called_names
 
-    _act(context, refuse)
+    _perform(context, refuse)
 
 
 @when('the link to "{name}" goes silent for requests')
 def step_silent(context, name):
-    _act(context, lambda world: world.links.update({name: SILENT}))
+    _perform(context, lambda world: world.links.update({name: SILENT}))
 
 
 @when('the links heal for requests')
@@ -182,7 +186,7 @@
         world.wait(0.05)
         world.links.clear()
 
-    _act(context, heal)
+    _perform(context, heal)
 
 
 def _hooked(context, hook):
@@ -195,7 +199,7 @@
 
         world.hook = wrapped
 
-    _act(context, set_hook)
+    _perform(context, set_hook)
 
 
 @when(
@@ -279,14 +283,14 @@
     def hang_up(world):
         exchange = _Exchange(None, streaming=False)
         exchange.running = world.sent[-1].running
-        exchange.disconnected(None, world.sent[-1].request)
+        exchange.on_disconnect(None, world.sent[-1].request)
 
-    _act(context, hang_up)
+    _perform(context, hang_up)
 
 
 @when('the request is cancelled')
 def step_cancel(context):
-    _act(context, lambda world: world.sent[-1].running.cancel())
+    _perform(context, lambda world: world.sent[-1].running.cancel())
 
 
 @then('the request ends as "{tag}"')
@@ -298,14 +302,20 @@
 
 
 def _expected(request, pool='encoder'):
-    return [{'by': f'{pool}-{place}', 'for': request.ident} for place in (1, 2)]
+    return [
+        {'by': f'{pool}-{position}', 'for': request.ident}
+        for position in (1, 2)
+    ]
 
 
 def _texts(request):
-    earlier = [{}, *[{'encode': output} for output in _expected(request)]]
+    encode_results = [
+        {},
+        *[{'encode': output} for output in _expected(request)],
+    ]
     prompts = [
         wire.encode_json({'input': request.content, 'results': results})
-        for results in earlier
+        for results in encode_results
     ]
     return [
         ''.join(token(prompt, offset) for offset in range(build.TOKENS))
@@ -317,10 +327,10 @@
 def step_whole(context):
     def check(world):
         sent = world.sent[-1]
-        passed = ''.join(sent.tokens)
+        streamed = ''.join(sent.tokens)
         assert len(sent.tokens) == build.TOKENS, sent.tokens
-        assert passed == sent.outcome.output, sent.outcome
-        assert passed in _texts(sent.request), passed
+        assert streamed == sent.outcome.output, sent.outcome
+        assert streamed in _texts(sent.request), streamed
 
     _check(context, check)
 
@@ -342,7 +352,7 @@
     def check(world):
         for sent in world.sent:
             assert sent.outcome, sent
-        assert world.in_time(), [sent.ended for sent in world.sent]
+        assert world.in_time(), [sent.ended_at for sent in world.sent]
 
     _check(context, check)
 
--- a/pollenstile/entry/__init__.py
+++ b/pollenstile/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon: HTTP faces, assembly and shutdown."""
+"""The entry host's daemon: HTTP resources, assembly and shutdown."""
 
 from pollenstile.entry._assembly import (
     built_fleet,
@@ -6,5 +6,5 @@
     place_engines,
 )
 from pollenstile.entry._daemon import Daemon, address_of
-from pollenstile.entry._face import CallerFace
+from pollenstile.entry._frontend import CallerFace
 from pollenstile.entry._node import Node
--- a/pollenstile/entry/_admin.py
+++ b/pollenstile/entry/_admin.py
@@ -1,4 +1,4 @@
-"""Operators' HTTP face."""
+"""HTTP resource for operators."""
 
 from twisted.web.resource import Resource
 from twisted.web.server import NOT_DONE_YET
@@ -6,26 +6,27 @@
 from pollenstile.ops.http import answer_json, answer_problem
 
 
-_CENSUS_SECONDS = 2.0
+_VERSION_QUERY_SECONDS = 2.0
 
 
-class AdminFace(Resource):
+class AdminResource(Resource):
     """``GET /healthz``, ``/readyz``, ``/status`` and ``/fleet``.
 
     Explanation
     ===========
 
-    ``/healthz`` says that the process runs. ``/readyz`` is for the platform's
-    balancer and turns 503 as soon as the host is told to leave. ``/fleet``
-    asks all entry hosts which version they have in force.
+    ``/healthz`` shows that the process runs. ``/readyz`` is polled by the
+    platform's load balancer and returns 503 as soon as the host starts to
+    leave. ``/fleet`` queries all entry hosts for the configuration version
+    that each one uses.
 
     Parameters
     ==========
 
     node : Node
-        The host that serves.
+        State of the host.
     fleet : Fleet or None
-        Its part in the fleet.
+        The host's connection to the fleet.
     """
 
     isLeaf = True
@@ -36,26 +37,26 @@
         self.fleet = fleet
 
     def render(self, request):
-        """Serve one request; called by twisted."""
+        """Serve one request; called by Twisted."""
         if request.path == b'/healthz':
             return answer_json(request, {'healthy': True})
         if request.path == b'/readyz':
-            return self._ready(request)
+            return self._answer_readiness(request)
         if request.path == b'/status':
             return answer_json(request, self.node.status())
         if request.path == b'/fleet' and self.fleet is not None:
-            asked = self.fleet.document(_CENSUS_SECONDS)
-            asked.addCallback(_answer_unless_gone, request)
+            pending = self.fleet.document(_VERSION_QUERY_SECONDS)
+            pending.addCallback(_answer_if_connected, request)
             return NOT_DONE_YET
         return answer_problem(request, 404, 'no such path', 'not-run')
 
-    def _ready(self, request):
+    def _answer_readiness(self, request):
         refusal = self.node.refusal()
         if refusal is None:
             return answer_json(request, {'ready': True})
         return answer_problem(request, 503, refusal.reason, 'not-run')
 
 
-def _answer_unless_gone(document, request):
+def _answer_if_connected(document, request):
     if request.channel is not None:
         answer_json(request, document)
--- a/pollenstile/entry/_assembly.py
+++ b/pollenstile/entry/_assembly.py
@@ -1,4 +1,4 @@
-"""Putting one entry host together."""
+"""Assembles the components of one entry host."""
 
 from pollenstile.claims import Claims, join_peers
 from pollenstile.entry._node import Node
@@ -37,7 +37,7 @@
     store=None,
     log=silent_log,
 ):
-    """Return a host's node; nothing listens yet.
+    """Return the node of a host; it opens no port.
 
     Parameters
     ==========
@@ -45,13 +45,14 @@
     clock : IReactorTime
         The reactor, or a virtual clock.
     rng : random.Random
-        Seeded under test.
+        Random numbers; seeded in tests.
     settings : Settings
-        With ``host``, ``domain`` and ``max_running``.
+        Provides ``host``, ``domain`` and ``max_running``.
     transport : function
-        Makes calls; see :mod:`pollenstile.upstream`.
+        Starts calls; see :mod:`pollenstile.upstream`.
     store : Store or None
-        The object API, for claims; without it no key is recognised again.
+        The object API, for claims; without it repeated idempotency keys are
+        not recognised.
     """
     metrics = Metrics()
     tracker = Tracker(clock)
@@ -81,7 +82,7 @@
     )
     boot = f'{rng.getrandbits(_BOOT_BITS):012x}'
     in_force = InForce(log)
-    in_force.listeners.append(_ratio_setter(core.retries))
+    in_force.listeners.append(_make_ratio_setter(core.retries))
     node = Node(core, in_force, metrics, boot)
     if store is not None:
         node.claims = Claims(
@@ -105,7 +106,7 @@
     store=None,
     read_hosts=None,
 ):
-    """Return a host's part in the fleet; not started.
+    """Return the fleet component of a host; it is not started.
 
     Parameters
     ==========
@@ -113,13 +114,13 @@
     node : Node
         The host.
     settings : Settings
-        With ``peer_key``, ``peer_listen`` and ``peers``.
+        Provides ``peer_key``, ``peer_listen`` and ``peers``.
     connect : function
         Opens connections to peers; see :class:`~pollenstile.peer.Hub`.
     read_load : function
-        Asks an upstream for its load.
+        Requests the load report of an upstream.
     store : Store or None
-        The object API, paced.
+        The object API, rate-limited.
     read_hosts : function or None
         Reads the platform's host list.
     """
@@ -151,7 +152,7 @@
 
 
 def place_engines(node, store, orders, ticket, suspend_clock):
-    """Give a host its part in placement; not started.
+    """Add the placement component to a host; it is not started.
 
     Parameters
     ==========
@@ -159,13 +160,13 @@
     node : Node
         The host.
     store : Store
-        The object API, paced.
+        The object API, rate-limited.
     orders : object
-        Looks at engines and orders them.
+        Reads the state of engines and sends orders to them.
     ticket : function
-        Asks the weight store whether a load may begin.
+        Requests permission from the weight store to load a model.
     suspend_clock : function
-        Returns seconds, suspended time included.
+        Returns seconds on a clock that includes suspended time.
     """
     node.placement = built_placement(
         node.core,
@@ -178,7 +179,7 @@
     node.in_force.listeners.append(node.placement.in_force)
 
 
-def _ratio_setter(retries):
+def _make_ratio_setter(retries):
     def set_ratio(snapshot):
         retries.ratio = snapshot.manifest.policy.retry_ratio
 
--- a/pollenstile/entry/_caller.py
+++ b/pollenstile/entry/_caller.py
@@ -1,4 +1,4 @@
-"""Who calls, and what: authentication and decoding of callers' requests."""
+"""Authentication and decoding of callers' requests."""
 
 import hashlib
 import hmac
@@ -11,7 +11,7 @@
 from pollenstile.outcomes import Refused
 
 _BEARER = 'Bearer '
-_MOST_KEY = 200
+_MAX_KEY_LENGTH = 200
 _MS = 1000
 _STEP = 'caller'
 
@@ -23,32 +23,32 @@
     input: Any
 
 
-_decoded_body = msgspec.json.Decoder(CallerBody).decode
+_decode_body = msgspec.json.Decoder(CallerBody).decode
 
 
 def team_of(snapshot, authorization):
-    """Return the team whose key a header carries, or a refusal.
+    """Return the team whose API key the header contains, or a refusal.
 
     Explanation
     ===========
 
-    The manifest holds digests only. Finding the candidates by the digest's
-    first characters tells nothing of the key, and the rest is compared in
-    constant time.
+    The manifest contains digests of keys only. The candidates are looked up by
+    the first characters of the digest, which reveals nothing about the key;
+    the digests are then compared in constant time.
     """
     if not authorization or not authorization.startswith(_BEARER):
         return Refused(401, 'no key: send Authorization: Bearer KEY', _STEP)
     key = authorization[len(_BEARER) :].strip()
     digest = hashlib.sha256(key.encode(errors='surrogateescape')).hexdigest()
-    found = None
+    matched_team = None
     for candidate, team in snapshot.candidates(digest):
         if hmac.compare_digest(candidate, digest):
-            found = team
-    return found or Refused(401, 'unknown key', _STEP)
+            matched_team = team
+    return matched_team or Refused(401, 'unknown key', _STEP)
 
 
 def pipeline_of(snapshot, name, team):
-    """Return the pipeline's declaration, or a refusal."""
+    """Return the declaration of a pipeline, or a refusal."""
     pipeline = snapshot.manifest.pipelines.get(name)
     if pipeline is None:
         return Refused(404, f'no pipeline is named {name!r}', _STEP)
@@ -58,20 +58,20 @@
 
 
 def content_of(body):
-    """Return the input that a body carries, or a refusal."""
+    """Return the pipeline's input from a request body, or a refusal."""
     try:
-        return _decoded_body(body).input
+        return _decode_body(body).input
     except (msgspec.MsgspecError, RecursionError) as error:
         return Refused(400, f'the body is wrong: {error}', _STEP)
 
 
 def deadline_of(header, pipeline):
-    """Return seconds until the deadline, or a refusal.
+    """Return the seconds until the deadline, or a refusal.
 
     Explanation
     ===========
 
-    A caller may ask for less than is declared, not for more.
+    A caller may shorten the declared deadline, not extend it.
     """
     declared = pipeline.deadline_ms / _MS
     if not header:
@@ -83,9 +83,9 @@
 
 
 def key_of(header):
-    """Return the idempotency key, empty for none, or a refusal."""
+    """Return the idempotency key, or a refusal; empty without a header."""
     if not header:
         return ''
-    if len(header) > _MOST_KEY or not header.isprintable():
+    if len(header) > _MAX_KEY_LENGTH or not header.isprintable():
         return Refused(400, 'Idempotency-Key is too long or odd', _STEP)
     return header
--- a/pollenstile/entry/_daemon.py
+++ b/pollenstile/entry/_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: listening, flushing, leaving."""
+"""Starts an entry host's listeners and shuts the host down gracefully."""
 
 from dataclasses import replace
 
@@ -6,38 +6,38 @@
 from twisted.internet.task import LoopingCall, deferLater
 
 from pollenstile.entry import events
-from pollenstile.entry._admin import AdminFace
-from pollenstile.entry._face import CallerFace
+from pollenstile.entry._admin import AdminResource
+from pollenstile.entry._frontend import CallerFace
 from pollenstile.ops.http import site_for
 from pollenstile.peer import tcp_listen
 from pollenstile.peer.events import PEERS_OFF
 
-_FLUSH_PERIOD = 1.0
+_METRICS_PERIOD_SECONDS = 1.0
 _MS = 1000
-# Releases of keys are tried for this long, and callers may take this long to
-# read what is left of their answers.
-_FLUSH_SECONDS = 2.0
-# A lease that can't be given back runs out by itself.
-_HAND_OVER_SECONDS = 10.0
+# Releases of idempotency keys are retried for this long at shutdown.
+_CLAIMS_FLUSH_SECONDS = 2.0
+# A lease that is not released within this time expires by itself.
+_HANDOVER_SECONDS = 10.0
+# At shutdown, callers have this long to read the rest of their answers.
 _DRAIN_SECONDS = 30.0
 
 
 class Daemon:
-    """A host that listens.
+    """An entry host with its listeners.
 
     Parameters
     ==========
 
     reactor : IReactorTCP and IReactorTime
-        Makes ports and timers.
+        Creates ports and timers.
     node : Node
-        What is served.
+        State of the host.
     settings : Settings
-        Where to listen.
+        Provides the addresses to listen on.
     fleet : Fleet or None
         Configuration, membership and peers.
     statsd : statsd.StatsClient or None
-        Where metrics go.
+        Receives the metrics.
     """
 
     __slots__ = (
@@ -64,21 +64,21 @@
         self.peer_port = None
 
     def start(self):
-        """Listen, join the fleet, flush metrics."""
+        """Open the ports, join the fleet and start to flush metrics."""
         self.caller_port = self._listen(
             self.settings.listen,
             CallerFace(self.node),
         )
         self.admin_port = self._listen(
             self.settings.admin,
-            AdminFace(self.node, self.fleet),
+            AdminResource(self.node, self.fleet),
         )
         flush = LoopingCall(self.node.metrics.flush, self.statsd)
         flush.clock = self.reactor
-        flush.start(_FLUSH_PERIOD, now=False)
+        flush.start(_METRICS_PERIOD_SECONDS, now=False)
         self.loops.append(flush)
         if self.fleet is not None:
-            self._join()
+            self._join_fleet()
         if self.node.placement is not None:
             self.node.placement.start()
         self.node.core.log(
@@ -88,7 +88,7 @@
             domain=self.settings.domain,
         )
 
-    def _join(self):
+    def _join_fleet(self):
         hub = self.fleet.hub
         if hub.keys:
             address = self.settings.peer_listen
@@ -105,45 +105,47 @@
         return self.reactor.listenTCP(port, site, interface=host)
 
     def stop(self):
-        """Leave: return a Deferred that fires when all is finished.
+        """Shut down gracefully; return a Deferred that fires at the end.
 
         Explanation
         ===========
 
-        The platform's balancer learns late that a host leaves. The host says
-        at once that it is not ready, listens on for the declared lame-duck
-        time, refuses what is new, and finishes what is in flight: requests,
-        claims, and answers that their callers have not read yet.
+        The platform's load balancer notices with a delay that a host leaves.
+        The host reports at once that it is not ready, keeps listening for the
+        declared lame-duck time, refuses new requests, and finishes the work in
+        flight: requests, claims, and answers that callers have not read yet.
         """
         self.node.leaving = True
         self.caller_port.factory.channels.closing = True
         self.node.core.log(events.LEAVING, in_flight=self.node.in_flight)
         if self.fleet is not None:
             self.fleet.leave()
-        return Deferred.fromCoroutine(self._stopped())
+        return Deferred.fromCoroutine(self._shut_down())
 
-    async def _stopped(self):
+    async def _shut_down(self):
         snapshot = self.node.in_force.snapshot
         wait = snapshot.manifest.policy.lame_duck_ms / _MS if snapshot else 0
-        handed_over = self._handed_over()
+        handover = self._hand_over_leases()
         await deferLater(self.reactor, wait)
         await self.caller_port.stopListening()
         await self.node.idle()
-        await gatherResults([self._flushed(), self._drained(), handed_over])
-        await self._closed()
+        await gatherResults(
+            [self._flush_claims(), self._drain_connections(), handover]
+        )
+        await self._close()
         self.node.core.log(events.STOPPED)
 
-    def _handed_over(self):
+    def _hand_over_leases(self):
         if self.node.placement is None:
             return succeed(None)
         leaving = Deferred.fromCoroutine(self.node.placement.leave())
         return leaving.addTimeout(
-            _HAND_OVER_SECONDS,
+            _HANDOVER_SECONDS,
             self.reactor,
             onTimeoutCancel=lambda *_: None,
         )
 
-    async def _closed(self):
+    async def _close(self):
         if self.node.placement is not None:
             self.node.placement.stop()
         for loop in self.loops:
@@ -155,29 +157,29 @@
         await self.admin_port.stopListening()
         self.node.metrics.flush(self.statsd)
 
-    def _flushed(self):
+    def _flush_claims(self):
         if self.node.claims is None:
             return succeed(None)
         return self.node.claims.flushed().addTimeout(
-            _FLUSH_SECONDS,
+            _CLAIMS_FLUSH_SECONDS,
             self.reactor,
             onTimeoutCancel=lambda *_: None,
         )
 
-    def _drained(self):
+    def _drain_connections(self):
         return self.caller_port.factory.channels.drained().addTimeout(
             _DRAIN_SECONDS,
             self.reactor,
-            onTimeoutCancel=self._abort,
+            onTimeoutCancel=self._abort_connections,
         )
 
-    def _abort(self, *_):
-        # A caller that reads nothing more can't keep the host for good.
+    def _abort_connections(self, *_):
+        # A caller that no longer reads must not block the shutdown forever.
         number = self.caller_port.factory.channels.abort()
         self.node.core.log(events.CUT_OFF, level='warning', callers=number)
 
 
 def address_of(port):
-    """Return ``IP:PORT`` of a listening port."""
+    """Return the address of a listening port as ``IP:PORT``."""
     host = port.getHost()
     return f'{host.host}:{host.port}'
--- a/pollenstile/entry/_face.py
+++ b/pollenstile/entry/_frontend.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP face."""
+"""HTTP resource for callers of pipelines."""
 
 import msgspec
 from twisted.internet.defer import CancelledError, Deferred
@@ -24,11 +24,11 @@
 _JSON_EVENT = b'event: %s\ndata: %s\n\n'
 _TOKEN_EVENT = b'data: {"text":%s}\n\n'
 
-_encoded = msgspec.json.Encoder().encode
+_encode_json = msgspec.json.Encoder().encode
 
 
 class _Exchange:
-    """One caller's request and what was written to it."""
+    """HTTP exchange with one caller: its request and the response."""
 
     __slots__ = ('finished', 'http', 'running', 'streaming', 'written')
 
@@ -39,44 +39,44 @@
         self.finished = False
         self.running = None
 
-    def disconnected(self, failure, request):
-        """Stop the work of a caller that is gone, if that is safe.
+    def on_disconnect(self, failure, request):
+        """Cancel the request of a disconnected caller if it is idempotent.
 
         Explanation
         ===========
 
-        A non-idempotent request runs on: its caller may ask again with the
-        same key, and then gets the answer that this run has.
+        A non-idempotent request continues: its caller may retry with the same
+        idempotency key and then gets the answer of this run.
         """
         self.finished = True
         if request.pipeline.idempotent:
             self.running.cancel()
 
-    def token(self, text):
-        """Stream a token."""
+    def write_token(self, text):
+        """Write a token to the event stream."""
         if self.finished or not self.streaming:
             return
         if not self.written:
             self.written = True
             self.http.setHeader(b'content-type', _STREAM.encode())
-        self.http.write(_TOKEN_EVENT % _encoded(text))
+        self.http.write(_TOKEN_EVENT % _encode_json(text))
 
     def answer(self, outcome, request):
-        """Write the final outcome."""
+        """Write the final outcome to the response."""
         if self.finished:
             return
         self.finished = True
         if isinstance(outcome, Answered):
-            self._answer_whole(outcome, request)
+            self._write_answer(outcome, request)
             return
         if self.written:
-            # What was streamed looks like an answer. Only a broken
-            # connection tells the caller that it is not whole.
+            # The streamed tokens look like an answer. Only an aborted
+            # connection shows the caller that the answer is incomplete.
             abort(self.http)
             return
         _refuse(self.http, outcome, request.ident)
 
-    def _answer_whole(self, outcome, request):
+    def _write_answer(self, outcome, request):
         document = {
             'request': request.ident,
             'output': outcome.output,
@@ -97,28 +97,28 @@
     status = getattr(outcome, 'status', None) or _STATUS[outcome.tag]
     if outcome.reason in {'timeout', 'deadline'}:
         status = _GATEWAY_TIMEOUT if outcome.tag != 'not-run' else status
-    members = {
+    fields = {
         'request': ident,
         'step': outcome.step,
         'peer': outcome.peer,
     }
     retry_after = getattr(outcome, 'retry_after', 0)
     if retry_after:
-        members['retry_after'] = round(retry_after, 1)
+        fields['retry_after'] = round(retry_after, 1)
     return answer_problem(
         http,
         status,
         outcome.reason,
         outcome.tag,
-        **members,
+        **fields,
     )
 
 
 def _header(http, name):
-    """Return a header's text, empty for none.
+    """Return a header's value as text, empty if the header is missing.
 
-    Bytes that are no text stay odd characters, which the checks refuse; the
-    library's own decoding would raise.
+    Bytes that are not UTF-8 become surrogates, which the checks of values
+    refuse; the library's own decoding would raise an exception.
     """
     content = http.getHeader(name) or b''
     return content.decode(errors='surrogateescape')
@@ -131,7 +131,7 @@
     ==========
 
     node : Node
-        The host that serves.
+        State of the host.
     """
 
     isLeaf = True
@@ -141,8 +141,8 @@
         self.node = node
 
     def render(self, request):
-        """Serve one request; called by twisted."""
-        parsed = self._parsed(request)
+        """Serve one request; called by Twisted."""
+        parsed = self._parse_request(request)
         if isinstance(parsed, Refused):
             self.node.core.log(
                 events.CALLER_REFUSED,
@@ -158,17 +158,17 @@
 
     def _run(self, exchange, request):
         exchange.running = Deferred.fromCoroutine(
-            outcome_of(self.node.core, request, exchange.token),
+            outcome_of(self.node.core, request, exchange.write_token),
         )
-        gone = exchange.http.notifyFinish()
-        gone.addErrback(exchange.disconnected, request)
+        disconnect = exchange.http.notifyFinish()
+        disconnect.addErrback(exchange.on_disconnect, request)
         exchange.running.addCallback(exchange.answer, request)
-        exchange.running.addErrback(self._crashed, exchange)
-        # Counted to its end only when its answer was written: a host that
-        # leaves waits for that.
+        exchange.running.addErrback(self._on_crash, exchange)
+        # Tracked after the answer's callbacks, so that a leaving host waits
+        # until the answer is written.
         self.node.track(exchange.running)
 
-    def _crashed(self, failure, exchange):
+    def _on_crash(self, failure, exchange):
         if failure.check(CancelledError):
             return
         self.node.core.count('request.crashed')
@@ -181,7 +181,7 @@
             exchange.finished = True
             abort(exchange.http)
 
-    def _parsed(self, http):
+    def _parse_request(self, http):
         if http.method != b'POST':
             return Refused(405, 'use POST', 'caller')
         if not http.path.startswith(_PREFIX):
@@ -190,9 +190,9 @@
         if refusal is not None:
             return refusal
         name = http.path[len(_PREFIX) :].decode('latin-1')
-        return self._request(http, name, self.node.in_force.snapshot)
+        return self._build_request(http, name, self.node.in_force.snapshot)
 
-    def _request(self, http, name, snapshot):
+    def _build_request(self, http, name, snapshot):
         team = team_of(snapshot, _header(http, b'authorization'))
         if isinstance(team, Refused):
             return team
@@ -202,9 +202,9 @@
         budget = deadline_of(_header(http, b'x-deadline-ms'), pipeline)
         key = key_of(_header(http, b'idempotency-key'))
         content = content_of(http.content.read())
-        for part in (budget, key, content):
-            if isinstance(part, Refused):
-                return part
+        for value in (budget, key, content):
+            if isinstance(value, Refused):
+                return value
         return Request(
             ident=self.node.next_ident(),
             name=name,
--- a/pollenstile/entry/_node.py
+++ b/pollenstile/entry/_node.py
@@ -1,4 +1,4 @@
-"""One entry host's shared state."""
+"""Shared state of one entry host."""
 
 import itertools
 
@@ -11,25 +11,31 @@
 
 
 class Node:
-    """What the faces of a host share.
+    """State that the HTTP resources of a host share.
 
     Parameters
     ==========
 
     core : Core
-        What requests depend on.
+        Components that requests use.
     in_force : InForce
-        The configuration.
+        The configuration in use.
+    metrics : Metrics
+        Counters and timings of the host.
     boot : str
-        Differs with every start, so that identifiers never repeat.
+        Identifier of this start, so that request identifiers never repeat.
 
     Attributes
     ==========
 
     claims : Claims or None
-        What requests with a key are run through.
+        Runs requests with an idempotency key at most once.
     placement : Placement or None
-        Orders engines, and knows which model each one holds.
+        Sends orders to engines, and tracks which model each one serves.
+    in_flight : int
+        Number of running requests.
+    leaving : bool
+        Whether the host is shutting down.
     """
 
     __slots__ = (
@@ -58,11 +64,11 @@
         self.idle_waiters = []
 
     def next_ident(self):
-        """Return a request identifier, unique over hosts and restarts."""
+        """Return a request identifier, unique across hosts and restarts."""
         return f'{self.core.host}-{self.boot}-{next(self.numbers)}'
 
     def refusal(self):
-        """Return why no request is taken now, or None."""
+        """Return a refusal if the host accepts no requests now, or None."""
         if self.leaving:
             return Refused(
                 _UNAVAILABLE,
@@ -78,12 +84,12 @@
         return None
 
     def track(self, running):
-        """Count a running request until it ends."""
+        """Count a request as in flight until it ends."""
         self.in_flight += 1
-        running.addBoth(self._ended)
+        running.addBoth(self._on_request_end)
 
     def idle(self):
-        """Return a Deferred that fires when nothing is in flight."""
+        """Return a Deferred that fires when no request is in flight."""
         if not self.in_flight:
             return succeed(None)
         waiter = Deferred()
@@ -91,7 +97,7 @@
         return waiter
 
     def status(self):
-        """Return what operators ask for, as a document."""
+        """Return the status document for operators."""
         snapshot = self.in_force.snapshot
         return {
             'host': self.core.host,
@@ -107,7 +113,7 @@
             'usage': process_usage(),
         }
 
-    def _ended(self, result):
+    def _on_request_end(self, result):
         self.in_flight -= 1
         if not self.in_flight:
             waiters = self.idle_waiters
--- a/pollenstile/entry/events.py
+++ b/pollenstile/entry/events.py
@@ -1,30 +1,35 @@
-"""Log events of the daemon."""
+"""Log events of an entry host's daemon."""
 
 from pollenstile.ops.events import define
 
 STARTED = define(8001, 'started', 'The host listens on these addresses.')
-READY = define(8002, 'ready', 'The host has a configuration and serves.')
+READY = define(
+    8002,
+    'ready',
+    'The host has a configuration and accepts requests.',
+)
 LEAVING = define(
     8003,
     'leaving',
-    'The host was told to stop; it finishes what is in flight.',
+    'The host is shutting down and finishes the requests in flight.',
 )
-STOPPED = define(8004, 'stopped', 'The host has finished and stops.')
+STOPPED = define(8004, 'stopped', 'The host has shut down.')
 CALLER_REFUSED = define(
     8005,
     'caller-refused',
-    'A request was refused before it became one: key, path or body.',
-    'Many from one team: its client is set up wrongly.',
+    'A request was refused before it was accepted: key, path or body.',
+    'Many from one team: its client is misconfigured.',
 )
 CRASHED = define(
     8006,
     'request-crashed',
-    'A fault of the program ended a request.',
-    'Report it with the whole line.',
+    'An unexpected exception ended a request.',
+    'Report it with the complete line.',
 )
 CUT_OFF = define(
     8007,
     'callers-cut-off',
-    'Callers did not read their answers for long, and the host has to leave.',
-    'Nothing; such callers have stopped or are cut off.',
+    'Connections of callers that did not read their answers were aborted at'
+    ' shutdown.',
+    'None; such callers have stopped or are unreachable.',
 )
--- a/pollenstile/pipeline/__init__.py
+++ b/pollenstile/pipeline/__init__.py
@@ -1,4 +1,4 @@
-"""How one request runs: stages, deadlines, attempts, outcomes."""
+"""Execution of a pipeline request: stages, deadlines, attempts, outcomes."""
 
 from pollenstile.pipeline._core import Core
 from pollenstile.pipeline._ledger import Ledger
--- a/pollenstile/pipeline/_assembly.py
+++ b/pollenstile/pipeline/_assembly.py
@@ -1,15 +1,15 @@
-"""Putting a stream together from chunks of several attempts."""
+"""Assembly of one token stream from the chunks of several attempts."""
 
 
 class Assembly:
-    """Tokens of one stream that were passed on.
+    """Tokens of one stream that were accepted in order.
 
     Explanation
     ===========
 
-    Chunks carry the offset of their token. A chunk before the next offset is a
-    repeat and is dropped; one after it shows a gap, and the attempt that sent
-    it can't be trusted with the rest.
+    Each chunk carries the offset of its token. A chunk before the next offset
+    is a duplicate and is dropped. A chunk after it shows a gap: the attempt
+    that sent it has lost tokens and must fail.
 
     Examples
     ========
@@ -28,7 +28,7 @@
         self.parts = []
 
     def accepts(self, offset, text):
-        """Return whether the token was the next one; keep it if so."""
+        """Append the token if it is the next one; return whether it was."""
         if offset != len(self.parts):
             return False
         self.parts.append(text)
@@ -43,5 +43,5 @@
         return len(self.parts)
 
     def text(self):
-        """Return all tokens in one text."""
+        """Return the concatenated tokens."""
         return ''.join(self.parts)
--- a/pollenstile/pipeline/_attempts.py
+++ b/pollenstile/pipeline/_attempts.py
@@ -1,10 +1,10 @@
-"""Attempts of one stage that are in flight."""
+"""Sends and tracks the attempts of one stage."""
 
 from functools import partial
 
 from pollenstile.limits import CANCELLED
 from pollenstile.pipeline import events
-from pollenstile.pipeline._learning import learn_slow
+from pollenstile.pipeline._learning import record_slow_attempt
 from pollenstile.routing import Hints, cache_key
 from pollenstile.upstream import Call, Lost
 
@@ -12,35 +12,37 @@
 
 
 class Attempt:
-    """One call in flight.
+    """One call to an upstream.
 
     Parameters
     ==========
 
     number : int
-        From 1, within its stage.
+        Number within its stage, from 1.
     ident : str
-        Unique over all requests; what comes back must carry it.
+        Unique over all requests; replies and chunks must carry it.
     choice : Choice
-        The upstream that has it.
+        The upstream that the call is sent to.
     started : float
-        On the clock, in seconds.
+        Time at which it was sent, on the clock, in seconds.
 
     Attributes
     ==========
 
-    heard : float
-        When its last chunk came, on the clock, in seconds.
+    last_chunk_at : float
+        Time of its last chunk, on the clock, in seconds.
+    has_output : bool
+        Whether a chunk has arrived.
     """
 
     __slots__ = (
         'cancel',
         'choice',
         'cost',
-        'heard',
+        'has_output',
         'ident',
+        'last_chunk_at',
         'number',
-        'progress',
         'started',
         'timer',
     )
@@ -48,29 +50,41 @@
     def __init__(self, number, ident, choice, started):
         self.number = number
         self.ident = ident
-        self.heard = started
+        self.last_chunk_at = started
         self.choice = choice
         self.started = started
         self.timer = None
         self.cancel = None
-        self.progress = False
+        self.has_output = False
         self.cost = 0.0
 
 
 class Attempts:
-    """Calls of one stage: sent, in flight, and what they cost.
+    """Attempts of one stage: sent, in flight, and their cost.
 
     Parameters
     ==========
 
     core : Core
-        What the host offers.
+        Components of the host.
     request : Request
         The request that the stage belongs to.
     stage : Stage
-        As declared.
+        The stage's declaration.
     content : object
         The stage's input.
+
+    Attributes
+    ==========
+
+    in_flight : dict
+        Maps numbers of attempts to attempts that have not ended.
+    tried : list of str
+        Upstreams that got an attempt.
+    number : int
+        Number of attempts sent.
+    may_have_run : bool
+        Whether any ended attempt may have run.
     """
 
     __slots__ = (
@@ -78,7 +92,7 @@
         'content',
         'core',
         'cost',
-        'live',
+        'in_flight',
         'may_have_run',
         'number',
         'pool',
@@ -93,7 +107,7 @@
         self.stage = stage
         self.content = content
         self.pool = request.snapshot.manifest.pools[stage.pool]
-        self.live = {}
+        self.in_flight = {}
         self.tried = []
         self.number = 0
         self.cost = 0
@@ -106,19 +120,19 @@
                 request.content,
             )
 
-    def choice(self):
-        """Return the upstream for the next attempt, None when there is none.
+    def select_upstream(self):
+        """Return the upstream for the next attempt, None if there is none.
 
         Explanation
         ===========
 
-        One that was not tried yet is preferred; when all were tried and none
-        is at work, any may be tried again.
+        An upstream that was not tried yet is preferred. If all were tried and
+        no attempt is in flight, any upstream may be tried again.
         """
-        found = self._chosen(self.tried)
-        if found is None and self.tried and not self.live:
-            return self._chosen(())
-        return found
+        choice = self._select_upstream(self.tried)
+        if choice is None and self.tried and not self.in_flight:
+            return self._select_upstream(())
+        return choice
 
     def send(self, choice, why, timeout, assembly, sink):
         """Hand a new attempt to the transport.
@@ -127,21 +141,21 @@
         ==========
 
         choice : Choice
-            Where it goes.
+            The upstream to send it to.
         why : str
-            For the log.
+            Reason for the log: first, retry or hedge.
         timeout : float
             Seconds until the attempt counts as lost.
         assembly : Assembly
-            Tokens that came already.
+            Tokens that have arrived already.
         sink : function
-            Takes the attempt and each event of it.
+            Takes the attempt and each of its events.
         """
         self.number += 1
         clock = self.core.clock
         ident = f'{self.request.ident}/{self.stage.name}/{self.number}'
         attempt = Attempt(self.number, ident, choice, clock.seconds())
-        self.live[attempt.number] = attempt
+        self.in_flight[attempt.number] = attempt
         self.tried.append(choice.name)
         self._log_route(attempt, why)
         self.core.ledger.dispatch(
@@ -160,37 +174,37 @@
         attempt.cancel = self.core.transport(
             choice.name,
             choice.upstream,
-            self._call(attempt, timeout, assembly),
+            self._build_call(attempt, timeout, assembly),
             partial(sink, attempt),
         )
 
-    def release(self, attempt, load=None, *, failed=False, worked=0):
-        """Note that an attempt has ended.
+    def release(self, attempt, load=None, *, failed=False, busy_seconds=0):
+        """Record that an attempt has ended.
 
         Parameters
         ==========
 
         load : Load or None
-            The report that came with its end.
+            The load report that was part of the upstream's answer.
         failed : bool
-            Whether that is a sign against the upstream.
+            Whether it counts as a failure of the upstream.
         worked : float
-            Seconds that the upstream says it worked; 0 when it does not.
+            Processing time that the upstream reports; 0 if it reports none.
         """
-        self.live.pop(attempt.number, None)
+        self.in_flight.pop(attempt.number, None)
         if attempt.timer.active():
             attempt.timer.cancel()
         self.core.tracker.ended(attempt.choice.name, load, failed=failed)
-        cost = (worked or self.took(attempt)) * self.pool.cost
+        cost = (busy_seconds or self.elapsed_seconds(attempt)) * self.pool.cost
         attempt.cost = cost
         self.cost += cost
 
-    def took(self, attempt):
+    def elapsed_seconds(self, attempt):
         """Return seconds since an attempt was sent."""
         return self.core.clock.seconds() - attempt.started
 
     def charge(self, attempt, kind):
-        """Enter an attempt's cost in the accounts of stage and team."""
+        """Add an attempt's cost to the account of its stage and team."""
         self.core.costs.add(
             self.stage.name,
             self.request.team,
@@ -199,7 +213,7 @@
         )
 
     def give_back(self, attempt):
-        """Note that an attempt is known not to have run."""
+        """Record that an attempt is known not to have run."""
         self.cost -= attempt.cost
         self.core.ledger.give_back(
             self.request,
@@ -208,49 +222,49 @@
         )
 
     def drop(self, attempt):
-        """Cancel an attempt that nobody waits for any more."""
-        learn_slow(self, attempt)
+        """Cancel an attempt whose result is no longer needed."""
+        record_slow_attempt(self, attempt)
         self.release(attempt)
         self.charge(attempt, CANCELLED)
         self.core.count('attempt.cancelled')
-        self.cut(attempt)
+        self.abandon(attempt)
 
-    def cut(self, attempt):
+    def abandon(self, attempt):
         """Close the connection of an attempt that may have run."""
         self.may_have_run = True
-        self.core.ledger.cut(self.request, attempt.ident)
+        self.core.ledger.abandon(self.request, attempt.ident)
         if attempt.cancel is not None:
             attempt.cancel()
 
     def drop_all(self, kept=None):
-        """Cancel all attempts in flight, but one that is kept."""
-        for attempt in list(self.live.values()):
+        """Cancel all attempts in flight except ``kept``."""
+        for attempt in list(self.in_flight.values()):
             if attempt is kept:
                 continue
             self.drop(attempt)
 
-    def _chosen(self, excluded):
+    def _select_upstream(self, excluded):
         return self.core.choose(
             self.pool,
             self.core.tracker,
             self.core.domain,
             self.core.rng,
             excluded,
-            self._hints(),
+            self._routing_hints(),
         )
 
-    def _hints(self):
+    def _routing_hints(self):
         return Hints(
             self.core.concurrency.slowness,
             self.core.concurrency.is_over,
             self.cache_key,
-            self._holds if self.stage.model else None,
+            self._serves_model if self.stage.model else None,
         )
 
-    def _holds(self, name):
+    def _serves_model(self, name):
         return self.core.holds(name, self.stage.model)
 
-    def _call(self, attempt, timeout, assembly):
+    def _build_call(self, attempt, timeout, assembly):
         return Call(
             attempt=attempt.ident,
             step=self.stage.name,
--- a/pollenstile/pipeline/_core.py
+++ b/pollenstile/pipeline/_core.py
@@ -1,4 +1,4 @@
-"""What running a request depends on."""
+"""Shared dependencies of all requests that an entry host runs."""
 
 from dataclasses import dataclass, field
 
@@ -7,63 +7,65 @@
 from pollenstile.routing import choose_upstream
 
 
-def _count_nothing(name, number=1):
-    """Count nothing."""
+def _ignore_count(name, number=1):
+    """Ignore a metric; the default without metrics."""
 
 
-def _hold_all(engine, model):
-    """Return True: every engine holds what its pool declares."""
+def _assume_served(engine, model):
+    """Return True: without placement an engine serves its pool's models."""
     return True
 
 
-def _demand_nothing(request):
-    """Count no demand."""
+def _ignore_demand(request):
+    """Ignore a request's demand; the default without placement."""
 
 
 @dataclass(slots=True)
 class Core:
-    """Parts of one entry host that requests share.
+    """Components of one entry host that all requests share.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        Real, or virtual under test.
+        The reactor, or a virtual clock in tests.
     rng : random.Random
-        Seeded under test.
+        Random numbers; seeded in tests.
     host : str
-        The host's name, part of request identifiers.
+        The host's name, which is part of request identifiers.
     domain : str
         The host's failure domain.
     transport : function
         Starts a call; see :mod:`pollenstile.upstream`.
     tracker : Tracker
-        State of upstreams and times of stages.
+        State of upstreams and measured times of stages.
     retries : RetryBudget
-        Shared by retries and hedges.
+        Budget that retries and hedges share.
     ledger : Ledger
-        Asserts the invariants.
+        Checks the invariants of requests.
     concurrency : Concurrency
-        Adaptive limits of upstreams.
+        Adaptive concurrency limits of upstreams.
     admission : Admission
-        Lets requests start.
+        Admits requests, or refuses them.
     costs : CostAccount
-        Cost by stage and team, wasted work included.
+        Cost by stage and team, including wasted work.
     claims : function or None
-        ``await claims(request, run)`` returns the outcome of a keyed request,
-        that of ``await run()`` or that of the one which holds the key.
+        ``await claims(request, run)`` returns the outcome of a request with an
+        idempotency key: that of ``await run()``, or that of the earlier
+        request that holds the key.
     holds : function
-        Takes an engine and a model, returns whether it takes work for it.
+        Takes the names of an engine and a model; returns whether the engine
+        accepts work for the model.
     demand : function
-        Takes a request that is accepted, to count its calls by model.
+        Counts the calls of an accepted request by model.
     choose : function
-        Picks an upstream; see :func:`pollenstile.routing.choose_upstream`.
+        Selects an upstream; see :func:`pollenstile.routing.choose_upstream`.
     log : function
-        Writes events.
+        Logs an event.
     count : function
-        Takes a metric's name and a number.
+        Takes a metric's name and the number to add.
     timing : function
-        Takes a metric's name and milliseconds.
+        Takes a metric's name and a duration in milliseconds.
     """
 
     clock: object
@@ -78,9 +80,9 @@
     admission: object
     costs: object = field(default_factory=CostAccount)
     claims: object = None
-    holds: object = _hold_all
-    demand: object = _demand_nothing
+    holds: object = _assume_served
+    demand: object = _ignore_demand
     choose: object = choose_upstream
     log: object = silent_log
-    count: object = _count_nothing
-    timing: object = _count_nothing
+    count: object = _ignore_count
+    timing: object = _ignore_count
--- a/pollenstile/pipeline/_decisions.py
+++ b/pollenstile/pipeline/_decisions.py
@@ -1,39 +1,39 @@
-"""Decisions over one request, without input or output.
+"""Pure functions that decide on budgets, timeouts, retries and hedges.
 
 Explanation
 ===========
 
-All times are in seconds. ``expected`` is a stage's usual time, from measured
-quantiles or, before there are any, from the manifest.
+All times are in seconds. ``expected`` is a stage's expected time, from
+measured quantiles or, before there are any, from the manifest.
 """
 
-# A first attempt gets this many times its usual time, when a second one
-# could still follow in what is left.
-_PATIENCE = 3.0
+# Timeout of an attempt in multiples of its expected time, if the remaining
+# time allows another attempt after it.
+_TIMEOUT_FACTOR = 3.0
 
-# Shorter waits would cut calls for the jitter of a busy host, in seconds.
-_LEAST_PATIENCE = 0.1
+# With shorter timeouts the scheduling jitter of a busy host would cancel calls.
+_MIN_TIMEOUT_SECONDS = 0.1
 
 
 def stage_budget(remaining, later, own=0.0):
-    """Return what a stage may take, leaving their usual time to later ones.
+    """Return a stage's time budget, reserving expected times of later stages.
 
     Explanation
     ===========
 
-    When not even usual times fit, what is left is shared in proportion to
-    them: a stage cut to nothing would fail a request that a fast later stage
-    might still have saved.
+    If the expected times do not fit, the remaining time is shared in
+    proportion to them: a stage without any budget would fail a request that a
+    fast later stage might still complete in time.
 
     Parameters
     ==========
 
     remaining : float
-        Until the request's deadline.
+        Time until the request's deadline.
     later : list of float
-        Usual times of the stages after it.
+        Expected times of the stages after it.
     own : float
-        The stage's own usual time.
+        The stage's own expected time.
 
     Examples
     ========
@@ -53,13 +53,14 @@
 
 
 def attempt_timeout(budget, expected, attempts_left):
-    """Return how long one attempt may take.
+    """Return the timeout of one attempt.
 
     Explanation
     ===========
 
-    The last attempt gets all that is left. An earlier one is cut after a few
-    times its usual time, so that a frozen upstream leaves room for another.
+    The last attempt gets the whole budget. An earlier one times out after a
+    few times its expected time, so that a frozen upstream leaves enough time
+    for another attempt.
 
     Examples
     ========
@@ -74,21 +75,21 @@
     """
     if attempts_left == 0:
         return budget
-    patience = max(_LEAST_PATIENCE, _PATIENCE * expected)
-    if patience + expected > budget:
+    timeout = max(_MIN_TIMEOUT_SECONDS, _TIMEOUT_FACTOR * expected)
+    if timeout + expected > budget:
         return budget
-    return patience
+    return timeout
 
 
-def worth_sending(stage, budget, expected):
-    """Return whether a call has enough time to be worth sending.
+def has_enough_time(stage, budget, expected):
+    """Return whether the remaining time justifies sending a call.
 
     Explanation
     ===========
 
-    A call that is cut off by its deadline is work for nobody, and a
-    non-idempotent one leaves its caller with an unknown outcome. So an
-    idempotent call needs half its usual time, a non-idempotent one all of it.
+    A call that its deadline interrupts is wasted work, and a non-idempotent
+    one leaves its caller with an unknown outcome. So an idempotent call needs
+    half its expected time, a non-idempotent one all of it.
 
     Examples
     ========
@@ -106,26 +107,27 @@
 
 
 def may_retry(stage, failures, remaining, expected, *, may_have_run):
-    """Return whether another attempt is allowed and makes sense.
+    """Return whether another attempt is allowed and has enough time.
 
     Explanation
     ===========
 
-    A call that may have run is sent again only when it is idempotent: the
-    failure shows as a lost answer, and a second run of a ticket would send two
-    vans. A call that is known not to have run may go elsewhere.
+    A call that may have run is retried only if it is idempotent: a lost answer
+    does not show whether the call ran, and a ticket that is filed twice would
+    send two vans. A call that is known not to have run may be sent to another
+    upstream.
 
     Parameters
     ==========
 
     stage : Stage
-        As declared.
+        The stage's declaration.
     failures : int
-        Attempts that have failed.
+        Number of failed attempts.
     remaining : float
-        Until the stage must end.
+        Time until the stage's deadline.
     expected : float
-        The stage's usual time.
+        The stage's expected time.
     may_have_run : bool
         Whether any failed attempt may have run.
 
@@ -140,27 +142,27 @@
     >>> may_retry(once, 1, 1.0, 0.1, may_have_run=False)
     True
     """
-    if not worth_sending(stage, remaining, expected):
+    if not has_enough_time(stage, remaining, expected):
         return False
     if may_have_run:
         return stage.idempotent and failures < stage.attempts
     return failures <= stage.attempts
 
 
-def hedge_helps(choice):
-    """Return whether a second attempt would not queue.
+def hedge_avoids_queue(choice):
+    """Return whether a hedge would start without waiting in a queue.
 
     Explanation
     ===========
 
-    One that would queue only adds load, and adds it when there is too much
-    already. Whether it could end in time, :func:`worth_sending` tells.
+    A hedge that waits in a queue only adds load to an overloaded pool.
+    :func:`has_enough_time` checks whether a hedge can end in time.
 
     Parameters
     ==========
 
     choice : Choice
-        Where the second attempt would go.
+        The upstream that would get the hedge.
 
     Examples
     ========
--- a/pollenstile/pipeline/_learning.py
+++ b/pollenstile/pipeline/_learning.py
@@ -1,72 +1,77 @@
-"""What the times of attempts tell of upstreams."""
+"""Records the times of attempts for quantiles and concurrency limits."""
 
 _MS = 1000
-_USUAL = 50
+_MEDIAN_PERCENT = 50
 
 
-def learn_reply(attempts, attempt, reply):
-    """Take in the time of a call that was answered whole.
+def record_reply(attempts, attempt, reply):
+    """Record the time of a call that was answered completely.
 
     Explanation
     ===========
 
-    Its usual time is the time that upstreams say they work on it: time in
-    their queues, which is what limits are about, is not part of it.
+    The expected time of a call is derived from the processing time that
+    upstreams report. It excludes time in their queues, because the concurrency
+    limits are there to control queueing.
 
     Parameters
     ==========
 
     attempts : Attempts
-        Of the stage.
+        The stage's attempts.
     attempt : Attempt
-        That was answered.
+        The attempt that was answered.
     reply : Reply
-        Its answer.
+        Its reply.
     """
-    took = attempts.took(attempt)
-    worked = reply.busy_ms / _MS
-    _sample(attempts, attempt, reply.load)
+    elapsed_seconds = attempts.elapsed_seconds(attempt)
+    busy_seconds = reply.busy_ms / _MS
+    _record_sample(attempts, attempt, reply.load)
     key = _time_key(attempts, 'attempt')
-    attempts.core.tracker.measured(key, min(took, worked or took))
+    attempts.core.tracker.measured(
+        key, min(elapsed_seconds, busy_seconds or elapsed_seconds)
+    )
 
 
-def learn_slow(attempts, attempt):
-    """Take in a call that was given up after more than its usual time.
+def record_slow_attempt(attempts, attempt):
+    """Record a call that was abandoned after more than its usual time.
 
     Explanation
     ===========
 
-    An upstream that has become very slow answers nothing in time. If only
-    answers counted it would look as fast as before, and every request would
-    go on finding out for itself.
+    An upstream that has become very slow answers no call in time. If only
+    answers were recorded, its measured latency would not rise, and requests
+    would still be routed to it.
     """
-    if attempts.took(attempt) > _usual(attempts):
-        _sample(attempts, attempt, None)
+    if attempts.elapsed_seconds(attempt) > _median_seconds(attempts):
+        _record_sample(attempts, attempt, None)
 
 
-def learn_first(attempts, attempt):
-    """Take in the time until a stream's first token."""
-    took = attempts.took(attempt)
-    attempts.core.tracker.measured(_time_key(attempts, 'first'), took)
+def record_first_token(attempts, attempt):
+    """Record the time until a stream's first token."""
+    elapsed_seconds = attempts.elapsed_seconds(attempt)
+    attempts.core.tracker.measured(
+        _time_key(attempts, 'first'), elapsed_seconds
+    )
 
 
-def _time_key(attempts, sign):
-    return (attempts.request.name, attempts.stage.name, sign)
+def _time_key(attempts, measure):
+    return (attempts.request.name, attempts.stage.name, measure)
 
 
-def _usual(attempts):
+def _median_seconds(attempts):
     declared = attempts.stage.expect_ms / _MS
     key = _time_key(attempts, 'attempt')
-    return attempts.core.tracker.quantile(key, _USUAL, declared)
+    return attempts.core.tracker.quantile(key, _MEDIAN_PERCENT, declared)
 
 
-def _sample(attempts, attempt, load):
+def _record_sample(attempts, attempt, load):
     choice = attempt.choice
     attempts.core.concurrency.sample(
         choice.name,
         choice.upstream.slots,
         attempts.core.tracker.state(choice.name).in_flight,
-        attempts.took(attempt),
-        _usual(attempts),
+        attempts.elapsed_seconds(attempt),
+        _median_seconds(attempts),
         load,
     )
--- a/pollenstile/pipeline/_ledger.py
+++ b/pollenstile/pipeline/_ledger.py
@@ -1,42 +1,75 @@
-"""Invariants that are asserted while the program runs."""
+"""Run-time checks of the invariants of requests."""
 
 from pollenstile.pipeline.events import INVARIANT_BROKEN
 
 
-class Entry:
-    """What was seen of one request."""
+class RequestRecord:
+    """Recorded attempts and results of one open request.
 
-    __slots__ = ('consumed', 'cut', 'dispatched', 'handed', 'returned')
+    Attributes
+    ==========
+
+    dispatched : set of str
+        Attempts that were handed to the transport.
+    abandoned : set of str
+        Attempts whose result is no longer awaited.
+    returned : set of str
+        Attempts that are known not to have run.
+    consumed : set of str
+        Stages that have a result.
+    handed_over : set of str
+        Non-idempotent stages with an attempt that may have run.
+    """
+
+    __slots__ = (
+        'abandoned',
+        'consumed',
+        'dispatched',
+        'handed_over',
+        'returned',
+    )
 
     def __init__(self):
         self.dispatched = set()
-        self.cut = set()
+        self.abandoned = set()
         self.returned = set()
         self.consumed = set()
-        self.handed = set()
+        self.handed_over = set()
 
 
 class Ledger:
-    """Open requests and what must hold for each.
+    """Checks invariants of open requests.
 
     Explanation
     ===========
 
-    Each accepted request has one final outcome. Each stage's result is
-    consumed once, by its own request, and never from an attempt that was cut.
-    An answer made here has a result of every stage. *Not run* is said only
-    when every dispatched attempt was returned unrun. A non-idempotent stage
-    is handed over once unless the attempt before it was returned unrun. A
-    broken invariant is logged and counted; the request goes on, because a
-    refusal after the fact would not be truthful either.
+    - Each accepted request has exactly one final outcome.
+    - Each stage's result is consumed once, by its own request, and never from
+      an abandoned attempt.
+    - An answer that this host computed has a result of every stage.
+    - *Not run* is reported only if every dispatched attempt is known not to
+      have run.
+    - A non-idempotent stage is dispatched once, unless the attempt before is
+      known not to have run.
+
+    A violation is logged and counted. The request continues, because a
+    refusal at that point could be false as well.
 
     Parameters
     ==========
 
     log : function
-        Writes events.
+        Logs an event.
     count : function
         Takes a metric's name.
+
+    Attributes
+    ==========
+
+    open : dict
+        Maps the identifier of an open request to its record.
+    broken : list of tuple
+        Name of the invariant and identifier of the request, by violation.
     """
 
     __slots__ = ('broken', 'count', 'log', 'open')
@@ -48,79 +81,85 @@
         self.broken = []
 
     def accept(self, request):
-        """Note a request that was accepted."""
+        """Record an accepted request."""
         if request.ident in self.open:
-            self._break('accepted-twice', request.ident)
-        self.open[request.ident] = Entry()
+            self._report_violation('accepted-twice', request.ident)
+        self.open[request.ident] = RequestRecord()
 
     def dispatch(self, request, step, attempt, *, idempotent):
-        """Note that an attempt is about to be handed to a transport."""
-        entry = self._entry(request, 'dispatch-after-outcome')
-        if entry is None:
+        """Record that an attempt is about to be handed to the transport."""
+        record = self._find_record(request, 'dispatch-after-outcome')
+        if record is None:
             return
-        entry.dispatched.add(attempt)
+        record.dispatched.add(attempt)
         if idempotent:
             return
-        if step in entry.handed:
-            self._break('handed-over-twice', request.ident, step=step)
-        entry.handed.add(step)
+        if step in record.handed_over:
+            self._report_violation(
+                'handed-over-twice', request.ident, step=step
+            )
+        record.handed_over.add(step)
 
     def give_back(self, request, step, attempt):
-        """Note that an attempt is known not to have run."""
-        entry = self.open.get(request.ident)
-        if entry is None:
+        """Record that an attempt is known not to have run."""
+        record = self.open.get(request.ident)
+        if record is None:
             return
-        entry.returned.add(attempt)
-        entry.handed.discard(step)
+        record.returned.add(attempt)
+        record.handed_over.discard(step)
 
-    def cut(self, request, attempt):
-        """Note that nobody waits for an attempt any more."""
-        entry = self.open.get(request.ident)
-        if entry is not None:
-            entry.cut.add(attempt)
+    def abandon(self, request, attempt):
+        """Record that the result of an attempt is no longer awaited."""
+        record = self.open.get(request.ident)
+        if record is not None:
+            record.abandoned.add(attempt)
 
     def consume(self, request, step, attempt):
-        """Note that an attempt's result is the stage's result."""
-        entry = self._entry(request, 'consumed-after-outcome')
-        if entry is None:
+        """Record that an attempt's result is used as the stage's result."""
+        record = self._find_record(request, 'consumed-after-outcome')
+        if record is None:
             return
-        if attempt not in entry.dispatched:
-            self._break('foreign-result', request.ident, step=step)
-        if attempt in entry.cut:
-            self._break('consumed-after-cut', request.ident, step=step)
-        if step in entry.consumed:
-            self._break('consumed-twice', request.ident, step=step)
-        entry.consumed.add(step)
+        if attempt not in record.dispatched:
+            self._report_violation('foreign-result', request.ident, step=step)
+        if attempt in record.abandoned:
+            self._report_violation(
+                'consumed-after-cut', request.ident, step=step
+            )
+        if step in record.consumed:
+            self._report_violation('consumed-twice', request.ident, step=step)
+        record.consumed.add(step)
 
     def finish(self, request, outcome):
-        """Note a request's final outcome."""
-        entry = self.open.pop(request.ident, None)
-        if entry is None:
-            self._break('two-outcomes', request.ident, outcome=outcome.tag)
+        """Record a request's final outcome."""
+        record = self.open.pop(request.ident, None)
+        if record is None:
+            self._report_violation(
+                'two-outcomes', request.ident, outcome=outcome.tag
+            )
             return
-        if outcome.tag == 'not-run' and entry.dispatched - entry.returned:
-            self._break('not-run-but-dispatched', request.ident)
-        # A repeat that gets the answer of an earlier run dispatches nothing.
-        if outcome.tag == 'answered' and entry.dispatched:
-            self._check_stages(request, entry)
+        if outcome.tag == 'not-run' and record.dispatched - record.returned:
+            self._report_violation('not-run-but-dispatched', request.ident)
+        # A repeated request that gets an earlier run's answer has no attempts.
+        if outcome.tag == 'answered' and record.dispatched:
+            self._check_stages(request, record)
 
     def crash(self, request):
-        """Note that a fault of the program ended a request."""
+        """Record that an unexpected exception ended a request."""
         self.open.pop(request.ident, None)
-        self._break('no-outcome', request.ident)
+        self._report_violation('no-outcome', request.ident)
 
-    def _check_stages(self, request, entry):
+    def _check_stages(self, request, record):
         for stage in request.pipeline.stages:
-            if stage.name not in entry.consumed:
-                self._break('answer-incomplete', request.ident)
+            if stage.name not in record.consumed:
+                self._report_violation('answer-incomplete', request.ident)
 
-    def _entry(self, request, name):
-        entry = self.open.get(request.ident)
-        if entry is None:
-            self._break(name, request.ident)
-        return entry
+    def _find_record(self, request, name):
+        record = self.open.get(request.ident)
+        if record is None:
+            self._report_violation(name, request.ident)
+        return record
 
-    def _break(self, name, ident, **fields):
+    def _report_violation(self, name, ident, **fields):
         self.broken.append((name, ident))
         self.count('invariant.broken')
         self.log(
--- a/pollenstile/pipeline/_request.py
+++ b/pollenstile/pipeline/_request.py
@@ -1,11 +1,11 @@
-"""An accepted request, as the pipeline's code sees it."""
+"""A caller's request for a pipeline."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """What a caller asked, under the configuration it was admitted under.
+    """A decoded request and the configuration that applies to it.
 
     Parameters
     ==========
@@ -15,15 +15,15 @@
     name : str
         The pipeline's name.
     snapshot : Snapshot
-        Configuration that holds for the whole request.
+        Configuration that applies until the request ends.
     team : str
-        The caller.
+        The calling team.
     content : object
-        The caller's input, of JSON's types.
+        The caller's input, decoded from JSON.
     deadline : float
-        On the host's clock, in seconds.
+        Time on the host's clock, in seconds.
     key : str
-        Idempotency key; empty when the caller gave none.
+        Idempotency key; empty if the caller sent none.
     """
 
     ident: str
@@ -36,5 +36,5 @@
 
     @property
     def pipeline(self):
-        """The declared pipeline."""
+        """The declaration of the requested pipeline."""
         return self.snapshot.manifest.pipelines[self.name]
--- a/pollenstile/pipeline/_run.py
+++ b/pollenstile/pipeline/_run.py
@@ -1,4 +1,4 @@
-"""One request from admission to its final outcome."""
+"""Runs one request from admission to its final outcome."""
 
 from functools import partial
 
@@ -15,19 +15,19 @@
 
 
 def _ignore_token(text):
-    """Take a token that nobody waits for."""
+    """Discard a token of a stream that is not passed on."""
 
 
 async def outcome_of(core, request, on_token=_ignore_token):
-    """Run a request and return its one outcome.
+    """Run a request and return its final outcome.
 
     Parameters
     ==========
 
     core : Core
-        What the host offers.
+        Components of the host.
     request : Request
-        Authenticated, and decoded.
+        The authenticated and decoded request.
     on_token : function
         Takes each token of the last stage's stream, in order.
 
@@ -40,44 +40,44 @@
     core.ledger.accept(request)
     core.demand(request)
     try:
-        outcome = await _admitted_outcome(core, request, on_token)
+        outcome = await _run_admitted(core, request, on_token)
     except CancelledError:
         outcome = _cancelled_outcome(request)
     except Exception:
-        # Left open, the request would be counted as running for good.
+        # Without this the request would be counted as running forever.
         core.ledger.crash(request)
         raise
-    return _finished(core, request, outcome)
+    return _record_outcome(core, request, outcome)
 
 
 def _cancelled_outcome(request):
-    # Whoever cancels a non-idempotent request may do so while its call runs.
-    # `Failed` would tell a caller that asking again is safe.
+    # A non-idempotent request may be cancelled while its call runs. With
+    # `Failed` the caller would assume that it is safe to retry.
     kind = Failed if request.pipeline.idempotent else Unknown
     return kind('cancelled', 'caller', '')
 
 
-async def _admitted_outcome(core, request, on_token):
+async def _run_admitted(core, request, on_token):
     refusal = await core.admission.admit(request)
     if refusal is not None:
         return refusal
     try:
-        return await _claimed_outcome(core, request, on_token)
+        return await _run_claimed(core, request, on_token)
     finally:
         core.admission.request_ended(request)
 
 
-async def _claimed_outcome(core, request, on_token):
+async def _run_claimed(core, request, on_token):
     if core.claims is None or request.pipeline.idempotent or not request.key:
-        return await _stages_outcome(core, request, on_token)
-    run = partial(_stages_outcome, core, request, on_token)
+        return await _run_stages(core, request, on_token)
+    run = partial(_run_stages, core, request, on_token)
     return await core.claims(request, run)
 
 
-def _finished(core, request, outcome):
+def _record_outcome(core, request, outcome):
     core.ledger.finish(request, outcome)
     core.count(f'outcome.{outcome.tag}')
-    left = request.deadline - core.clock.seconds()
+    remaining = request.deadline - core.clock.seconds()
     core.log(
         events.FINISHED,
         request=request.ident,
@@ -87,58 +87,60 @@
         reason=getattr(outcome, 'reason', ''),
         step=getattr(outcome, 'step', ''),
         peer=getattr(outcome, 'peer', ''),
-        left_ms=int(left * 1000),
+        left_ms=int(remaining * 1000),
     )
     return outcome
 
 
-async def _stages_outcome(core, request, on_token):
+async def _run_stages(core, request, on_token):
     outputs = {}
     cost = {}
     stages = request.pipeline.stages
     output = None
-    for place, stage in enumerate(stages):
-        is_last = place + 1 == len(stages)
+    for index, stage in enumerate(stages):
+        is_last = index + 1 == len(stages)
         run = StageRun(
             core,
             request,
             stage,
-            _stage_input(request, stages, place, outputs),
-            _stage_end(core, request, stages[place:]),
+            _stage_input(request, stages, index, outputs),
+            _stage_deadline(core, request, stages[index:]),
             on_token if is_last else _ignore_token,
         )
         result = await run.start()
         core.admission.stage_ended(request, stage)
         cost[stage.name] = result.cost
         if isinstance(result, StageFailed):
-            for done in stages[:place]:
-                core.costs.abandon(done.name, request.team, cost[done.name])
-            return _failure_outcome(request, stage, result, cost, place)
+            for completed in stages[:index]:
+                core.costs.abandon(
+                    completed.name, request.team, cost[completed.name]
+                )
+            return _failure_outcome(request, stage, result, cost, index)
         output = result.output
         outputs[stage.name] = output
     return Answered(output, cost)
 
 
-def _stage_input(request, stages, place, outputs):
-    needs = stages[place].needs
-    if not needs and place:
-        needs = [stages[place - 1].name]
+def _stage_input(request, stages, index, outputs):
+    needs = stages[index].needs
+    if not needs and index:
+        needs = [stages[index - 1].name]
     return {
         'input': request.content,
         'results': {need: outputs[need] for need in needs},
     }
 
 
-def _stage_end(core, request, left):
+def _stage_deadline(core, request, stages):
     now = core.clock.seconds()
     own, *later = [
-        expected_time(request.name, stage, core.tracker) for stage in left
+        expected_time(request.name, stage, core.tracker) for stage in stages
     ]
     return now + stage_budget(request.deadline - now, later, own)
 
 
-def _failure_outcome(request, stage, result, cost, place):
-    ran = place > 0 or result.may_have_run
+def _failure_outcome(request, stage, result, cost, index):
+    ran = index > 0 or result.may_have_run
     if result.may_have_run and not stage.idempotent:
         return Unknown(result.reason, stage.name, result.peer, cost)
     if ran:
--- a/pollenstile/pipeline/_stage.py
+++ b/pollenstile/pipeline/_stage.py
@@ -1,4 +1,4 @@
-"""One stage of one request, until its single result."""
+"""Runs one stage of a request: attempts, hedges and retries."""
 
 from dataclasses import dataclass
 
@@ -10,28 +10,28 @@
 from pollenstile.pipeline._attempts import Attempts
 from pollenstile.pipeline._decisions import (
     attempt_timeout,
-    hedge_helps,
+    has_enough_time,
+    hedge_avoids_queue,
     may_retry,
-    worth_sending,
 )
 from pollenstile.pipeline._learning import (
-    learn_first,
-    learn_reply,
-    learn_slow,
+    record_first_token,
+    record_reply,
+    record_slow_attempt,
 )
 from pollenstile.upstream import Chunk, Lost, NotRun, Rejected, Reply
 
 _MS = 1000
-_HEDGE_PERCENT = 95
-# A rest of time too small to be added to the clock's reading would be waited
-# for again and again at one and the same instant.
-_LEAST_WAIT = 0.001
+_HEDGE_PERCENTILE = 95
+# A wait that is too short to change the clock's floating-point reading would
+# be scheduled again and again at the same instant.
+_MIN_WAIT_SECONDS = 0.001
 _HEDGE_FACTOR = 2
 
 
 @dataclass(slots=True, frozen=True)
 class StageDone:
-    """The stage's result and what it cost."""
+    """The stage's result and its cost."""
 
     output: object
     cost: float
@@ -45,13 +45,15 @@
     ==========
 
     reason, peer : str
-        Of the last failure.
+        Reason of the last failure, and the upstream that it occurred at.
+    cost : float
+        Cost of all attempts.
     may_have_run : bool
         Whether any attempt may have run.
     rejected : bool
-        Whether an upstream says that the call itself is wrong.
+        Whether an upstream rejected the call as invalid.
     retry_after : float
-        Seconds, as the upstream said; 0 when it did not.
+        Seconds that the upstream asks to wait; 0 if it sent no time.
     """
 
     reason: str
@@ -63,21 +65,21 @@
 
 
 class StageRun:
-    """Decisions over the attempts at one stage.
+    """Execution of one stage: sends attempts and selects their result.
 
     Parameters
     ==========
 
     core : Core
-        What the host offers.
+        Components of the host.
     request : Request
         The request that the stage belongs to.
     stage : Stage
-        As declared.
+        The stage's declaration.
     content : object
         The stage's input.
-    ends : float
-        When the stage must have its result, on the clock, in seconds.
+    deadline : float
+        Time by which the stage needs its result, on the clock, in seconds.
     on_token : function
         Takes each token of a streamed result once, in order.
     """
@@ -86,7 +88,7 @@
         'assembly',
         'attempts',
         'core',
-        'ends',
+        'deadline',
         'expected',
         'failures',
         'hedge_timer',
@@ -100,16 +102,16 @@
         'winner',
     )
 
-    def __init__(self, core, request, stage, content, ends, on_token):
+    def __init__(self, core, request, stage, content, deadline, on_token):
         self.core = core
         self.request = request
         self.stage = stage
-        self.ends = ends
+        self.deadline = deadline
         self.on_token = on_token
         self.attempts = Attempts(core, request, stage, content)
         self.expected = expected_time(request.name, stage, core.tracker)
         self.assembly = Assembly()
-        self.result = Deferred(self._cancelled)
+        self.result = Deferred(self._on_cancel)
         self.failures = 0
         self.winner = None
         self.last_failure = NotRun('no upstream')
@@ -121,17 +123,17 @@
         """Send the first attempt; return a Deferred of the stage's result."""
         self.core.retries.earn()
         self._dispatch('first')
-        if self.stage.hedge and self.attempts.live:
-            self._arm_hedge()
+        if self.stage.hedge and self.attempts.in_flight:
+            self._schedule_hedge()
         return self.result
 
     def _dispatch(self, why):
-        # Earlier stages can use up the time that admission has counted on.
-        if not _has_time(self):
+        # Earlier stages may have used the time that admission expected here.
+        if not _has_enough_time(self):
             self.last_failure = NotRun('deadline')
-            self._give_up()
+            self._fail()
             return
-        choice = self.attempts.choice()
+        choice = self.attempts.select_upstream()
         if choice is None:
             self.core.log(
                 events.NO_UPSTREAM,
@@ -140,31 +142,40 @@
                 step=self.stage.name,
                 pool=self.stage.pool,
             )
-            self._give_up()
+            self._fail()
             return
-        left = max(0, self.stage.attempts - self.attempts.number - 1)
-        timeout = attempt_timeout(_budget(self), self.expected, left)
+        attempts_left = max(0, self.stage.attempts - self.attempts.number - 1)
+        timeout = attempt_timeout(
+            _remaining_seconds(self),
+            self.expected,
+            attempts_left,
+        )
         self.attempts.send(choice, why, timeout, self.assembly, self._on_event)
 
-    def _arm_hedge(self):
-        # A stream shows life with its first token, other calls with their end.
-        sign = 'first' if self.attempts.pool.kind == 'engine' else 'attempt'
+    def _schedule_hedge(self):
+        # The first sign of progress is a stream's first token; for other calls
+        # it is their reply.
+        measure = 'first' if self.attempts.pool.kind == 'engine' else 'attempt'
         delay = self.core.tracker.quantile(
-            (self.request.name, self.stage.name, sign),
-            _HEDGE_PERCENT,
+            (self.request.name, self.stage.name, measure),
+            _HEDGE_PERCENTILE,
             self.expected,
         )
         self.hedge_timer = self.core.clock.callLater(
             _HEDGE_FACTOR * delay,
-            self._hedge,
+            self._send_hedge,
         )
 
-    def _hedge(self):
-        live = list(self.attempts.live.values())
-        if len(live) != 1 or live[0].progress or not _has_time(self):
+    def _send_hedge(self):
+        in_flight = list(self.attempts.in_flight.values())
+        if (
+            len(in_flight) != 1
+            or in_flight[0].has_output
+            or not _has_enough_time(self)
+        ):
             return
-        choice = self.attempts.choice()
-        if choice is None or not hedge_helps(choice):
+        choice = self.attempts.select_upstream()
+        if choice is None or not hedge_avoids_queue(choice):
             return
         if not self.core.retries.spent():
             return
@@ -172,13 +183,13 @@
             events.HEDGED,
             request=self.request.ident,
             step=self.stage.name,
-            peer=live[0].choice.name,
+            peer=in_flight[0].choice.name,
         )
         self.core.count('stage.hedged')
         self._dispatch('hedge')
 
     def _on_event(self, attempt, event):
-        if attempt.number not in self.attempts.live:
+        if attempt.number not in self.attempts.in_flight:
             self.core.count('reply.late')
             return
         if isinstance(event, Chunk):
@@ -193,16 +204,16 @@
         self._on_failure(attempt, event)
 
     def _is_foreign_refusal(self, attempt, event):
-        # Without an id the call never left this host.
+        # A refusal without an attempt id was made on this host: the call was
+        # never sent.
         stated = getattr(event, 'attempt', None)
         return stated is not None and self._is_foreign(attempt, event)
 
     def _is_foreign(self, attempt, event):
-        # An upstream that mixes up its connections answers one caller with
-        # another's result, or with another's refusal, which would be taken
-        # for proof that this call did not run. It shows as an attempt id that
-        # is not the one this call sent; ids are never used twice, so equality
-        # is proof enough.
+        # An upstream that mixes up its connections sends one caller the result
+        # or the refusal of another. Such a refusal would be taken as proof that
+        # this call did not run. Replies carry the attempt id of their call;
+        # ids are never reused, so comparing them is sufficient.
         if event.attempt == attempt.ident:
             return False
         self.core.count('reply.foreign')
@@ -220,57 +231,61 @@
         if self._is_foreign(attempt, chunk):
             self._on_failure(attempt, Lost('foreign chunk'))
             return
-        attempt.heard = self.core.clock.seconds()
+        attempt.last_chunk_at = self.core.clock.seconds()
         if self.winner is None:
             self.winner = attempt
             self.attempts.drop_all(kept=attempt)
-        if not attempt.progress:
-            attempt.progress = True
-            learn_first(self.attempts, attempt)
-            self._listen(attempt)
+        if not attempt.has_output:
+            attempt.has_output = True
+            record_first_token(self.attempts, attempt)
+            self._watch_silence(attempt)
         if self.assembly.accepts(chunk.offset, chunk.text):
             self.on_token(chunk.text)
             return
         if self.assembly.has_gap(chunk.offset):
             self._on_failure(attempt, Lost('gap in stream'))
 
-    def _listen(self, attempt):
-        # A stream that goes silent for good shows as no chunk for longer than
-        # the declared silence; the whole budget still bounds it. One timer
-        # looks at when the last chunk came: moving a timer for each chunk
-        # would cost more than the chunk.
-        silence = self.request.snapshot.manifest.policy.silence_ms / _MS
-        quiet = self.core.clock.seconds() - attempt.heard
-        left = min(silence - quiet, _budget(self))
-        # Rounding can leave a time so short that the clock would not move.
-        if left < _LEAST_WAIT:
+    def _watch_silence(self, attempt):
+        # A stream counts as lost if no chunk arrives for the declared silence
+        # time, or when the stage's deadline passes. One timer checks the time
+        # of the last chunk: rescheduling a timer for each chunk would cost more
+        # than handling the chunk.
+        silence_limit = self.request.snapshot.manifest.policy.silence_ms / _MS
+        silent_seconds = self.core.clock.seconds() - attempt.last_chunk_at
+        wait = min(silence_limit - silent_seconds, _remaining_seconds(self))
+        # Rounding can leave a wait too short to advance the clock.
+        if wait < _MIN_WAIT_SECONDS:
             self._on_event(attempt, Lost('timeout'))
             return
         if attempt.timer.active():
             attempt.timer.cancel()
-        attempt.timer = self.core.clock.callLater(left, self._listen, attempt)
+        attempt.timer = self.core.clock.callLater(
+            wait, self._watch_silence, attempt
+        )
 
     def _on_reply(self, attempt, reply):
         if self._is_foreign(attempt, reply):
             self._on_failure(attempt, Lost('foreign reply'))
             return
-        if _is_short(self, reply):
+        if _is_incomplete(self, reply):
             self._on_failure(attempt, Lost('incomplete stream'))
             return
-        learn_reply(self.attempts, attempt, reply)
-        worked = reply.busy_ms / _MS
-        self.attempts.release(attempt, reply.load, worked=worked)
+        record_reply(self.attempts, attempt, reply)
+        busy_seconds = reply.busy_ms / _MS
+        self.attempts.release(attempt, reply.load, busy_seconds=busy_seconds)
         self.attempts.charge(attempt, USEFUL)
         self.attempts.drop_all()
-        took = self.core.clock.seconds() - self.started
-        self.core.tracker.measured((self.request.name, self.stage.name), took)
-        self.core.timing(f'stage.{self.stage.name}', took * _MS)
+        elapsed_seconds = self.core.clock.seconds() - self.started
+        self.core.tracker.measured(
+            (self.request.name, self.stage.name), elapsed_seconds
+        )
+        self.core.timing(f'stage.{self.stage.name}', elapsed_seconds * _MS)
         self.core.ledger.consume(
             self.request,
             self.stage.name,
             attempt.ident,
         )
-        self._finish(StageDone(_output(self, reply), self.attempts.cost))
+        self._finish(StageDone(_build_output(self, reply), self.attempts.cost))
 
     def _on_failure(self, attempt, failure):
         self.failures += 1
@@ -278,20 +293,20 @@
         self.last_peer = attempt.choice.name
         load = getattr(failure, 'load', None)
         if isinstance(failure, Lost):
-            learn_slow(self.attempts, attempt)
-        blamed = not isinstance(failure, Rejected)
-        self.attempts.release(attempt, load, failed=blamed)
+            record_slow_attempt(self.attempts, attempt)
+        is_upstream_failure = not isinstance(failure, Rejected)
+        self.attempts.release(attempt, load, failed=is_upstream_failure)
         if isinstance(failure, Lost):
             self.attempts.charge(attempt, FAILED)
-            self.attempts.cut(attempt)
+            self.attempts.abandon(attempt)
         else:
             self.attempts.give_back(attempt)
         self._log_failure(attempt, failure)
         if self.winner is attempt:
             self.winner = None
-        if self.attempts.live:
+        if self.attempts.in_flight:
             return
-        self._retry_or_give_up(failure)
+        self._retry_or_fail(failure)
 
     def _log_failure(self, attempt, failure):
         self.core.count('attempt.failed')
@@ -306,25 +321,25 @@
             reason=failure.reason,
         )
 
-    def _retry_or_give_up(self, failure):
+    def _retry_or_fail(self, failure):
         allowed = may_retry(
             self.stage,
             self.failures,
-            _budget(self),
+            _remaining_seconds(self),
             self.expected,
             may_have_run=self.attempts.may_have_run,
         )
         if isinstance(failure, Rejected) or not allowed:
-            self._give_up()
+            self._fail()
             return
         if not self.core.retries.spent():
-            self._give_up()
+            self._fail()
             return
         self.core.count('stage.retried')
         self._dispatch('retry')
 
-    def _give_up(self):
-        # What is still in flight may run, and nobody will hear of it.
+    def _fail(self):
+        # Attempts in flight may still run, but their results are not used.
         self.attempts.drop_all()
         failure = self.last_failure
         self._finish(
@@ -339,40 +354,40 @@
         )
 
     def _finish(self, result):
-        self._disarm()
+        self._cancel_hedge_timer()
         if not self.result.called:
             self.result.callback(result)
 
-    def _disarm(self):
+    def _cancel_hedge_timer(self):
         if self.hedge_timer is not None and self.hedge_timer.active():
             self.hedge_timer.cancel()
 
-    def _cancelled(self, deferred):
-        # The caller is gone: nobody can use the result, so the upstream is
-        # told to stop.
-        self._disarm()
+    def _on_cancel(self, deferred):
+        # The caller has disconnected and cannot use the result, so the calls
+        # to upstreams are cancelled.
+        self._cancel_hedge_timer()
         self.attempts.drop_all()
 
 
-def _budget(run):
-    return max(0, run.ends - run.core.clock.seconds())
+def _remaining_seconds(run):
+    return max(0, run.deadline - run.core.clock.seconds())
 
 
-def _has_time(run):
-    return worth_sending(run.stage, _budget(run), run.expected)
+def _has_enough_time(run):
+    return has_enough_time(run.stage, _remaining_seconds(run), run.expected)
 
 
 def _is_stream(run):
     return run.attempts.pool.kind == 'engine'
 
 
-def _output(run, reply):
-    # The reply's text is put together without a look at offsets, so that a
-    # repeated token is in it twice. What was passed on is right.
+def _build_output(run, reply):
+    # The reply's text is built without checking offsets, so it contains a
+    # repeated token twice. The assembled stream is correct.
     return run.assembly.text() if _is_stream(run) else reply.output
 
 
-def _is_short(run, reply):
+def _is_incomplete(run, reply):
     if not _is_stream(run):
         return False
     return reply.tokens != run.assembly.length()
