--- a/features/builders/entryhost.py
+++ b/features/builders/entryhost.py
@@ -1,4 +1,4 @@
-"""An entry host and its upstreams in the test's own process."""
+"""Builds an entry host and its stand-in upstreams in the test's process."""
 
 import random
 
@@ -13,12 +13,12 @@
 
 _LOCAL = '127.0.0.1'
 _RNG_SEED = 7
-# Work takes a hundredth of its usual time.
+# Stand-ins process calls in a hundredth of the usual time.
 _TIME_SCALE = 0.01
 
 
 class EntryHost:
-    """A listening host, its stand-ins and its address."""
+    """An entry host that listens, with its stand-ins and its base URL."""
 
     def __init__(self, path):
         with open(path, encoding='utf-8') as source:
@@ -43,13 +43,13 @@
         self.base = f'http://{address_of(self.port)}'
 
     def runs(self):
-        """Return how many calls all upstreams have run."""
+        """Return the number of calls that all upstreams have run."""
         return sum(
             len(standin.server.runs) for standin in self.standins.values()
         )
 
     def close(self):
-        """Stop listening."""
+        """Close the ports of the host and its stand-ins."""
         self.port.stopListening()
         for standin in self.standins.values():
             standin.port.stopListening()
--- a/features/builders/requests.py
+++ b/features/builders/requests.py
@@ -72,7 +72,7 @@
 
 
 def requests_manifest(upstreams=2):
-    """Return a manifest with a pool of each kind, all in one domain."""
+    """Return a manifest with one pool of each kind in one domain."""
     pools = {
         'encoders': _pool('stage', 'encoder', upstreams, _FIRST_PORT),
         'engines': _pool(
@@ -115,7 +115,7 @@
 
 
 class SentRequest:
-    """One request: what was passed on, and its outcomes."""
+    """One request with its streamed tokens and its outcomes."""
 
     __slots__ = ('ended_at', 'outcomes', 'request', 'running', 'tokens')
 
@@ -128,25 +128,29 @@
 
     @property
     def outcome(self):
-        """The only outcome."""
+        """The single outcome."""
         assert len(self.outcomes) == 1, self.outcomes
         return self.outcomes[0]
 
 
 class World:
-    """A node over virtual upstreams, and a hook on what it hears.
+    """A node with virtual upstreams, and a hook for the events of calls.
 
     Attributes
     ==========
 
     hook : function
-        ``hook(call, sink)`` returns the sink that is used instead.
+        ``hook(call, sink)`` returns the sink that replaces the given one.
     calls : list of Call
-        In the order in which they were sent.
+        Calls in the order in which they were sent.
+    called_names : list of str
+        Upstreams of these calls, in the same order.
     cancelled : list of str
         Attempts that the node cancelled.
     links : dict
-        Upstream to the state of the link to it.
+        Maps an upstream to the state of the link to it.
+    sent : list of SentRequest
+        Requests in the order in which they were started.
     """
 
     __slots__ = (
@@ -181,11 +185,11 @@
             self.clock,
             Random(seed),
             settings_from(None, ENTRY, environment),
-            self._hooked(network.transport_from('h')),
+            self._hook_transport(network.transport_from('h')),
         )
         self.node.in_force.offer(1, text_from_manifest(manifest), 'test')
 
-    def _hooked(self, transport):
+    def _hook_transport(self, transport):
         def start(name, upstream, call, sink):
             self.calls.append(call)
             self.called_names.append(name)
@@ -200,7 +204,7 @@
         return start
 
     def send(self, name, content='leak', budget=None, key=''):
-        """Start a request; return what comes of it."""
+        """Start a request; return its record."""
         snapshot = self.node.in_force.snapshot
         declared = self.pipeline(name).deadline_ms / 1000
         request = Request(
@@ -222,7 +226,7 @@
         return sent
 
     def pipeline(self, name):
-        """Return a pipeline as declared."""
+        """Return the declaration of a pipeline."""
         snapshot = self.node.in_force.snapshot
         return snapshot.manifest.pipelines[name]
 
@@ -231,26 +235,28 @@
         sent.ended_at = self.clock.seconds()
 
     def in_time(self):
-        """Return whether each outcome came before its deadline."""
+        """Return whether each request ended before its deadline."""
         return all(
             sent.ended_at <= sent.request.deadline + _ROUNDING_SECONDS
             for sent in self.sent
         )
 
     def set_fault(self, pool, name, value):
-        """Set a fault of every upstream of a pool, by its first letters."""
+        """Set a fault of all upstreams whose names start with ``pool``."""
         for upstream in self.upstreams.values():
             if upstream.name.startswith(pool):
                 setattr(upstream.faults, name, value)
 
     def wait(self, seconds):
-        """Let time pass."""
+        """Advance the virtual clock."""
         advance_exactly(self.clock, seconds)
 
     def runs(self):
         """Return the attempts that upstreams ran."""
-        return [run for one in self.upstreams.values() for run in one.runs]
+        return [
+            run for upstream in self.upstreams.values() for run in upstream.runs
+        ]
 
     def total(self, name):
-        """Return a counter."""
+        """Return the value of a counter."""
         return self.node.metrics.total(name)
--- a/features/builders/requests_http.py
+++ b/features/builders/requests_http.py
@@ -1,4 +1,4 @@
-"""Builders of upstreams over real connections."""
+"""Builders of upstreams and calls over real connections."""
 
 from random import Random
 
@@ -26,7 +26,7 @@
 
 
 class ConnectionCounter:
-    """Connections that a port's factory has made."""
+    """Counts connections that a factory accepted, and those closed again."""
 
     __slots__ = ('lost', 'made')
 
@@ -55,7 +55,7 @@
 
 
 class RawServer(Protocol):
-    """Answers each request by a function; counts them."""
+    """HTTP server protocol that answers requests with a function."""
 
     def __init__(self, reply):
         self.reply = reply
@@ -63,7 +63,7 @@
         self.answered = 0
 
     def dataReceived(self, data):
-        """Answer when a request's body is there."""
+        """Answer a request when its body is complete."""
         self.buffer += data
         head, _, body = self.buffer.partition(b'\r\n\r\n')
         if not body or not body.endswith(b'}'):
@@ -81,7 +81,7 @@
 
 
 def find_header(head, name):
-    """Return a header of a request's head."""
+    """Return the value of a header in a request's head, or empty text."""
     for line in head.split('\r\n')[1:]:
         key, _, value = line.partition(': ')
         if key.lower() == name:
@@ -90,7 +90,7 @@
 
 
 def answer(protocol, status, body, headers=(), length=None):
-    """Write an answer, whole unless it states another length."""
+    """Write an answer; ``length`` overrides its Content-Length."""
     stated = len(body) if length is None else length
     lines = [f'HTTP/1.1 {status} Whatever', f'Content-Length: {stated}']
     lines.extend(headers)
@@ -99,27 +99,27 @@
 
 
 def plain_body(attempt):
-    """Return a right reply to a plain call."""
+    """Return the body of a valid reply to a plain call."""
     return wire.encode_json(wire.PlainReply(attempt, {'for': attempt}))
 
 
 def listening(factory):
-    """Return a port of the loopback."""
+    """Return a listening port on the loopback interface."""
     return reactor.listenTCP(0, factory, interface=LOOPBACK)
 
 
 def plain_server():
-    """Return a stand-in of a stage pool."""
+    """Return a stand-in for an upstream of a stage pool."""
     return PlainServer(reactor, 'encoder', 0.001, 8)
 
 
 def plain_site(server):
-    """Return the site of a stand-in."""
+    """Return the HTTP site of a stand-in."""
     return site_for(PlainResource(server), reactor)
 
 
 class StartedCall:
-    """One call that was made."""
+    """One started call and its events."""
 
     __slots__ = ('attempt', 'cancel', 'events')
 
@@ -130,7 +130,7 @@
 
 
 class Caller:
-    """Calls over HTTP, and how each ended."""
+    """Makes calls over HTTP and records how each one ended."""
 
     __slots__ = ('address', 'ends', 'numbers', 'start')
 
@@ -157,7 +157,7 @@
         return made
 
     def call_and_wait(self, **options):
-        """Make a call; return its attempt and its end."""
+        """Make a call; return its attempt and its last event."""
         made = self.call(**options)
         turned_until(lambda: made.events)
         self.ends.append((made.attempt, made.events[-1]))
@@ -165,7 +165,7 @@
 
 
 def build_node_calling(port):
-    """Return a node whose every upstream listens at one port."""
+    """Return a node that sends the calls to all upstreams to one port."""
     environment = {'POLLENSTILE_HOST': 'h', 'POLLENSTILE_DOMAIN': 'here'}
     http_start = http_transport(reactor)
     caller = Caller(port)
@@ -185,7 +185,7 @@
 
 
 def run_to_outcome(node, name):
-    """Run a request at a node; return its tokens and its outcome."""
+    """Run a request to its end; return its record."""
     request = Request(
         node.next_ident(),
         name,
@@ -208,7 +208,7 @@
     isLeaf = True
 
     def render_POST(self, request):
-        """Stream at once."""
+        """Return the complete event stream at once."""
         attempt = request.getHeader(wire.ATTEMPT_HEADER)
         parts = []
         for offset in range(TOKENS):
@@ -226,5 +226,5 @@
 
 
 def repeating_engine_site():
-    """Return a site of an engine that repeats itself."""
+    """Return the HTTP site of an engine that sends each token twice."""
     return Site(RepeatingEngine())
--- a/features/requests_http.feature
+++ b/features/requests_http.feature
@@ -1,29 +1,29 @@
 Feature: requests over real connections
 
   Scenario: A request's connection is closed after a timeout, not pooled
-    The encoder is too slow and its call is cut. Kept in the pool, the
-    connection would bring the old answer to whoever uses it next.
+    The encoder is too slow and its call is cancelled. If the connection were
+    pooled, the next call on it would get the old answer.
     Given a requests server of kind "stage"
     When a requests call is sent and its answer is read
-    And a requests call to the frozen server is cut
+    And a requests call to the frozen server is cancelled
     And a requests call is sent and its answer is read
-    Then the requests server saw 2 connections and 1 of them cut
+    Then the requests server accepted 2 connections and 1 of them was closed
     And the last requests call has its own answer
 
   Scenario: A pooled connection goes silent before a non-idempotent request
-    The first call leaves its connection in the pool; then something on the
-    way forgets it. A booking sent on it would vanish and end as "unknown", so
-    it gets a connection of its own, whose handshake proves the path.
-    Given a requests server whose connections fall silent after one answer
+    The first call leaves its connection in the pool, and then a device on the
+    path loses its state. A booking sent on it would get no answer and end as
+    "unknown", so it uses a new connection, whose handshake proves the path.
+    Given a requests server whose connections stop responding after one answer
     When a requests call is sent and its answer is read
     And a non-idempotent requests call is sent and its answer is read
     Then the last requests call has its own answer
-    And the requests server took 2 connections
-    But sent as idempotent that requests call has no answer
+    And the requests server accepted 2 connections
+    But sent as idempotent the requests call gets no answer
 
-  Scenario Outline: A reply to a request over HTTP is not what was agreed
-    Whatever comes instead of a reply, the call may have run: its end is
-    "Lost", and the connection is closed.
+  Scenario Outline: A reply to a request over HTTP is malformed or incomplete
+    The call may have run, whatever arrives instead of a reply: it must end as
+    "Lost", and the connection must be closed.
     Given a requests server that answers <status> with <body>
     When a requests call is sent and its answer is read
     Then the last requests call ends as "<end>" for "<reason>"
@@ -37,8 +37,8 @@
       | 500    | a problem          | Lost | status 500      |
 
   Scenario Outline: A request is refused over HTTP
-    Only a refusal that says "not run" and names the attempt proves that
-    nothing ran. A balancer's own 503 proves nothing.
+    Only a refusal that states "not-run" and the attempt's id proves that
+    nothing ran. A 503 of a load balancer proves nothing.
     Given a requests server that refuses with <status>, outcome "<outcome>", attempt "<attempt>"
     When a "<pipeline>" request is sent to the requests server
     Then the request to the requests server ends as "<tag>"
@@ -57,9 +57,9 @@
       | 400    | not-run | another | book     | unknown |
 
   Scenario: A request's stream repeats its tokens over HTTP
-    An engine sends each token twice. The streamed words are right, but the
-    whole text that comes with the end would have each word twice.
+    The engine sends each token twice. The assembled stream is correct, but the
+    full text at the end of the stream would contain each token twice.
     Given a requests server that streams each token twice
     When a "draft" request is sent to the requests server
     Then the request to the requests server ends as "answered"
-    And the requests server's text is what was streamed
+    And the requests server's output equals the streamed text
--- a/features/steps/requests_http_steps.py
+++ b/features/steps/requests_http_steps.py
@@ -1,4 +1,4 @@
-"""Steps of requests over real connections."""
+"""Steps for requests over real connections."""
 
 from behave import given, then, when
 
@@ -22,7 +22,7 @@
     _serve(context, build.plain_site(context.server))
 
 
-@given('a requests server whose connections fall silent after one answer')
+@given('a requests server whose connections stop responding after one answer')
 def step_falls_silent(context):
     context.silent = []
 
@@ -88,7 +88,7 @@
     context.caller.call_and_wait(idempotent=False)
 
 
-@when('a requests call to the frozen server is cut')
+@when('a requests call to the frozen server is cancelled')
 def step_cut(context):
     context.server.faults.frozen = True
     call = context.caller.call()
@@ -99,7 +99,9 @@
     assert not call.events, call.events
 
 
-@then('the requests server saw {made:d} connections and {cut:d} of them cut')
+@then(
+    'the requests server accepted {made:d} connections and {cut:d} of them was closed'
+)
 def step_connections(context, made, cut):
     counted = context.counted
     assert (counted.made, counted.lost) == (made, cut), (
@@ -108,7 +110,7 @@
     )
 
 
-@then('the requests server took {made:d} connections')
+@then('the requests server accepted {made:d} connections')
 def step_made(context, made):
     assert context.counted.made == made, context.counted.made
 
@@ -121,10 +123,10 @@
     assert end.output['for'] in attempt, end
 
 
-@then('sent as idempotent that requests call has no answer')
+@then('sent as idempotent the requests call gets no answer')
 def step_no_answer(context):
     call = context.caller.call()
-    # The silent server has read the call and will not answer it.
+    # The server has read the call and will not answer it.
     turned_until(lambda: context.silent)
     assert not call.events, call.events
     assert context.counted.made == 2
@@ -153,7 +155,7 @@
     assert context.outcome.tag == tag, context.outcome
 
 
-@then("the requests server's text is what was streamed")
+@then("the requests server's output equals the streamed text")
 def step_text(context):
     assert context.tokens
     assert context.outcome.output == ''.join(context.tokens), context.outcome
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -1,7 +1,7 @@
-"""Steps of requests when upstreams, links and callers fail.
+"""Steps for requests when upstreams, links and callers fail.
 
-Each When step is kept and each Then step too, so that the same story can be
-told again with a guard taken away.
+The actions of When steps and the checks of Then steps are recorded, so that
+the scenario can be run again without one guard of the code.
 """
 
 from collections import Counter
@@ -32,12 +32,12 @@
 def _new_world(context, manifest):
     context.manifest = manifest
     context.world = build.World(manifest)
-    context.plan = []
+    context.actions = []
     context.checks = []
 
 
 def _perform(context, action):
-    context.plan.append(action)
+    context.actions.append(action)
     action(context.world)
 
 
@@ -46,12 +46,12 @@
     check(context.world)
 
 
-@then('without the guard "{guard}" this requests story ends otherwise')
+@then('without the guard "{guard}" this requests scenario fails')
 def step_without(context, guard):
-    assert context.plan and context.checks
+    assert context.actions and context.checks
     with without(guard):
         world = build.World(context.manifest)
-        for action in context.plan:
+        for action in context.actions:
             action(world)
     failed = 0
     for check in context.checks:
@@ -59,7 +59,7 @@
             check(world)
         except AssertionError:
             failed += 1
-    assert failed, f'{guard} guards nothing here'
+    assert failed, f'no check fails without the guard {guard}'
 
 
 @when('a "{name}" request is sent')
@@ -84,7 +84,7 @@
     _perform(context, slow_claims)
 
 
-@when('claims crash for requests')
+@when('claims raise an exception for requests')
 def step_claims_crash(context):
     def crashing(world):
         def claims(request, run=None):
@@ -105,7 +105,7 @@
     _perform(context, send)
 
 
-@when('a "{name}" request with {seconds:g} seconds is sent')
+@when('a "{name}" request with a deadline of {seconds:g} seconds is sent')
 def step_send_budget(context, name, seconds):
     _perform(context, lambda world: world.send(name, budget=seconds))
 
@@ -180,7 +180,7 @@
     _perform(context, lambda world: world.links.update({name: SILENT}))
 
 
-@when('the links heal for requests')
+@when('the links recover for requests')
 def step_heal(context):
     def heal(world):
         world.wait(0.05)
@@ -189,8 +189,8 @@
     _perform(context, heal)
 
 
-def _hooked(context, hook):
-    """Let a hook look at each event, with the call's number from 1."""
+def _hook_events(context, hook):
+    """Pass each event to a hook, with the number of its call from 1."""
 
     def set_hook(world):
         def wrapped(call, sink):
@@ -203,8 +203,8 @@
 
 
 @when(
-    'the answers of request call {which:d} are {seconds:g} seconds late'
-    ' whatever is cancelled'
+    'the events of request call {which:d} arrive {seconds:g} seconds late'
+    ' even if it is cancelled'
 )
 def step_late(context, which, seconds):
     def hook(world, number, event, sink):
@@ -213,10 +213,12 @@
             return
         sink(event)
 
-    _hooked(context, hook)
+    _hook_events(context, hook)
 
 
-@when('tokens {one:d} and {other:d} of request call {which:d} change places')
+@when(
+    'tokens {one:d} and {other:d} of request call {which:d} arrive in reverse order'
+)
 def step_reorder(context, one, other, which):
     def hook(world, number, event, sink):
         offset = getattr(event, 'offset', None)
@@ -226,16 +228,16 @@
         sink(event)
 
     assert other == one + 1
-    _hooked(context, hook)
+    _hook_events(context, hook)
 
 
-@when('all answers of request calls come twice')
+@when('all events of request calls arrive twice')
 def step_double(context):
     def hook(world, number, event, sink):
         sink(event)
         sink(event)
 
-    _hooked(context, hook)
+    _hook_events(context, hook)
 
 
 @when('token {offset:d} of request call {which:d} is lost')
@@ -245,7 +247,7 @@
         if number != which or not lost:
             sink(event)
 
-    _hooked(context, hook)
+    _hook_events(context, hook)
 
 
 @when('the answers of request calls {one:d} and {other:d} are swapped')
@@ -264,7 +266,7 @@
         waiting[0](event)
 
     assert (one, other) == (1, 2)
-    _hooked(context, hook)
+    _hook_events(context, hook)
 
 
 @when("the reply to request call {which:d} is replaced by another's refusal")
@@ -275,10 +277,10 @@
             return
         sink(event)
 
-    _hooked(context, hook)
+    _hook_events(context, hook)
 
 
-@when("the request's caller hangs up")
+@when("the request's caller disconnects")
 def step_hang_up(context):
     def hang_up(world):
         exchange = _Exchange(None, streaming=False)
@@ -323,7 +325,7 @@
     ]
 
 
-@then("the request's stream is whole")
+@then("the request's stream is complete")
 def step_whole(context):
     def check(world):
         sent = world.sent[-1]
@@ -335,7 +337,7 @@
     _check(context, check)
 
 
-@then("the request's call {number:d} asks for token {offset:d} and on")
+@then("the request's call {number:d} resumes at token {offset:d}")
 def step_resumes(context, number, offset):
     def check(world):
         assert len(world.calls) >= number, world.calls
@@ -346,7 +348,7 @@
     _check(context, check)
 
 
-@then("the request's outcome came before its deadline")
+@then('the request ended before its deadline')
 @then('each request ended before its deadline')
 def step_in_time(context):
     def check(world):
@@ -411,7 +413,7 @@
 @then('the requests invariant "{name}" is broken')
 def step_broken(context, name):
     def check(world):
-        broken = [one for one, _ in world.node.core.ledger.broken]
+        broken = [invariant for invariant, _ in world.node.core.ledger.broken]
         assert broken == [name], broken
 
     _check(context, check)
@@ -429,24 +431,26 @@
 @then("the request's attempt {number:d} was cancelled")
 def step_cancelled(context, number):
     def check(world):
-        attempts = [one.rpartition('/')[2] for one in world.cancelled]
+        attempts = [ident.rpartition('/')[2] for ident in world.cancelled]
         assert str(number) in attempts, world.cancelled
 
     _check(context, check)
 
 
-@step('no upstream works on requests')
+@step('no upstream is processing requests')
 def step_idle(context):
     def check(world):
         busy = [
-            one.name for one in world.upstreams.values() if one.slots.running
+            upstream.name
+            for upstream in world.upstreams.values()
+            if upstream.slots.running
         ]
         assert not busy, busy
 
     _check(context, check)
 
 
-@then('nothing of the requests is left open')
+@then('the requests host has no open requests')
 def step_nothing_open(context):
     def check(world):
         core = world.node.core
--- a/pollenstile/pipeline/_decisions.py
+++ b/pollenstile/pipeline/_decisions.py
@@ -95,11 +95,11 @@
     ========
 
     >>> from pollenstile.manifest import Stage
-    >>> from pollenstile.pipeline._decisions import worth_sending
+    >>> from pollenstile.pipeline._decisions import has_enough_time
     >>> once = Stage('call', 'booking', idempotent=False, attempts=1)
-    >>> worth_sending(once, 0.08, 0.1), worth_sending(once, 0.1, 0.1)
+    >>> has_enough_time(once, 0.08, 0.1), has_enough_time(once, 0.1, 0.1)
     (False, True)
-    >>> worth_sending(Stage('encode', 'encoders'), 0.08, 0.1)
+    >>> has_enough_time(Stage('encode', 'encoders'), 0.08, 0.1)
     True
     """
     needed = expected / 2 if stage.idempotent else expected
@@ -167,11 +167,11 @@
     Examples
     ========
 
-    >>> from pollenstile.pipeline._decisions import hedge_helps
+    >>> from pollenstile.pipeline._decisions import hedge_avoids_queue
     >>> from pollenstile.routing import Choice
-    >>> hedge_helps(Choice('a', None, 0.2, 2))
+    >>> hedge_avoids_queue(Choice('a', None, 0.2, 2))
     True
-    >>> hedge_helps(Choice('a', None, 1.1, 2))
+    >>> hedge_avoids_queue(Choice('a', None, 1.1, 2))
     False
     """
     return choice.busyness < 1
