--- a/features/requests.feature
+++ b/features/requests.feature
@@ -37,8 +37,8 @@
     But without the guard "room for a second attempt" this requests scenario fails
 
   Scenario: A request's upstream is frozen and the call is not idempotent
-    The desk accepts the booking and never answers. It may have sent a van,
-    and a second call could send another, so the outcome must be "unknown".
+    The desk accepts the booking and never answers. It may have sent a van. A
+    second call could send another, so the outcome must be "unknown".
     Given a requests host
     When a "book" request is sent
     And the called upstream is frozen
@@ -50,7 +50,7 @@
 
   Scenario: A request's connection drops all packets while others work
     A device on the path has lost the connection's state: it drops all packets
-    and reports no error. The call must be retried on another connection.
+    without an error. The call must be retried on another connection.
     Given a requests host
     When the link to "encoder-1" goes silent for requests
     And the link to "encoder-2" goes silent for requests
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -59,7 +59,7 @@
             check(world)
         except AssertionError:
             failed += 1
-    assert failed, f'no check fails without the guard {guard}'
+    assert failed, f'{guard} is not checked by this scenario'
 
 
 @when('a "{name}" request is sent')
