--- a/features/builders/claims.py
+++ b/features/builders/claims.py
@@ -11,7 +11,7 @@
 from pollenstile.claims import forwarding, join_peers, sent
 from pollenstile.claims._digests import object_name
 from pollenstile.claims._records import segment_from
-from pollenstile.entry import built_node
+from pollenstile.entry import build_node
 from pollenstile.manifest import (
     Domain,
     Manifest,
@@ -23,7 +23,7 @@
     text_from_manifest,
 )
 from pollenstile.ops.settings import ENTRY, settings_from
-from pollenstile.pipeline import Request, outcome_of
+from pollenstile.pipeline import Request, run_request
 from pollenstile.platform import InDoubt, Unavailable
 from pollenstile.standin.objectapi import MemoryStore
 from pollenstile.standin.virtual import (
@@ -235,7 +235,7 @@
             ENTRY,
             {'POLLENSTILE_HOST': name, 'POLLENSTILE_DOMAIN': 'here'},
         )
-        self.node = built_node(
+        self.node = build_node(
             self.clock,
             Random(f'{name}/{boot}/{world.seed}'),
             settings,
@@ -262,7 +262,7 @@
             key,
         )
         self.world.requests[request.ident] = key
-        running = Deferred.fromCoroutine(outcome_of(self.node.core, request))
+        running = Deferred.fromCoroutine(run_request(self.node.core, request))
         self.node.track(running)
         return kept_result(running)
 
--- a/features/builders/mutations.py
+++ b/features/builders/mutations.py
@@ -104,7 +104,7 @@
     return outcome
 
 
-_ORIGINAL_RUN_REQUEST = pipeline.outcome_of
+_ORIGINAL_RUN_REQUEST = pipeline.run_request
 
 
 def _report_idle(node):
@@ -123,9 +123,9 @@
 _NEVER_SET = property(_return_false, _do_nothing)
 
 _PATCHES = {
-    'one outcome': [(pipeline, 'outcome_of', _run_again_on_failure)],
+    'one outcome': [(pipeline, 'run_request', _run_again_on_failure)],
     'timeouts': [(_stage, 'attempt_timeout', _no_timeout)],
-    'waiting for the last request': [(Node, 'idle', _report_idle)],
+    'waiting for the last request': [(Node, 'when_idle', _report_idle)],
     'claims': [(Claims, 'outcome', _run_unclaimed)],
     'membership': [(Watchers, '_ask', _never_poll)],
     'leaving': [(UpstreamState, 'leaving', _NEVER_SET)],
@@ -136,7 +136,7 @@
         (StageRun, '_on_event', _accept_abandoned_event)
     ],
     'offsets': [
-        (Assembly, 'accepts', _append_any_token),
+        (Assembly, 'append_if_next', _append_any_token),
         (Assembly, 'has_gap', _return_false),
     ],
     'short streams': [(_stage, '_is_incomplete', _return_false)],
--- a/features/builders/requests_http.py
+++ b/features/builders/requests_http.py
@@ -14,11 +14,11 @@
     SentRequest,
     requests_manifest,
 )
-from pollenstile.entry import built_node
+from pollenstile.entry import build_node
 from pollenstile.manifest import text_from_manifest
 from pollenstile.ops.http import site_for
 from pollenstile.ops.settings import ENTRY, settings_from
-from pollenstile.pipeline import Request, outcome_of
+from pollenstile.pipeline import Request, run_request
 from pollenstile.standin.plain import PlainResource, PlainServer
 from pollenstile.upstream import Call, http_transport, wire
 
@@ -173,7 +173,7 @@
     def transport(name, upstream, call, sink):
         return http_start(name, caller, call, sink)
 
-    node = built_node(
+    node = build_node(
         reactor,
         Random(1),
         settings_from(None, ENTRY, environment),
@@ -196,7 +196,7 @@
     )
     sent = SentRequest(request)
     sent.outcomes = kept_result(
-        outcome_of(node.core, request, sent.tokens.append),
+        run_request(node.core, request, sent.tokens.append),
     )
     turned_until(lambda: sent.outcomes)
     return sent
--- a/pollenstile/entry/_node.py
+++ b/pollenstile/entry/_node.py
@@ -88,7 +88,7 @@
         self.in_flight += 1
         running.addBoth(self._on_request_end)
 
-    def idle(self):
+    def when_idle(self):
         """Return a Deferred that fires when no request is in flight."""
         if not self.in_flight:
             return succeed(None)
--- a/pollenstile/pipeline/_assembly.py
+++ b/pollenstile/pipeline/_assembly.py
@@ -16,9 +16,9 @@
 
     >>> from pollenstile.pipeline._assembly import Assembly
     >>> assembly = Assembly()
-    >>> assembly.accepts(0, 'a'), assembly.accepts(0, 'a')
+    >>> assembly.append_if_next(0, 'a'), assembly.append_if_next(0, 'a')
     (True, False)
-    >>> assembly.accepts(1, 'b'), assembly.text(), assembly.has_gap(3)
+    >>> assembly.append_if_next(1, 'b'), assembly.text(), assembly.has_gap(3)
     (True, 'ab', True)
     """
 
@@ -27,7 +27,7 @@
     def __init__(self):
         self.parts = []
 
-    def accepts(self, offset, text):
+    def append_if_next(self, offset, text):
         """Append the token if it is the next one; return whether it was."""
         if offset != len(self.parts):
             return False
--- a/pollenstile/pipeline/_stage.py
+++ b/pollenstile/pipeline/_stage.py
@@ -239,7 +239,7 @@
             attempt.has_output = True
             record_first_token(self.attempts, attempt)
             self._watch_silence(attempt)
-        if self.assembly.accepts(chunk.offset, chunk.text):
+        if self.assembly.append_if_next(chunk.offset, chunk.text):
             self.on_token(chunk.text)
             return
         if self.assembly.has_gap(chunk.offset):
