--- a/features/builders/requests.py
+++ b/features/builders/requests.py
@@ -32,7 +32,7 @@
 TOKENS = 6
 _FIRST_PORT = 9000
 _WORK_SECONDS = 0.02
-_TOKEN_GAP = 0.01
+_TOKEN_GAP_SECONDS = 0.01
 _LATENCY_SECONDS = 0.001
 _ROUNDING_SECONDS = 0.001
 
@@ -96,7 +96,7 @@
 
 
 def _upstreams(clock, manifest):
-    times = Times(lambda: _WORK_SECONDS, lambda: _TOKEN_GAP)
+    times = Times(lambda: _WORK_SECONDS, lambda: _TOKEN_GAP_SECONDS)
     built = {}
     for pool in manifest.pools.values():
         for name, declared in pool.upstreams.items():
--- a/features/builders/requests_http.py
+++ b/features/builders/requests_http.py
@@ -221,7 +221,7 @@
         parts.append(
             wire.CompletionEvent(attempt, [], TOKENS, wire.Usage(TOKENS)),
         )
-        lines = [b'data: %s\n\n' % wire.encode_json(one) for one in parts]
+        lines = [b'data: %s\n\n' % wire.encode_json(part) for part in parts]
         return b''.join(lines) + b'data: %s\n\n' % wire.DONE
 
 
--- a/features/requests.feature
+++ b/features/requests.feature
@@ -78,7 +78,7 @@
     Two tokens arrive in reverse order. If they were passed on as they arrive,
     the caller would read words in the wrong order.
     Given a requests host
-    When tokens 2 and 3 of request call 1 arrive in reverse order
+    When tokens 2 and 3 of request call 1 arrive swapped
     And a "draft" request is sent
     And 2 request seconds pass
     Then the request ends as "answered"
--- a/features/requests_http.feature
+++ b/features/requests_http.feature
@@ -7,7 +7,7 @@
     When a requests call is sent and its answer is read
     And a requests call to the frozen server is cancelled
     And a requests call is sent and its answer is read
-    Then the requests server accepted 2 connections and 1 of them was closed
+    Then the requests server accepted 2 connections and 1 were closed
     And the last requests call has its own answer
 
   Scenario: A pooled connection goes silent before a non-idempotent request
--- a/features/steps/requests_http_steps.py
+++ b/features/steps/requests_http_steps.py
@@ -100,7 +100,7 @@
 
 
 @then(
-    'the requests server accepted {made:d} connections and {cut:d} of them was closed'
+    'the requests server accepted {made:d} connections and {cut:d} were closed'
 )
 def step_connections(context, made, cut):
     counted = context.counted
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -216,9 +216,7 @@
     _hook_events(context, hook)
 
 
-@when(
-    'tokens {one:d} and {other:d} of request call {which:d} arrive in reverse order'
-)
+@when('tokens {one:d} and {other:d} of request call {which:d} arrive swapped')
 def step_reorder(context, one, other, which):
     def hook(world, number, event, sink):
         offset = getattr(event, 'offset', None)
--- a/pollenstile/entry/_assembly.py
+++ b/pollenstile/entry/_assembly.py
@@ -136,7 +136,7 @@
     keys = parse_keys(settings.peer_key)
     hub = Hub(core.clock, core.rng, hello, keys, connect, core.log)
     if keys:
-        hub.dialer.seeds = tuple(shown(one) for one in settings.peers)
+        hub.dialer.seeds = tuple(shown(address) for address in settings.peers)
     fleet = Fleet(
         hub,
         node.in_force,
