--- a/features/builders/claims.py
+++ b/features/builders/claims.py
@@ -8,7 +8,7 @@
 from twisted.internet.task import Clock
 
 from features.builders.loop import advanced, kept_result
-from pollenstile.claims import forwarding, join_peers, sent
+from pollenstile.claims import build_forwarder, connect_peers, sent
 from pollenstile.claims._digests import object_name
 from pollenstile.claims._records import segment_from
 from pollenstile.entry import build_node
@@ -247,7 +247,7 @@
         self.claims.shards = world.shards
         self.subjects = {}
         self.is_lost = bool
-        join_peers(self.claims, self._ask_peer, self.subjects.__setitem__)
+        connect_peers(self.claims, self._ask_peer, self.subjects.__setitem__)
         self.node.in_force.offer(1, world.manifest_text, 'test')
 
     def ask(self, key, minutes=10, team='salons', pipeline='log-minutes'):
@@ -288,7 +288,7 @@
         """
 
         self.is_lost = is_lost
-        self.claims.forward = forwarding(
+        self.claims.forward = build_forwarder(
             self.name,
             live_hosts,
             partial(sent, self._ask_peer),
--- a/features/builders/placement.py
+++ b/features/builders/placement.py
@@ -20,11 +20,11 @@
 )
 from pollenstile.ops.settings import ENTRY, settings_from
 from pollenstile.placement import (
-    Demand,
-    DemandBoard,
+    DemandCounter,
+    DemandExchange,
     Holding,
-    Holds,
-    Keeper,
+    ServingIndex,
+    LeaseManager,
     Lease,
     LeaseTiming,
     Placement,
@@ -102,7 +102,7 @@
         self.ticket_gate = None
         self.weights = world.weights
         self.store = HostStore(world.clock, world.store)
-        self.keeper = Keeper(
+        self.keeper = LeaseManager(
             Lease(name, timing),
             DOMAIN,
             self.store,
@@ -122,9 +122,9 @@
         self.placer.manifest = world.manifest
         self.placement = Placement(
             self.placer,
-            Holds(self.log),
-            Demand(),
-            DemandBoard(DOMAIN, name, self.store, self.clock),
+            ServingIndex(self.log),
+            DemandCounter(),
+            DemandExchange(DOMAIN, name, self.store, self.clock),
         )
 
     @property
--- a/features/steps/badinput_steps.py
+++ b/features/steps/badinput_steps.py
@@ -16,7 +16,7 @@
 from features.builders.processes import command
 from pollenstile.ops.agents import agent_for
 from pollenstile.ops.body import BytesProducer
-from pollenstile.ops.client import caller_for
+from pollenstile.ops.client import pipeline_client
 
 _PATH = '/v1/pipelines/draft-ticket'
 _KEY = 'dispatchers-example-key'
@@ -104,7 +104,7 @@
 
 @then('a right request beside the bad one is answered')
 def right_answered(context):
-    call = caller_for(reactor, persistent=False)
+    call = pipeline_client(reactor, persistent=False)
     answer = result_of(
         call(context.host.base, 'draft-ticket', _KEY, 'a leak'),
     )
--- a/features/steps/drained_steps.py
+++ b/features/steps/drained_steps.py
@@ -12,9 +12,9 @@
 from pollenstile.ops._draincmd import (
     HostDrain,
     drain_lines,
-    drain_of,
+    parse_drain,
     exit_code,
-    written_drain,
+    write_drain,
 )
 from pollenstile.platform import Written
 from pollenstile.standin.objectapi import MemoryStore
@@ -333,10 +333,10 @@
 
 @given('a store and the metrics of two hosts, of which {state}')
 def given_measures(context, state):
-    first = drain_of('a:1', 'hall', _STATES['both drained'])
+    first = parse_drain('a:1', 'hall', _STATES['both drained'])
     second = HostDrain('b:1', answers=False)
     if _STATES[state]:
-        second = drain_of('b:1', 'hall', _STATES[state])
+        second = parse_drain('b:1', 'hall', _STATES[state])
     context.hosts = [first, second]
 
 
@@ -347,7 +347,7 @@
     for ends in (False, False, True, True):
         done = []
         work = Deferred.fromCoroutine(
-            written_drain(store, 'hall', ends=ends),
+            write_drain(store, 'hall', ends=ends),
         )
         work.addBoth(done.append)
         while not done:
--- a/features/steps/placement_http_steps.py
+++ b/features/steps/placement_http_steps.py
@@ -9,7 +9,7 @@
 
 from features.builders.loop import advanced, kept_result, result_of
 from features.builders.placement import DOMAIN, manifest_of, routed_node
-from features.builders.platform import listening
+from features.builders.platform import listen_on_loopback
 from pollenstile.manifest import Upstream
 from pollenstile.ops.http import site_for
 from pollenstile.outcomes import Answered
@@ -23,7 +23,7 @@
     Refused,
     http_orders,
 )
-from pollenstile.platform import Caller
+from pollenstile.platform import ServerClient
 from pollenstile.standin.engine import Engine, EngineResource
 from pollenstile.standin.orders import Holdings, OrderedResource
 from pollenstile.upstream import wire
@@ -32,7 +32,7 @@
 
 
 def _served(context, resource):
-    port = listening(site_for(resource, reactor))
+    port = listen_on_loopback(site_for(resource, reactor))
     context.add_cleanup(lambda: result_of(port.stopListening()))
     context.port = port.getHost().port
     context.upstream = Upstream(DOMAIN, f'127.0.0.1:{context.port}')
@@ -70,7 +70,7 @@
 
 
 def _look(context):
-    return result_of(context.orders.look('e1', context.upstream))
+    return result_of(context.orders.read_state('e1', context.upstream))
 
 
 @then('a placement look over HTTP shows fence {fence:d}')
@@ -88,7 +88,7 @@
 
 @then('a call for "{model}" there is answered that placement lacks it, not run')
 def step_call(context, model):
-    caller = Caller(reactor, reactor, '127.0.0.1', context.port)
+    caller = ServerClient(reactor, reactor, '127.0.0.1', context.port)
     body = wire.encode_json(wire.CompletionCall(model, 'a leak', 4))
     reply = result_of(caller.call('POST', wire.COMPLETIONS_PATH, body))
     assert reply.status == 503, reply
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -13,7 +13,7 @@
 )
 from pollenstile.manifest import Model
 from pollenstile.placement import LeaseTiming, _conduct, _keeper
-from pollenstile.platform import unpaused
+from pollenstile.platform import no_pause
 
 use_step_matcher('parse')
 
@@ -137,7 +137,7 @@
 @when('a placement renewal of "{name}" stays in doubt for {seconds:d} seconds')
 def step_in_doubt(context, name, seconds):
     host = context.world.hosts[name]
-    host.keeper.pause = unpaused
+    host.keeper.pause = no_pause
     context.old_fence = host.fence
     host.store.cut_by_write = True
     context.world.until(lambda: host.store.cut)
--- a/features/steps/platform_http_steps.py
+++ b/features/steps/platform_http_steps.py
@@ -12,13 +12,13 @@
     World,
     http_caller,
     http_store,
-    listening,
+    listen_on_loopback,
     serving,
 )
 from pollenstile.platform import (
     VALUE_LIMIT,
     Absent,
-    Broken,
+    FailedCall,
     Changes,
     Compacted,
     Conflict,
@@ -29,9 +29,9 @@
     Ticket,
     Unavailable,
     Written,
-    listed_hosts,
-    listed_whole,
-    weight_ticket,
+    read_host_list,
+    list_all,
+    request_ticket,
 )
 from pollenstile.standin.hostlist import MemoryHosts, hostlist_resource
 from pollenstile.standin.objectapi import platform_site
@@ -59,12 +59,12 @@
         hostlist_resource(context.hosts),
         weightstore_resource(context.weights),
     )
-    _connect(context, listening(site))
+    _connect(context, listen_on_loopback(site))
 
 
 @given('a platform server on the loopback that has ended')
 def step_ended(context):
-    port = listening(platform_site(World().store))
+    port = listen_on_loopback(platform_site(World().store))
     context.http = http_store(port)
     result_of(port.stopListening())
 
@@ -133,7 +133,7 @@
     names = [f'{shard}/{number}' for shard in 'a%b' for number in range(300)]
     for name in names:
         context.world.store.objects.put('claims', name, b'{}', 0)
-    whole = result_of(listed_whole(store, 'claims'))
+    whole = result_of(list_all(store, 'claims'))
     assert [found.name for found in whole.objects] == sorted(names)
     some = result_of(store.listed('claims', '%/', '%/298', 5))
     expected = ['%/299', '%/3', '%/30', '%/31', '%/32']
@@ -203,7 +203,7 @@
 @then('a raw platform call over HTTP is broken off')
 def step_broken(context):
     outcome = result_of(context.http.caller.call('GET', '/v1/any'))
-    assert isinstance(outcome, Broken) and outcome.connected, type(outcome)
+    assert isinstance(outcome, FailedCall) and outcome.connected, type(outcome)
 
 
 @then('platform calls over HTTP time out as "{write}" and "{read}"')
@@ -231,20 +231,20 @@
     caller = http_caller(context.port)
     entry = HostEntry('e1', '10.0.0.1:80', 'clark', 3, 'leaving')
     context.hosts.change(entry)
-    assert result_of(listed_hosts(caller)).hosts == ()
+    assert result_of(read_host_list(caller)).hosts == ()
     context.world.clock.advance(5)
-    assert result_of(listed_hosts(caller)).hosts == (entry,)
+    assert result_of(read_host_list(caller)).hosts == (entry,)
     result_of(caller.close())
 
 
 @then("over HTTP the platform's weight store throttles by its rate")
 def step_weights(context):
     caller = http_caller(context.port)
-    first = result_of(weight_ticket(caller, 'org/draft', '3'))
+    first = result_of(request_ticket(caller, 'org/draft', '3'))
     assert first == Ticket('org/draft', '3'), first
-    assert result_of(weight_ticket(caller, 'd', '3')) == Throttled(2.0)
+    assert result_of(request_ticket(caller, 'd', '3')) == Throttled(2.0)
     context.world.clock.advance(2)
-    assert isinstance(result_of(weight_ticket(caller, 'd', '3')), Ticket)
+    assert isinstance(result_of(request_ticket(caller, 'd', '3')), Ticket)
     result_of(caller.close())
 
 
@@ -313,4 +313,4 @@
 @then('the raw platform call over HTTP timed out')
 def step_timed_out(context):
     turned_until(lambda: context.kept)
-    assert context.kept == [Broken(connected=True, reason='TimeoutError')]
+    assert context.kept == [FailedCall(connected=True, reason='TimeoutError')]
--- a/features/steps/thinpath_steps.py
+++ b/features/steps/thinpath_steps.py
@@ -11,7 +11,7 @@
 from features.builders.loop import kept_result, result_of, turned_until
 from features.builders.processes import Processes, command, line_with
 from pollenstile.ops.agents import agent_for
-from pollenstile.ops.client import caller_for
+from pollenstile.ops.client import pipeline_client
 
 _KEY = 'dispatchers-example-key'
 _PIPELINE = 'draft-ticket'
@@ -23,7 +23,7 @@
 
 
 def _call(context, number, *, stream=False, on_bytes=None):
-    call = caller_for(reactor, persistent=False)
+    call = pipeline_client(reactor, persistent=False)
     options = {'stream': stream}
     if on_bytes:
         options['on_bytes'] = on_bytes
--- a/pollenstile/bench/_placementworld.py
+++ b/pollenstile/bench/_placementworld.py
@@ -7,11 +7,11 @@
 from pollenstile.manifest import Domain, Manifest, Model, Pool, Upstream
 from pollenstile.ops.logs import silent_log
 from pollenstile.placement import (
-    Demand,
-    DemandBoard,
+    DemandCounter,
+    DemandExchange,
     Holding,
-    Holds,
-    Keeper,
+    ServingIndex,
+    LeaseManager,
     Lease,
     LeaseTiming,
     Placement,
@@ -151,9 +151,9 @@
         store = self.placer.store
         self.placement = Placement(
             self.placer,
-            Holds(silent_log),
-            Demand(),
-            DemandBoard(_DOMAIN, 'bench', store, self.clock),
+            ServingIndex(silent_log),
+            DemandCounter(),
+            DemandExchange(_DOMAIN, 'bench', store, self.clock),
         )
 
     def run(self, seconds, rate):
@@ -237,7 +237,7 @@
 def _placer(world, manifest):
     clock = world.clock
     store = MemoryStore(clock)
-    keeper = Keeper(
+    lease_manager = LeaseManager(
         Lease('bench', LeaseTiming()),
         _DOMAIN,
         store,
@@ -247,7 +247,7 @@
     holdings = {name: each.holdings for name, each in world.engines.items()}
     placer = Placer(
         _DOMAIN,
-        keeper,
+        lease_manager,
         store,
         MemoryOrders(clock, holdings),
         MemoryWeights(clock, rate=0.1, burst=2).ticket,
--- a/pollenstile/bench/_sticky.py
+++ b/pollenstile/bench/_sticky.py
@@ -14,11 +14,11 @@
 for, and is never taken down while it is busy.
 """
 
-from pollenstile.placement import wanted_placement
+from pollenstile.placement import compute_placement
 
 
 def sticky_placement(gain):
-    """Return a function like ``wanted_placement`` that changes little.
+    """Return a function like ``compute_placement`` that changes little.
 
     Explanation
     ===========
@@ -34,7 +34,7 @@
     """
 
     def placement(engines, sizes, demand, held):
-        plain = wanted_placement(engines, sizes, demand, held)
+        plain = compute_placement(engines, sizes, demand, held)
         kept = {}
         for name, facts in engines.items():
             models = held.get(name, ())
--- a/pollenstile/bench/floor.py
+++ b/pollenstile/bench/floor.py
@@ -35,7 +35,7 @@
 )
 from pollenstile.ops.agents import agent_for
 from pollenstile.ops.body import BytesProducer
-from pollenstile.ops.collector import set_collector
+from pollenstile.ops.collector import configure_garbage_collector
 from pollenstile.ops.exits import GOOD
 from pollenstile.ops.http import site_for
 from pollenstile.ops.logs import configure_logs, event_log
@@ -198,7 +198,7 @@
 
 async def _measured(reactor, arguments):
     targets = _targets(reactor)
-    set_collector()
+    configure_garbage_collector()
     pool = HTTPConnectionPool(reactor, persistent=True)
     pool.maxPersistentPerHost = arguments.side_by_side
     agent = agent_for(reactor, pool)
--- a/pollenstile/bench/placement.py
+++ b/pollenstile/bench/placement.py
@@ -20,7 +20,7 @@
     when_pressed,
 )
 from pollenstile.ops.exits import GOOD
-from pollenstile.placement import any_time, wanted_placement
+from pollenstile.placement import always_allow, compute_placement
 
 _PERCENT = 100
 
@@ -33,7 +33,7 @@
     ==========
 
     plan_for : function
-        As ``wanted_placement``.
+        As ``compute_placement``.
     may_drain : function
         Whether a drain may begin.
     may_replan : function
@@ -41,8 +41,8 @@
     """
 
     plan_for: object
-    may_drain: object = any_time
-    may_replan: object = any_time
+    may_drain: object = always_allow
+    may_replan: object = always_allow
 
 
 def _unchanged(engines, sizes, demand, held):
@@ -54,12 +54,12 @@
     sticky = sticky_placement(gain)
     return {
         'fixed': Rule(_unchanged),
-        'plain': Rule(wanted_placement),
-        'idle-gated': Rule(wanted_placement, idle_only),
+        'plain': Rule(compute_placement),
+        'idle-gated': Rule(compute_placement, idle_only),
         'sticky': Rule(sticky),
         'sticky, idle-gated': Rule(sticky, idle_only),
-        'pressed': Rule(wanted_placement, any_time, when_pressed(1.0)),
-        'pressed, sticky': Rule(sticky, any_time, when_pressed(1.0)),
+        'pressed': Rule(compute_placement, always_allow, when_pressed(1.0)),
+        'pressed, sticky': Rule(sticky, always_allow, when_pressed(1.0)),
     }
 
 
--- a/pollenstile/entry/_assembly.py
+++ b/pollenstile/entry/_assembly.py
@@ -1,6 +1,6 @@
 """Assembles the components of one entry host."""
 
-from pollenstile.claims import Claims, join_peers
+from pollenstile.claims import Claims, connect_peers
 from pollenstile.entry._node import Node
 from pollenstile.fleet import Fleet, InForce
 from pollenstile.limits import (
@@ -11,7 +11,7 @@
 )
 from pollenstile.ops.logs import silent_log
 from pollenstile.ops.metrics import Metrics
-from pollenstile.ops.settings import shown
+from pollenstile.ops.settings import format_address
 from pollenstile.peer import (
     MIN_VERSION,
     VERSION,
@@ -20,7 +20,7 @@
     parse_keys,
 )
 from pollenstile.pipeline import Core, Ledger
-from pollenstile.placement import built_placement
+from pollenstile.placement import build_placement
 from pollenstile.routing import Tracker
 
 _BOOT_BITS = 48
@@ -130,13 +130,15 @@
         least=MIN_VERSION,
         host=core.host,
         domain=core.domain,
-        address=shown(settings.peer_listen),
+        address=format_address(settings.peer_listen),
         boot=int(core.clock.seconds() * _MS),
     )
     keys = parse_keys(settings.peer_key)
     hub = Hub(core.clock, core.rng, hello, keys, connect, core.log)
     if keys:
-        hub.dialer.seeds = tuple(shown(address) for address in settings.peers)
+        hub.dialer.seeds = tuple(
+            format_address(address) for address in settings.peers
+        )
     fleet = Fleet(
         hub,
         node.in_force,
@@ -147,7 +149,7 @@
         core.log,
     )
     if node.claims is not None:
-        join_peers(node.claims, fleet.ask, fleet.answer)
+        connect_peers(node.claims, fleet.ask, fleet.answer)
     return fleet
 
 
@@ -168,7 +170,7 @@
     suspend_clock : function
         Returns seconds on a clock that includes suspended time.
     """
-    node.placement = built_placement(
+    node.placement = build_placement(
         node.core,
         node.boot,
         store,
--- a/pollenstile/entry/_daemon.py
+++ b/pollenstile/entry/_daemon.py
@@ -160,14 +160,14 @@
     def _flush_claims(self):
         if self.node.claims is None:
             return succeed(None)
-        return self.node.claims.flushed().addTimeout(
+        return self.node.claims.flush_records().addTimeout(
             _CLAIMS_FLUSH_SECONDS,
             self.reactor,
             onTimeoutCancel=lambda *_: None,
         )
 
     def _drain_connections(self):
-        return self.caller_port.factory.channels.drained().addTimeout(
+        return self.caller_port.factory.channels.close_gracefully().addTimeout(
             _DRAIN_SECONDS,
             self.reactor,
             onTimeoutCancel=self._abort_connections,
--- a/pollenstile/ops/_entrycmd.py
+++ b/pollenstile/ops/_entrycmd.py
@@ -11,13 +11,13 @@
     add_placement,
 )
 from pollenstile.fleet import http_load_reader
-from pollenstile.ops.collector import set_collector
+from pollenstile.ops.collector import configure_garbage_collector
 from pollenstile.ops.exits import GOOD
 from pollenstile.ops.logs import configure_logs, event_log
 from pollenstile.ops.settings import ENTRY, add_flags, settings_from
 from pollenstile.ops._stores import hosts_reader, paced_store, tickets_asker
 from pollenstile.peer import tcp_connect
-from pollenstile.ops.clock import boot_clock, run_steadily
+from pollenstile.ops.clock import boot_clock, use_boot_clock
 from pollenstile.placement import http_orders
 from pollenstile.upstream import http_transport
 
@@ -38,9 +38,9 @@
     # The one place where the global reactor is taken.
     from twisted.internet import reactor  # noqa: WPS433
 
-    run_steadily(reactor)
+    use_boot_clock(reactor)
     daemon = built_daemon(reactor, settings)
-    set_collector()
+    configure_garbage_collector()
     reactor.callWhenRunning(daemon.start)
     reactor.addSystemEventTrigger('before', 'shutdown', daemon.stop)
     reactor.run()
--- a/pollenstile/placement/__init__.py
+++ b/pollenstile/placement/__init__.py
@@ -1,10 +1,14 @@
 """Which engine holds which model: leases, orders, swaps."""
 
-from pollenstile.placement._assembly import built_placement, http_tickets
-from pollenstile.placement._demand import Demand, DemandBoard, demand_total
+from pollenstile.placement._assembly import build_placement, http_tickets
+from pollenstile.placement._demand import (
+    DemandCounter,
+    DemandExchange,
+    demand_total,
+)
 from pollenstile.placement._facts import EngineFacts, domain_engines
 from pollenstile.placement._http import http_orders
-from pollenstile.placement._keeper import Keeper, lease_tick, released
+from pollenstile.placement._keeper import LeaseManager, lease_tick, released
 from pollenstile.placement._lease import (
     LEASES,
     Lease,
@@ -29,10 +33,10 @@
 from pollenstile.placement._placer import (
     Placer,
     PlacerTiming,
-    any_time,
+    always_allow,
     placer_round,
 )
-from pollenstile.placement._records import PLACEMENTS, Holds, Record
+from pollenstile.placement._records import PLACEMENTS, ServingIndex, Record
 from pollenstile.placement._service import Placement
 from pollenstile.placement._steps import (
     Drain,
@@ -42,4 +46,4 @@
     Swap,
     next_step,
 )
-from pollenstile.placement._wanted import wanted_placement
+from pollenstile.placement._wanted import compute_placement
--- a/pollenstile/placement/_assembly.py
+++ b/pollenstile/placement/_assembly.py
@@ -2,16 +2,16 @@
 
 from twisted.internet.defer import Deferred
 
-from pollenstile.placement._demand import Demand, DemandBoard
-from pollenstile.placement._keeper import Keeper
+from pollenstile.placement._demand import DemandCounter, DemandExchange
+from pollenstile.placement._keeper import LeaseManager
 from pollenstile.placement._lease import Lease, LeaseTiming
 from pollenstile.placement._placer import Placer
-from pollenstile.placement._records import Holds
+from pollenstile.placement._records import ServingIndex
 from pollenstile.placement._service import Placement
-from pollenstile.platform import pauses, weight_ticket
+from pollenstile.platform import make_pause, request_ticket
 
 
-def built_placement(core, boot, store, orders, ticket, suspend_clock):
+def build_placement(core, boot, store, orders, ticket, suspend_clock):
     """Return a host's placement, wired to its core; not started.
 
     Parameters
@@ -31,13 +31,13 @@
     suspend_clock : function
         Returns seconds, suspended time included.
     """
-    keeper = Keeper(
+    keeper = LeaseManager(
         Lease(f'{core.host}-{boot}', LeaseTiming()),
         core.domain,
         store,
         suspend_clock,
         core.log,
-        pauses(core.clock, core.rng),
+        make_pause(core.clock, core.rng),
     )
     placer = Placer(
         core.domain,
@@ -49,11 +49,11 @@
         core.rng,
     )
     placer.usable = _usable(core.tracker)
-    demand = Demand()
-    holds = Holds(core.log)
+    demand = DemandCounter()
+    holds = ServingIndex(core.log)
     core.holds = holds
     core.demand = demand.count_request
-    board = DemandBoard(core.domain, core.host, store, core.clock)
+    board = DemandExchange(core.domain, core.host, store, core.clock)
     return Placement(placer, holds, demand, board)
 
 
@@ -68,7 +68,7 @@
     """
 
     def ticket(model, version):
-        return Deferred.fromCoroutine(weight_ticket(caller, model, version))
+        return Deferred.fromCoroutine(request_ticket(caller, model, version))
 
     return ticket
 
--- a/pollenstile/placement/_conduct.py
+++ b/pollenstile/placement/_conduct.py
@@ -30,7 +30,7 @@
     Ticket,
     Written,
     field_mark,
-    settled_put,
+    put_with_readback,
 )
 
 _CHECKED = 'checked'
@@ -323,7 +323,7 @@
     """Write a record over the version last known; return whether it stands."""
     version, _before = placer.records[name]
     mark = f'{placer.keeper.lease.holder}/{next(placer.numbers)}'
-    outcome = await settled_put(
+    outcome = await put_with_readback(
         placer.store,
         PLACEMENTS,
         record_name(placer.domain, name),
--- a/pollenstile/placement/_demand.py
+++ b/pollenstile/placement/_demand.py
@@ -1,6 +1,6 @@
 """Demand by model: counted at each entry host, added up by the placer."""
 
-from pollenstile.platform import Unavailable, listed_whole
+from pollenstile.platform import Unavailable, list_all
 
 DEMAND = 'demand'
 _DECAY_SECONDS = 30.0
@@ -9,7 +9,7 @@
 _STALE_SECONDS = 180.0
 
 
-class Demand:
+class DemandCounter:
     """Calls a second by model, smoothed.
 
     Explanation
@@ -57,7 +57,7 @@
         return rates
 
 
-class DemandBoard:
+class DemandExchange:
     """What a host has told the others of its demand, and seen of theirs.
 
     Parameters
@@ -105,7 +105,7 @@
     async def read(self):
         """Return the demand of the domain, or None when it can't be read."""
         prefix = f'{self.domain}/'
-        listing = await listed_whole(self.store, DEMAND, prefix)
+        listing = await list_all(self.store, DEMAND, prefix)
         if isinstance(listing, Unavailable):
             return None
         now = self.clock.seconds()
--- a/pollenstile/placement/_http.py
+++ b/pollenstile/placement/_http.py
@@ -10,7 +10,7 @@
     Lost,
     Refused,
 )
-from pollenstile.platform import Broken, Caller
+from pollenstile.platform import FailedCall, ServerClient
 
 _OK = 200
 _CONFLICT = 409
@@ -34,7 +34,7 @@
     def __init__(self, reactor):
         self.reactor = reactor
 
-    def look(self, name, upstream):
+    def read_state(self, name, upstream):
         """Return a Deferred of ``EngineState`` or ``Lost``."""
         return Deferred.fromCoroutine(self._look(upstream))
 
@@ -44,14 +44,14 @@
 
     async def _look(self, upstream):
         reply = await self._call(upstream, 'GET')
-        if isinstance(reply, Broken):
+        if isinstance(reply, FailedCall):
             return Lost('look', upstream.address, reply.reason)
         return _decoded(reply, _state_from, 'look', upstream)
 
     async def _send(self, upstream, order):
         body = msgspec.json.encode(order)
         reply = await self._call(upstream, 'PUT', body)
-        if isinstance(reply, Broken):
+        if isinstance(reply, FailedCall):
             return Lost('order', upstream.address, reply.reason)
         if reply.status == _CONFLICT:
             return _decoded(reply, _refused_from, 'order', upstream)
@@ -60,7 +60,7 @@
 
     def _call(self, upstream, method, body=None):
         host, _, port = upstream.address.rpartition(':')
-        caller = Caller(
+        caller = ServerClient(
             self.reactor,
             self.reactor,
             host.strip('[]'),
--- a/pollenstile/placement/_keeper.py
+++ b/pollenstile/placement/_keeper.py
@@ -16,8 +16,8 @@
     Unavailable,
     Written,
     field_mark,
-    settled_put,
-    unpaused,
+    put_with_readback,
+    no_pause,
 )
 
 _MARK = field_mark('mark')
@@ -25,7 +25,7 @@
 _FOLLOW = 4.0
 
 
-class Keeper:
+class LeaseManager:
     """One host's side of one lease.
 
     Parameters
@@ -74,7 +74,7 @@
         'suspend_clock',
     )
 
-    def __init__(self, lease, name, store, suspend_clock, log, pause=unpaused):
+    def __init__(self, lease, name, store, suspend_clock, log, pause=no_pause):
         self.lease = lease
         self.name = name
         self.store = store
@@ -162,7 +162,7 @@
 
 async def _write(keeper, move):
     sent_at = keeper.suspend_clock()
-    outcome = await settled_put(
+    outcome = await put_with_readback(
         keeper.store,
         LEASES,
         keeper.name,
--- a/pollenstile/placement/_lease.py
+++ b/pollenstile/placement/_lease.py
@@ -176,7 +176,7 @@
     move : Take or Renew
         What was written.
     outcome : object
-        As of :func:`~pollenstile.platform.settled_put`.
+        As of :func:`~pollenstile.platform.put_with_readback`.
     sent_at : float
         When the write was first sent.
     """
--- a/pollenstile/placement/_placer.py
+++ b/pollenstile/placement/_placer.py
@@ -11,7 +11,7 @@
 from pollenstile.placement._loads import Loads, LoadTiming, ended_loads
 from pollenstile.placement._orders import EngineState
 from pollenstile.placement._steps import DrainTiming, deferred_drains
-from pollenstile.placement._wanted import unplaced, wanted_placement
+from pollenstile.placement._wanted import unplaced, compute_placement
 
 _SWAPPING_SHARE = 4
 
@@ -39,14 +39,14 @@
     """
 
     replan: float = 30.0
-    look: float = 10.0
+    read_state: float = 10.0
     refused: float = 10.0
     unseen: float = 30.0
     drain: DrainTiming = field(default_factory=DrainTiming)
     loads: LoadTiming = field(default_factory=LoadTiming)
 
 
-def any_time(engines, states):
+def always_allow(engines, states):
     """Return True: nothing is waited for."""
     return True
 
@@ -69,11 +69,11 @@
     store : Store
         Where records are written.
     orders : object
-        With ``look(engine, upstream)`` and ``send(engine, upstream, order)``,
+        With ``read_state(engine, upstream)`` and ``send(engine, upstream, order)``,
         which return Deferreds.
     ticket : function
         Takes a model and a version, returns a Deferred as of
-        :func:`~pollenstile.platform.weight_ticket`.
+        :func:`~pollenstile.platform.request_ticket`.
     clock : IReactorTime
         For drains, loads and plans.
     random : random.Random
@@ -89,7 +89,7 @@
     demand : dict
         Model to calls a second in this domain.
     plan_for : function
-        As :func:`wanted_placement`, which it is at first.
+        As :func:`compute_placement`, which it is at first.
     usable : function
         Takes an engine's name, returns whether it is to hold anything; not
         one that is leaving.
@@ -152,9 +152,9 @@
         self.timing = PlacerTiming()
         self.manifest = None
         self.demand = {}
-        self.plan_for = wanted_placement
-        self.may_drain = any_time
-        self.may_replan = any_time
+        self.plan_for = compute_placement
+        self.may_drain = always_allow
+        self.may_replan = always_allow
         self.usable = any_engine
         self.numbers = itertools.count(1)
         self.busy = False
@@ -230,7 +230,9 @@
 
 async def _looked(placer, engines):
     names = [name for name in sorted(engines) if _look_due(placer, name)]
-    looks = [placer.orders.look(name, engines[name].upstream) for name in names]
+    looks = [
+        placer.orders.read_state(name, engines[name].upstream) for name in names
+    ]
     answers = await gatherResults(looks, consumeErrors=True)
     states = {name: each[0] for name, each in placer.settled.items()}
     now = placer.clock.seconds()
@@ -250,7 +252,7 @@
     settled = placer.settled.get(name)
     if settled is None:
         return True
-    if placer.clock.seconds() - settled[1] < placer.timing.look:
+    if placer.clock.seconds() - settled[1] < placer.timing.read_state:
         return False
     placer.settled.pop(name)
     return True
--- a/pollenstile/placement/_records.py
+++ b/pollenstile/placement/_records.py
@@ -63,7 +63,7 @@
     )
 
 
-class Holds:
+class ServingIndex:
     """Which engine serves which model now, as the records say.
 
     Explanation
--- a/pollenstile/placement/_wanted.py
+++ b/pollenstile/placement/_wanted.py
@@ -56,7 +56,7 @@
         self.burden[name] += share
 
 
-def wanted_placement(engines, sizes, demand, held):
+def compute_placement(engines, sizes, demand, held):
     """Return the wanted models of each engine.
 
     Parameters
--- a/pollenstile/standin/fleet.py
+++ b/pollenstile/standin/fleet.py
@@ -85,6 +85,6 @@
         work = _WORK[pool.kind] * scale
         server = PlainServer(reactor, name, work, slots)
         resource = PlainResource(server)
-    site = site_for(resource, reactor, most_body=_MOST_BODY)
+    site = site_for(resource, reactor, max_body_bytes=_MOST_BODY)
     port = reactor.listenTCP(number, site, interface=_LOCAL)
     return Standin(name, server, port)
--- a/pollenstile/standin/orders.py
+++ b/pollenstile/standin/orders.py
@@ -228,7 +228,7 @@
         self.lose_requests = 0
         self.hold = None
 
-    def look(self, name, upstream):
+    def read_state(self, name, upstream):
         """Return a Deferred of ``EngineState`` or ``Lost``."""
         self.looks += 1
         if name in self.down:
