--- a/features/builders/entryhost.py
+++ b/features/builders/entryhost.py
@@ -1,10 +1,10 @@
-"""An entry host and its upstreams in the test's own process."""
+"""Builds an entry host and its stand-in upstreams in the test's process."""
 
 import random
 
 from twisted.internet import reactor
 
-from pollenstile.entry import CallerFace, address_of, built_node
+from pollenstile.entry import CallerResource, address_of, build_node
 from pollenstile.manifest import manifest_from_text, text_from_manifest
 from pollenstile.ops.http import site_for
 from pollenstile.ops.settings import ENTRY, settings_from
@@ -12,42 +12,44 @@
 from pollenstile.upstream import http_transport
 
 _LOCAL = '127.0.0.1'
-_SEED = 7
-# Work takes a hundredth of its usual time.
-_SCALE = 0.01
+_RNG_SEED = 7
+# Stand-ins process calls in a hundredth of the usual time.
+_TIME_SCALE = 0.01
 
 
 class EntryHost:
-    """A listening host, its stand-ins and its address."""
+    """An entry host that listens, with its stand-ins and its base URL."""
 
     def __init__(self, path):
         with open(path, encoding='utf-8') as source:
             manifest = manifest_from_text(source.read())
-        started = started_anywhere(reactor, manifest, _SCALE)
+        started = started_anywhere(reactor, manifest, _TIME_SCALE)
         self.standins = started[0]
         self.manifest = started[1]
         environment = {
             'POLLENSTILE_HOST': 'erie-hall-1',
             'POLLENSTILE_DOMAIN': 'erie-hall',
         }
-        self.node = built_node(
+        self.node = build_node(
             reactor,
-            random.Random(_SEED),
+            random.Random(_RNG_SEED),
             settings_from(None, ENTRY, environment),
             http_transport(reactor),
         )
         text = text_from_manifest(self.manifest)
         self.node.in_force.offer(1, text, 'test')
-        site = site_for(CallerFace(self.node), reactor)
+        site = site_for(CallerResource(self.node), reactor)
         self.port = reactor.listenTCP(0, site, interface=_LOCAL)
         self.base = f'http://{address_of(self.port)}'
 
     def runs(self):
-        """Return how many calls all upstreams have run."""
-        return sum(len(one.server.runs) for one in self.standins.values())
+        """Return the number of calls that all upstreams have run."""
+        return sum(
+            len(standin.server.runs) for standin in self.standins.values()
+        )
 
     def close(self):
-        """Stop listening."""
+        """Close the ports of the host and its stand-ins."""
         self.port.stopListening()
         for standin in self.standins.values():
             standin.port.stopListening()
--- a/features/builders/requests.py
+++ b/features/builders/requests.py
@@ -5,7 +5,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from pollenstile.entry import built_node
+from pollenstile.entry import build_node
 from pollenstile.manifest import (
     Domain,
     Manifest,
@@ -19,7 +19,7 @@
     text_from_manifest,
 )
 from pollenstile.ops.settings import ENTRY, settings_from
-from pollenstile.pipeline import Request, outcome_of
+from pollenstile.pipeline import Request, run_request
 from pollenstile.soak._clock import advance_exactly
 from pollenstile.standin.virtual import (
     UP,
@@ -31,16 +31,18 @@
 TEAM = 'callers'
 TOKENS = 6
 _FIRST_PORT = 9000
-_WORK = 0.02
-_GAP = 0.01
-_LATENCY = 0.001
-_ROUNDING = 0.001
+_WORK_SECONDS = 0.02
+_TOKEN_GAP_SECONDS = 0.01
+_LATENCY_SECONDS = 0.001
+_ROUNDING_SECONDS = 0.001
 
 
 def _pool(kind, name, count, first, **fields):
     upstreams = {
-        f'{name}-{place + 1}': Upstream('here', f'127.0.0.1:{first + place}')
-        for place in range(count)
+        f'{name}-{position + 1}': Upstream(
+            'here', f'127.0.0.1:{first + position}'
+        )
+        for position in range(count)
     }
     return Pool(kind, upstreams, **fields)
 
@@ -70,7 +72,7 @@
 
 
 def requests_manifest(upstreams=2):
-    """Return a manifest with a pool of each kind, all in one domain."""
+    """Return a manifest with one pool of each kind in one domain."""
     pools = {
         'encoders': _pool('stage', 'encoder', upstreams, _FIRST_PORT),
         'engines': _pool(
@@ -94,7 +96,7 @@
 
 
 def _upstreams(clock, manifest):
-    times = Times(lambda: _WORK, lambda: _GAP)
+    times = Times(lambda: _WORK_SECONDS, lambda: _TOKEN_GAP_SECONDS)
     built = {}
     for pool in manifest.pools.values():
         for name, declared in pool.upstreams.items():
@@ -112,48 +114,52 @@
     return sink
 
 
-class Sent:
-    """One request: what was passed on, and its outcomes."""
+class SentRequest:
+    """One request with its streamed tokens and its outcomes."""
 
-    __slots__ = ('ended', 'outcomes', 'request', 'running', 'tokens')
+    __slots__ = ('ended_at', 'outcomes', 'request', 'running', 'tokens')
 
     def __init__(self, request):
         self.request = request
         self.tokens = []
         self.outcomes = []
         self.running = None
-        self.ended = 0.0
+        self.ended_at = 0.0
 
     @property
     def outcome(self):
-        """The only outcome."""
+        """The single outcome."""
         assert len(self.outcomes) == 1, self.outcomes
         return self.outcomes[0]
 
 
 class World:
-    """A node over virtual upstreams, and a hook on what it hears.
+    """A node with virtual upstreams, and a hook for the events of calls.
 
     Attributes
     ==========
 
     hook : function
-        ``hook(call, sink)`` returns the sink that is used instead.
+        ``hook(call, sink)`` returns the sink that replaces the given one.
     calls : list of Call
-        In the order in which they were sent.
+        Calls in the order in which they were sent.
+    called_names : list of str
+        Upstreams of these calls, in the same order.
     cancelled : list of str
         Attempts that the node cancelled.
     links : dict
-        Upstream to the state of the link to it.
+        Maps an upstream to the state of the link to it.
+    sent : list of SentRequest
+        Requests in the order in which they were started.
     """
 
     __slots__ = (
+        'called_names',
         'calls',
         'cancelled',
         'clock',
         'hook',
         'links',
-        'names',
         'node',
         'sent',
         'upstreams',
@@ -163,7 +169,7 @@
         self.clock = Clock()
         self.calls = []
         self.cancelled = []
-        self.names = []
+        self.called_names = []
         self.links = {}
         self.sent = []
         self.hook = _unchanged
@@ -171,34 +177,34 @@
         network = VirtualNetwork(
             self.clock,
             self.upstreams,
-            lambda origin, name: _LATENCY,
+            lambda origin, name: _LATENCY_SECONDS,
             lambda origin, name: self.links.get(name, UP),
         )
         environment = {'POLLENSTILE_HOST': 'h', 'POLLENSTILE_DOMAIN': 'here'}
-        self.node = built_node(
+        self.node = build_node(
             self.clock,
             Random(seed),
             settings_from(None, ENTRY, environment),
-            self._hooked(network.transport_from('h')),
+            self._hook_transport(network.transport_from('h')),
         )
         self.node.in_force.offer(1, text_from_manifest(manifest), 'test')
 
-    def _hooked(self, transport):
+    def _hook_transport(self, transport):
         def start(name, upstream, call, sink):
             self.calls.append(call)
-            self.names.append(name)
+            self.called_names.append(name)
             cancel = transport(name, upstream, call, self.hook(call, sink))
 
-            def noted():
+            def cancel_and_record():
                 self.cancelled.append(call.attempt)
                 cancel()
 
-            return noted
+            return cancel_and_record
 
         return start
 
     def send(self, name, content='leak', budget=None, key=''):
-        """Start a request; return what comes of it."""
+        """Start a request; return its record."""
         snapshot = self.node.in_force.snapshot
         declared = self.pipeline(name).deadline_ms / 1000
         request = Request(
@@ -210,45 +216,47 @@
             self.clock.seconds() + (budget or declared),
             key,
         )
-        sent = Sent(request)
+        sent = SentRequest(request)
         self.sent.append(sent)
         sent.running = Deferred.fromCoroutine(
-            outcome_of(self.node.core, request, sent.tokens.append),
+            run_request(self.node.core, request, sent.tokens.append),
         )
         self.node.track(sent.running)
-        sent.running.addBoth(self._ended, sent)
+        sent.running.addBoth(self._record_outcome, sent)
         return sent
 
     def pipeline(self, name):
-        """Return a pipeline as declared."""
+        """Return the declaration of a pipeline."""
         snapshot = self.node.in_force.snapshot
         return snapshot.manifest.pipelines[name]
 
-    def _ended(self, outcome, sent):
+    def _record_outcome(self, outcome, sent):
         sent.outcomes.append(outcome)
-        sent.ended = self.clock.seconds()
+        sent.ended_at = self.clock.seconds()
 
     def in_time(self):
-        """Return whether each outcome came before its deadline."""
+        """Return whether each request ended before its deadline."""
         return all(
-            sent.ended <= sent.request.deadline + _ROUNDING
+            sent.ended_at <= sent.request.deadline + _ROUNDING_SECONDS
             for sent in self.sent
         )
 
-    def fault(self, pool, name, value):
-        """Set a fault of every upstream of a pool, by its first letters."""
+    def set_fault(self, pool, name, value):
+        """Set a fault of all upstreams whose names start with ``pool``."""
         for upstream in self.upstreams.values():
             if upstream.name.startswith(pool):
                 setattr(upstream.faults, name, value)
 
     def wait(self, seconds):
-        """Let time pass."""
+        """Advance the virtual clock."""
         advance_exactly(self.clock, seconds)
 
     def runs(self):
         """Return the attempts that upstreams ran."""
-        return [run for one in self.upstreams.values() for run in one.runs]
+        return [
+            run for upstream in self.upstreams.values() for run in upstream.runs
+        ]
 
     def total(self, name):
-        """Return a counter."""
+        """Return the value of a counter."""
         return self.node.metrics.total(name)
--- a/features/builders/requests_http.py
+++ b/features/builders/requests_http.py
@@ -1,4 +1,4 @@
-"""Builders of upstreams over real connections."""
+"""Builders of upstreams and calls over real connections."""
 
 from random import Random
 
@@ -8,20 +8,25 @@
 from twisted.web.server import Site
 
 from features.builders.loop import kept_result, turned_until
-from features.builders.requests import TEAM, TOKENS, Sent, requests_manifest
-from pollenstile.entry import built_node
+from features.builders.requests import (
+    TEAM,
+    TOKENS,
+    SentRequest,
+    requests_manifest,
+)
+from pollenstile.entry import build_node
 from pollenstile.manifest import text_from_manifest
 from pollenstile.ops.http import site_for
 from pollenstile.ops.settings import ENTRY, settings_from
-from pollenstile.pipeline import Request, outcome_of
+from pollenstile.pipeline import Request, run_request
 from pollenstile.standin.plain import PlainResource, PlainServer
 from pollenstile.upstream import Call, http_transport, wire
 
 LOOPBACK = '127.0.0.1'
 
 
-class Counted:
-    """Connections that a port's factory has made."""
+class ConnectionCounter:
+    """Counts connections that a factory accepted, and those closed again."""
 
     __slots__ = ('lost', 'made')
 
@@ -49,8 +54,8 @@
         return factory
 
 
-class Raw(Protocol):
-    """Answers each request by a function; counts them."""
+class RawServer(Protocol):
+    """HTTP server protocol that answers requests with a function."""
 
     def __init__(self, reply):
         self.reply = reply
@@ -58,7 +63,7 @@
         self.answered = 0
 
     def dataReceived(self, data):
-        """Answer when a request's body is there."""
+        """Answer a request when its body is complete."""
         self.buffer += data
         head, _, body = self.buffer.partition(b'\r\n\r\n')
         if not body or not body.endswith(b'}'):
@@ -69,14 +74,14 @@
 
 
 def raw_factory(reply):
-    """Return a factory of :class:`Raw`."""
+    """Return a factory of :class:`RawServer`."""
     factory = Factory()
-    factory.buildProtocol = lambda address: Raw(reply)
+    factory.buildProtocol = lambda address: RawServer(reply)
     return factory
 
 
-def header_of(head, name):
-    """Return a header of a request's head."""
+def find_header(head, name):
+    """Return the value of a header in a request's head, or empty text."""
     for line in head.split('\r\n')[1:]:
         key, _, value = line.partition(': ')
         if key.lower() == name:
@@ -85,7 +90,7 @@
 
 
 def answer(protocol, status, body, headers=(), length=None):
-    """Write an answer, whole unless it states another length."""
+    """Write an answer; ``length`` overrides its Content-Length."""
     stated = len(body) if length is None else length
     lines = [f'HTTP/1.1 {status} Whatever', f'Content-Length: {stated}']
     lines.extend(headers)
@@ -94,27 +99,27 @@
 
 
 def plain_body(attempt):
-    """Return a right reply to a plain call."""
+    """Return the body of a valid reply to a plain call."""
     return wire.encode_json(wire.PlainReply(attempt, {'for': attempt}))
 
 
 def listening(factory):
-    """Return a port of the loopback."""
+    """Return a listening port on the loopback interface."""
     return reactor.listenTCP(0, factory, interface=LOOPBACK)
 
 
 def plain_server():
-    """Return a stand-in of a stage pool."""
+    """Return a stand-in for an upstream of a stage pool."""
     return PlainServer(reactor, 'encoder', 0.001, 8)
 
 
 def plain_site(server):
-    """Return the site of a stand-in."""
+    """Return the HTTP site of a stand-in."""
     return site_for(PlainResource(server), reactor)
 
 
-class Made:
-    """One call that was made."""
+class StartedCall:
+    """One started call and its events."""
 
     __slots__ = ('attempt', 'cancel', 'events')
 
@@ -125,7 +130,7 @@
 
 
 class Caller:
-    """Calls over HTTP, and how each ended."""
+    """Makes calls over HTTP and records how each one ended."""
 
     __slots__ = ('address', 'ends', 'numbers', 'start')
 
@@ -147,28 +152,28 @@
             1000,
             idempotent=idempotent,
         )
-        made = Made(attempt)
+        made = StartedCall(attempt)
         made.cancel = self.start('one', self, call, made.events.append)
         return made
 
-    def ended(self, **options):
-        """Make a call; return its attempt and its end."""
+    def call_and_wait(self, **options):
+        """Make a call; return its attempt and its last event."""
         made = self.call(**options)
         turned_until(lambda: made.events)
         self.ends.append((made.attempt, made.events[-1]))
         return self.ends[-1]
 
 
-def node_to(port):
-    """Return a node whose every upstream listens at one port."""
+def build_node_calling(port):
+    """Return a node that sends the calls to all upstreams to one port."""
     environment = {'POLLENSTILE_HOST': 'h', 'POLLENSTILE_DOMAIN': 'here'}
-    raw = http_transport(reactor)
-    there = Caller(port)
+    http_start = http_transport(reactor)
+    caller = Caller(port)
 
     def transport(name, upstream, call, sink):
-        return raw(name, there, call, sink)
+        return http_start(name, caller, call, sink)
 
-    node = built_node(
+    node = build_node(
         reactor,
         Random(1),
         settings_from(None, ENTRY, environment),
@@ -179,8 +184,8 @@
     return node
 
 
-def outcome_at(node, name):
-    """Run a request at a node; return its tokens and its outcome."""
+def run_to_outcome(node, name):
+    """Run a request to its end; return its record."""
     request = Request(
         node.next_ident(),
         name,
@@ -189,21 +194,21 @@
         'leak',
         node.core.clock.seconds() + 1.0,
     )
-    sent = Sent(request)
+    sent = SentRequest(request)
     sent.outcomes = kept_result(
-        outcome_of(node.core, request, sent.tokens.append),
+        run_request(node.core, request, sent.tokens.append),
     )
     turned_until(lambda: sent.outcomes)
     return sent
 
 
-class Doubled(Resource):
+class RepeatingEngine(Resource):
     """An engine that sends each token twice."""
 
     isLeaf = True
 
     def render_POST(self, request):
-        """Stream at once."""
+        """Return the complete event stream at once."""
         attempt = request.getHeader(wire.ATTEMPT_HEADER)
         parts = []
         for offset in range(TOKENS):
@@ -216,10 +221,10 @@
         parts.append(
             wire.CompletionEvent(attempt, [], TOKENS, wire.Usage(TOKENS)),
         )
-        lines = [b'data: %s\n\n' % wire.encode_json(one) for one in parts]
+        lines = [b'data: %s\n\n' % wire.encode_json(part) for part in parts]
         return b''.join(lines) + b'data: %s\n\n' % wire.DONE
 
 
-def doubled_site():
-    """Return a site of an engine that repeats itself."""
-    return Site(Doubled())
+def repeating_engine_site():
+    """Return the HTTP site of an engine that sends each token twice."""
+    return Site(RepeatingEngine())
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -1,7 +1,7 @@
-"""Steps of requests when upstreams, links and callers fail.
+"""Steps for requests when upstreams, links and callers fail.
 
-Each When step is kept and each Then step too, so that the same story can be
-told again with a guard taken away.
+The actions of When steps and the checks of Then steps are recorded, so that
+the scenario can be run again without one guard of the code.
 """
 
 from collections import Counter
@@ -11,7 +11,7 @@
 
 from features.builders import requests as build
 from features.builders.mutations import without
-from pollenstile.entry._face import _Exchange
+from pollenstile.entry._frontend import _Exchange
 from pollenstile.outcomes import Answered
 from pollenstile.pipeline import _stage
 from pollenstile.standin.engine import token
@@ -32,12 +32,12 @@
 def _new_world(context, manifest):
     context.manifest = manifest
     context.world = build.World(manifest)
-    context.plan = []
+    context.actions = []
     context.checks = []
 
 
-def _act(context, action):
-    context.plan.append(action)
+def _perform(context, action):
+    context.actions.append(action)
     action(context.world)
 
 
@@ -46,12 +46,12 @@
     check(context.world)
 
 
-@then('without the guard "{guard}" this requests story ends otherwise')
+@then('without the guard "{guard}" this requests scenario fails')
 def step_without(context, guard):
-    assert context.plan and context.checks
+    assert context.actions and context.checks
     with without(guard):
         world = build.World(context.manifest)
-        for action in context.plan:
+        for action in context.actions:
             action(world)
     failed = 0
     for check in context.checks:
@@ -59,17 +59,17 @@
             check(world)
         except AssertionError:
             failed += 1
-    assert failed, f'{guard} guards nothing here'
+    assert failed, f'{guard} is not checked by this scenario'
 
 
 @when('a "{name}" request is sent')
 def step_send(context, name):
-    _act(context, lambda world: world.send(name))
+    _perform(context, lambda world: world.send(name))
 
 
 @when('a "{name}" request is sent with key "{key}"')
 def step_send_key(context, name, key):
-    _act(context, lambda world: world.send(name, key=key))
+    _perform(context, lambda world: world.send(name, key=key))
 
 
 @when('claims take {seconds:g} seconds for requests')
@@ -81,10 +81,10 @@
 
         world.node.core.claims = claims
 
-    _act(context, slow_claims)
+    _perform(context, slow_claims)
 
 
-@when('claims crash for requests')
+@when('claims raise an exception for requests')
 def step_claims_crash(context):
     def crashing(world):
         def claims(request, run=None):
@@ -92,7 +92,7 @@
 
         world.node.core.claims = claims
 
-    _act(context, crashing)
+    _perform(context, crashing)
 
 
 @when('a "{name}" request is sent with {left:d} ms left when its hedge is due')
@@ -102,31 +102,31 @@
         due = _stage._HEDGE_FACTOR * stage.expect_ms
         world.send(name, budget=(due + left) / 1000)
 
-    _act(context, send)
+    _perform(context, send)
 
 
-@when('a "{name}" request with {seconds:g} seconds is sent')
+@when('a "{name}" request with a deadline of {seconds:g} seconds is sent')
 def step_send_budget(context, name, seconds):
-    _act(context, lambda world: world.send(name, budget=seconds))
+    _perform(context, lambda world: world.send(name, budget=seconds))
 
 
 @when('{count:d} "{name}" requests are sent')
 def step_send_many(context, count, name):
-    _act(context, lambda world: [world.send(name) for _ in range(count)])
+    _perform(context, lambda world: [world.send(name) for _ in range(count)])
 
 
 @when('{seconds:g} request seconds pass')
 def step_pass(context, seconds):
-    _act(context, lambda world: world.wait(seconds))
+    _perform(context, lambda world: world.wait(seconds))
 
 
 def _called(world):
-    return world.upstreams[world.names[-1]]
+    return world.upstreams[world.called_names[-1]]
 
 
 @when('the called upstream breaks streams after {count:d} tokens')
 def step_cut(context, count):
-    _act(
+    _perform(
         context,
         lambda world: setattr(_called(world).faults, 'cut_after', count),
     )
@@ -134,59 +134,63 @@
 
 @when('the called upstream is frozen')
 def step_frozen(context):
-    _act(context, lambda world: setattr(_called(world).faults, 'frozen', True))
+    _perform(
+        context, lambda world: setattr(_called(world).faults, 'frozen', True)
+    )
 
 
 @when('the called upstream is {factor:g} times slower for requests')
 def step_slow(context, factor):
-    _act(context, lambda world: setattr(_called(world).faults, 'slow', factor))
+    _perform(
+        context, lambda world: setattr(_called(world).faults, 'slow', factor)
+    )
 
 
 @when('the upstreams of "{pool}" are {factor:g} times slower for requests')
 def step_pool_slow(context, pool, factor):
-    _act(context, lambda world: world.fault(pool, 'slow', factor))
+    _perform(context, lambda world: world.set_fault(pool, 'slow', factor))
 
 
 @when('the upstreams of "{pool}" are frozen for requests')
 def step_pool_frozen(context, pool):
-    _act(context, lambda world: world.fault(pool, 'frozen', True))
+    _perform(context, lambda world: world.set_fault(pool, 'frozen', True))
 
 
 @when('the upstreams of "{pool}" refuse requests')
 def step_pool_refuses(context, pool):
-    _act(context, lambda world: world.fault(pool, 'refusing', True))
+    _perform(context, lambda world: world.set_fault(pool, 'refusing', True))
 
 
 @when('the upstreams of "{pool}" answer requests with another\'s identifier')
 def step_pool_foreign(context, pool):
-    _act(context, lambda world: world.fault(pool, 'foreign', True))
+    _perform(context, lambda world: world.set_fault(pool, 'foreign', True))
 
 
 @when('the other upstreams refuse requests')
 def step_others_refuse(context):
     def refuse(world):
         for name, upstream in world.upstreams.items():
-            upstream.faults.refusing = name not in world.names
+            upstream.faults.refusing = name not in world.called_names
 
-    _act(context, refuse)
+    _perform(context, refuse)
 
 
 @when('the link to "{name}" goes silent for requests')
 def step_silent(context, name):
-    _act(context, lambda world: world.links.update({name: SILENT}))
+    _perform(context, lambda world: world.links.update({name: SILENT}))
 
 
-@when('the links heal for requests')
+@when('the links recover for requests')
 def step_heal(context):
     def heal(world):
         world.wait(0.05)
         world.links.clear()
 
-    _act(context, heal)
+    _perform(context, heal)
 
 
-def _hooked(context, hook):
-    """Let a hook look at each event, with the call's number from 1."""
+def _hook_events(context, hook):
+    """Pass each event to a hook, with the number of its call from 1."""
 
     def set_hook(world):
         def wrapped(call, sink):
@@ -195,12 +199,12 @@
 
         world.hook = wrapped
 
-    _act(context, set_hook)
+    _perform(context, set_hook)
 
 
 @when(
-    'the answers of request call {which:d} are {seconds:g} seconds late'
-    ' whatever is cancelled'
+    'the events of request call {which:d} arrive {seconds:g} seconds late'
+    ' even if it is cancelled'
 )
 def step_late(context, which, seconds):
     def hook(world, number, event, sink):
@@ -209,10 +213,10 @@
             return
         sink(event)
 
-    _hooked(context, hook)
+    _hook_events(context, hook)
 
 
-@when('tokens {one:d} and {other:d} of request call {which:d} change places')
+@when('tokens {one:d} and {other:d} of request call {which:d} arrive swapped')
 def step_reorder(context, one, other, which):
     def hook(world, number, event, sink):
         offset = getattr(event, 'offset', None)
@@ -222,16 +226,16 @@
         sink(event)
 
     assert other == one + 1
-    _hooked(context, hook)
+    _hook_events(context, hook)
 
 
-@when('all answers of request calls come twice')
+@when('all events of request calls arrive twice')
 def step_double(context):
     def hook(world, number, event, sink):
         sink(event)
         sink(event)
 
-    _hooked(context, hook)
+    _hook_events(context, hook)
 
 
 @when('token {offset:d} of request call {which:d} is lost')
@@ -241,7 +245,7 @@
         if number != which or not lost:
             sink(event)
 
-    _hooked(context, hook)
+    _hook_events(context, hook)
 
 
 @when('the answers of request calls {one:d} and {other:d} are swapped')
@@ -260,7 +264,7 @@
         waiting[0](event)
 
     assert (one, other) == (1, 2)
-    _hooked(context, hook)
+    _hook_events(context, hook)
 
 
 @when("the reply to request call {which:d} is replaced by another's refusal")
@@ -271,22 +275,22 @@
             return
         sink(event)
 
-    _hooked(context, hook)
+    _hook_events(context, hook)
 
 
-@when("the request's caller hangs up")
+@when("the request's caller disconnects")
 def step_hang_up(context):
     def hang_up(world):
         exchange = _Exchange(None, streaming=False)
         exchange.running = world.sent[-1].running
-        exchange.disconnected(None, world.sent[-1].request)
+        exchange.on_disconnect(None, world.sent[-1].request)
 
-    _act(context, hang_up)
+    _perform(context, hang_up)
 
 
 @when('the request is cancelled')
 def step_cancel(context):
-    _act(context, lambda world: world.sent[-1].running.cancel())
+    _perform(context, lambda world: world.sent[-1].running.cancel())
 
 
 @then('the request ends as "{tag}"')
@@ -298,14 +302,20 @@
 
 
 def _expected(request, pool='encoder'):
-    return [{'by': f'{pool}-{place}', 'for': request.ident} for place in (1, 2)]
+    return [
+        {'by': f'{pool}-{position}', 'for': request.ident}
+        for position in (1, 2)
+    ]
 
 
 def _texts(request):
-    earlier = [{}, *[{'encode': output} for output in _expected(request)]]
+    encode_results = [
+        {},
+        *[{'encode': output} for output in _expected(request)],
+    ]
     prompts = [
         wire.encode_json({'input': request.content, 'results': results})
-        for results in earlier
+        for results in encode_results
     ]
     return [
         ''.join(token(prompt, offset) for offset in range(build.TOKENS))
@@ -313,19 +323,19 @@
     ]
 
 
-@then("the request's stream is whole")
+@then("the request's stream is complete")
 def step_whole(context):
     def check(world):
         sent = world.sent[-1]
-        passed = ''.join(sent.tokens)
+        streamed = ''.join(sent.tokens)
         assert len(sent.tokens) == build.TOKENS, sent.tokens
-        assert passed == sent.outcome.output, sent.outcome
-        assert passed in _texts(sent.request), passed
+        assert streamed == sent.outcome.output, sent.outcome
+        assert streamed in _texts(sent.request), streamed
 
     _check(context, check)
 
 
-@then("the request's call {number:d} asks for token {offset:d} and on")
+@then("the request's call {number:d} resumes at token {offset:d}")
 def step_resumes(context, number, offset):
     def check(world):
         assert len(world.calls) >= number, world.calls
@@ -336,13 +346,13 @@
     _check(context, check)
 
 
-@then("the request's outcome came before its deadline")
+@then('the request ended before its deadline')
 @then('each request ended before its deadline')
 def step_in_time(context):
     def check(world):
         for sent in world.sent:
             assert sent.outcome, sent
-        assert world.in_time(), [sent.ended for sent in world.sent]
+        assert world.in_time(), [sent.ended_at for sent in world.sent]
 
     _check(context, check)
 
@@ -401,7 +411,7 @@
 @then('the requests invariant "{name}" is broken')
 def step_broken(context, name):
     def check(world):
-        broken = [one for one, _ in world.node.core.ledger.broken]
+        broken = [invariant for invariant, _ in world.node.core.ledger.broken]
         assert broken == [name], broken
 
     _check(context, check)
@@ -419,24 +429,26 @@
 @then("the request's attempt {number:d} was cancelled")
 def step_cancelled(context, number):
     def check(world):
-        attempts = [one.rpartition('/')[2] for one in world.cancelled]
+        attempts = [ident.rpartition('/')[2] for ident in world.cancelled]
         assert str(number) in attempts, world.cancelled
 
     _check(context, check)
 
 
-@step('no upstream works on requests')
+@step('no upstream is processing requests')
 def step_idle(context):
     def check(world):
         busy = [
-            one.name for one in world.upstreams.values() if one.slots.running
+            upstream.name
+            for upstream in world.upstreams.values()
+            if upstream.slots.running
         ]
         assert not busy, busy
 
     _check(context, check)
 
 
-@then('nothing of the requests is left open')
+@then('the requests host has no open requests')
 def step_nothing_open(context):
     def check(world):
         core = world.node.core
