--- a/features/builders/manifest.py
+++ b/features/builders/manifest.py
@@ -1,4 +1,4 @@
-"""Documents for the manifest's features."""
+"""Example, invalid and generated documents for the manifest feature."""
 
 import functools
 import json
@@ -21,12 +21,12 @@
 
 
 def example_path(name):
-    """Return the path of a deployment's example."""
+    """Return the path of a deployment's example manifest."""
     return ROOT / 'examples' / f'{name}.yaml'
 
 
 def example_text(name):
-    """Return the text of a deployment's example."""
+    """Return the text of a deployment's example manifest."""
     return example_path(name).read_text()
 
 
@@ -36,17 +36,17 @@
 
 
 def example_document(name):
-    """Return a deployment's example as plain data of the caller's own."""
+    """Return a new copy of a deployment's example as plain data."""
     return json.loads(_example_json(name))
 
 
-def _step(part):
+def _path_step(part):
     return int(part) if part.isdigit() else part
 
 
 def edit(document, path, value):
-    """Put a value at a dotted path of a document; remove it if absent."""
-    *steps, last = (_step(part) for part in path.split('.'))
+    """Set the value at a dotted path, or remove it if it is ``ABSENT``."""
+    *steps, last = (_path_step(part) for part in path.split('.'))
     holder = document
     for step in steps:
         holder = holder[step]
@@ -57,17 +57,17 @@
 
 
 def document_text(document):
-    """Return a document as JSON, infinity as a number too large to hold."""
+    """Return a document as JSON, with infinity as an overflowing number."""
     return json.dumps(document).replace('Infinity', '1e999')
 
 
 def value_from_cell(cell):
-    """Return the value that a table's cell gives, as JSON or bare."""
+    """Return the value of a table cell: JSON, or the bare word ``absent``."""
     return ABSENT if cell == ABSENT else json.loads(cell)
 
 
 def many_upstreams(count):
-    """Return that many upstreams of one domain, each at its own address."""
+    """Return ``count`` upstreams of one domain with distinct addresses."""
     upstreams = {}
     for number in range(count):
         address = f'10.0.{number // 250}.{number % 250 + 1}:9000'
@@ -84,28 +84,28 @@
     return '\n'.join(lines)
 
 
-_OPENED = '{"a":' * 5000
-_CLOSED = '}' * 5000
+_OPENING_BRACES = '{"a":' * 5000
+_CLOSING_BRACES = '}' * 5000
 DOCUMENTS = (
     ('an empty text', ''),
     ('a list', '- 1'),
-    ('a lone text', '"kowalczyk"'),
+    ('a bare string', '"kowalczyk"'),
     ('two documents', 'a: 1\n--- \nb: 1'),
     ('a key given twice in YAML', 'name: a\nteams: {}\nname: b'),
     ('a key given twice in JSON', '{"name": "a",\n"name": "b"}'),
     ('a number as a key', 'teams:\n  7: {}'),
     ('an unclosed list', 'name: [1, 2\nteams: {}'),
-    ('a tag of Python', 'name: !!python/object:os.system ls'),
-    ('an unknown alias', 'name: *other'),
-    ('an alias of itself', 'name: &self [*self]'),
+    ('a Python tag', 'name: !!python/object:os.system ls'),
+    ('an undefined alias', 'name: *other'),
+    ('an alias to itself', 'name: &self [*self]'),
     ('an alias bomb', alias_bomb()),
     ('deep nesting in YAML', '[' * 5000),
-    ('deep nesting in JSON', f'{_OPENED}1{_CLOSED}'),
+    ('deep nesting in JSON', f'{_OPENING_BRACES}1{_CLOSING_BRACES}'),
     ('too many bytes', 'x' * 1_048_577),
-    ('a number too long to read', f'name: {"9" * 5000}'),
+    ('a number with too many digits', f'name: {"9" * 5000}'),
     ('a control character', 'name: "\x00"'),
     ('bytes that are not UTF-8', b'name: \xff'),
-    ('half a surrogate pair', r'{"name": "\ud800"}'),
+    ('an unpaired surrogate', r'{"name": "\ud800"}'),
 )
 
 
@@ -123,24 +123,24 @@
     )
 
 
-def _paths(value, path=()):
-    found = [path] if path else []
+def _all_paths(value, path=()):
+    paths = [path] if path else []
     pairs = ()
     if isinstance(value, dict):
         pairs = value.items()
     if isinstance(value, list):
         pairs = enumerate(value)
     for step, part in pairs:
-        found.extend(_paths(part, (*path, step)))
-    return found
+        paths.extend(_all_paths(part, (*path, step)))
+    return paths
 
 
 @strategies.composite
-def spoilt_documents(draw):
-    """Draw an example in which up to four values are arbitrary."""
+def corrupted_documents(draw):
+    """Draw an example in which one to four values are replaced at random."""
     document = example_document(draw(strategies.sampled_from(EXAMPLES)))
     for _ in range(draw(strategies.integers(1, 4))):
-        paths = strategies.sampled_from(_paths(document))
+        paths = strategies.sampled_from(_all_paths(document))
         *steps, last = draw(paths)
         holder = document
         for step in steps:
@@ -159,8 +159,8 @@
 
 
 @strategies.composite
-def sound_documents(draw):
-    """Draw an example with other numbers, and its keys in another order."""
+def valid_documents(draw):
+    """Draw an example with other numbers, and a copy with shuffled keys."""
     document = example_document(draw(strategies.sampled_from(EXAMPLES)))
     for team in document['teams'].values():
         team['weight'] = draw(strategies.floats(0.001, 1000))
--- a/features/steps/manifest_steps.py
+++ b/features/steps/manifest_steps.py
@@ -1,10 +1,10 @@
-"""Steps for the manifest's features."""
+"""Steps of the manifest feature."""
 
 import json
 
 import yaml
 from behave import given, then, when
-from hypothesis import given as for_all
+from hypothesis import given as hypothesis_given
 from hypothesis import settings, strategies
 
 from features.builders import manifest as builder
@@ -20,9 +20,9 @@
     text_from_manifest,
 )
 
-_EXAMPLES = 150
-_DRAWN = settings(
-    derandomize=True, deadline=None, max_examples=_EXAMPLES, database=None
+_DRAWN_EXAMPLES = 150
+_HYPOTHESIS_SETTINGS = settings(
+    derandomize=True, deadline=None, max_examples=_DRAWN_EXAMPLES, database=None
 )
 
 
@@ -49,7 +49,7 @@
         step_edit(context, row['value'], row['path'])
 
 
-@given('the {name} manifest as it stands in the examples')
+@given('the {name} manifest as written in the examples')
 def step_example_text(context, name):
     context.manifest_name = f'examples/{name}.yaml'
     context.manifest_text = builder.example_text(name)
@@ -67,15 +67,17 @@
 
 
 @then('the manifest report is "{line}" with exit code {code:d}')
-def step_only_line(context, line, code):
+def step_single_line(context, line, code):
     assert context.lines == [line], context.lines
     assert context.code == code
 
 
 @then('the manifest report has exactly these lines and exit code {code:d}')
 def step_lines(context, code):
-    wanted = [f'm.json: {row["path"]}: {row["text"]}' for row in context.table]
-    assert sorted(context.lines) == sorted(wanted), context.lines
+    expected = [
+        f'm.json: {row["path"]}: {row["text"]}' for row in context.table
+    ]
+    assert sorted(context.lines) == sorted(expected), context.lines
     assert context.code == code
 
 
@@ -92,7 +94,7 @@
     assert context.code == 0
 
 
-@then('each of these manifest texts is refused with this line')
+@then('each of these manifest texts is rejected with this line')
 def step_documents(context):
     texts = dict(builder.DOCUMENTS)
     assert [row['document'] for row in context.table] == list(texts)
@@ -102,58 +104,58 @@
         assert code == 2
 
 
-def _only_manifest_errors(text):
+def _assert_only_manifest_errors(text):
     try:
         manifest_from_text(text)
     except ManifestError as error:
         assert error.mistakes
-        assert all(one.path and one.text for one in error.mistakes)
+        assert all(mistake.path and mistake.text for mistake in error.mistakes)
     lines, _ = report_lines('m', text)
     assert all(line.isprintable() for line in lines)
 
 
 @then('arbitrary manifest documents raise nothing but manifest errors')
 def step_arbitrary(context):
-    @_DRAWN
-    @for_all(builder.json_values())
+    @_HYPOTHESIS_SETTINGS
+    @hypothesis_given(builder.json_values())
     def check(document):
-        _only_manifest_errors(json.dumps(document))
+        _assert_only_manifest_errors(json.dumps(document))
 
     check()
 
 
 @then('arbitrary manifest texts raise nothing but manifest errors')
 def step_arbitrary_text(context):
-    @_DRAWN
-    @for_all(strategies.one_of(strategies.text(), strategies.binary()))
+    @_HYPOTHESIS_SETTINGS
+    @hypothesis_given(strategies.one_of(strategies.text(), strategies.binary()))
     def check(text):
-        _only_manifest_errors(text)
+        _assert_only_manifest_errors(text)
 
     check()
 
 
-@then('spoilt manifest documents raise nothing but manifest errors')
-def step_spoilt(context):
-    @_DRAWN
-    @for_all(builder.spoilt_documents())
+@then('corrupted manifest documents raise nothing but manifest errors')
+def step_corrupted(context):
+    @_HYPOTHESIS_SETTINGS
+    @hypothesis_given(builder.corrupted_documents())
     def check(document):
-        _only_manifest_errors(json.dumps(document))
+        _assert_only_manifest_errors(json.dumps(document))
 
     check()
 
 
-@then('sound manifests come back equal from their canonical text')
+@then('valid manifests decode to equal ones from their canonical text')
 def step_round_trip(context):
-    @settings(_DRAWN, max_examples=40)
-    @for_all(builder.sound_documents())
+    @settings(_HYPOTHESIS_SETTINGS, max_examples=40)
+    @hypothesis_given(builder.valid_documents())
     def check(drawn):
         document, shuffled = drawn
         manifest = manifest_from_text(json.dumps(document))
         text = text_from_manifest(manifest)
-        again = manifest_from_text(text)
+        decoded = manifest_from_text(text)
         from_yaml = manifest_from_text(yaml.safe_dump(shuffled))
-        assert again == manifest
-        assert text_from_manifest(again) == text
+        assert decoded == manifest
+        assert text_from_manifest(decoded) == text
         assert manifest_digest(from_yaml) == manifest_digest(manifest)
 
     check()
@@ -169,8 +171,8 @@
 
 @then('the manifest changes are')
 def step_changes(context):
-    wanted = [row['change'] for row in context.table]
-    assert context.changes == wanted, context.changes
+    expected = [row['change'] for row in context.table]
+    assert context.changes == expected, context.changes
     assert len(context.digests) == 2
 
 
@@ -205,7 +207,7 @@
     _report(context, 'm.json', text)
 
 
-@then('the manifest is refused for its size with defaults')
+@then('the manifest is rejected for its size with defaults')
 def step_size(context):
     size = len(context.manifest_text)
     assert size < 1_048_576, size
--- a/pollenstile/manifest/__init__.py
+++ b/pollenstile/manifest/__init__.py
@@ -1,4 +1,4 @@
-"""What operators declare: model, decoding and checks."""
+"""Data classes, decoding and validation of the operators' manifest."""
 
 from pollenstile.manifest._decode import (
     manifest_digest,
@@ -21,4 +21,4 @@
 from pollenstile.manifest._reference import manifest_reference
 from pollenstile.manifest._report import manifest_warnings, report_lines
 from pollenstile.manifest._schema import manifest_schema
-from pollenstile.manifest._walk import stage_needs
+from pollenstile.manifest._traversal import stage_needs
--- a/pollenstile/manifest/_addresses.py
+++ b/pollenstile/manifest/_addresses.py
@@ -1,10 +1,10 @@
-"""Checks of upstreams' addresses and of pools without any."""
+"""Checks of upstream addresses and of pools without upstreams."""
 
 import ipaddress
 import re
 
 from pollenstile.manifest._mistake import Mistake
-from pollenstile.manifest._walk import each_upstream
+from pollenstile.manifest._traversal import list_upstreams
 
 _ADDRESS = re.compile(r'(?:\[([0-9a-fA-F:.]+)\]|([0-9.]+)):([0-9]{1,5})\Z')
 _MAX_PORT = 65_535
@@ -23,71 +23,75 @@
     >>> endpoint('engine-1:9000') is None
     True
     """
-    found = _ADDRESS.match(address)
-    if not found:
+    match = _ADDRESS.match(address)
+    if not match:
         return None
-    six, four, port = found.groups()
+    ipv6, ipv4, port = match.groups()
     try:
-        host = ipaddress.ip_address(six or four)
+        host = ipaddress.ip_address(ipv6 or ipv4)
     except ValueError:
         return None
-    if six and host.version == 4:
+    if ipv6 and host.version == 4:
         return None
     return (host, int(port)) if 1 <= int(port) <= _MAX_PORT else None
 
 
-def _address_text(found, address):
-    if found is None:
+def _address_problem(parsed, address):
+    if parsed is None:
         return f'{address!r} is not IP:PORT or [IP]:PORT'
-    host = found[0]
+    host = parsed[0]
     if host.is_unspecified or host.is_multicast:
         return f'{address!r} is not the address of one host'
     return ''
 
 
-def _addresses(manifest):
+def _upstream_address_mistakes(manifest):
     mistakes = []
-    taken = {}
-    for path, upstream in each_upstream(manifest):
+    path_by_endpoint = {}
+    for path, upstream in list_upstreams(manifest):
         path = f'{path}.address'
-        found = endpoint(upstream.address)
-        text = _address_text(found, upstream.address)
-        if not text and found in taken:
-            text = f'{upstream.address!r} is the address of {taken[found]}'
+        parsed = endpoint(upstream.address)
+        text = _address_problem(parsed, upstream.address)
+        if not text and parsed in path_by_endpoint:
+            first = path_by_endpoint[parsed]
+            text = f'{upstream.address!r} is already the address of {first}'
         if text:
             mistakes.append(Mistake(path, text))
             continue
-        taken[found] = path
+        path_by_endpoint[parsed] = path
     return mistakes
 
 
-def _empty_pools(manifest):
+def _empty_pool_mistakes(manifest):
     mistakes = []
     for name, pool in manifest.pools.items():
         if pool.upstreams:
             continue
-        text = 'a pool has at least one upstream'
+        text = 'a pool must have at least one upstream'
         mistakes.append(Mistake(f'pools.{name}.upstreams', text))
     return mistakes
 
 
 def address_mistakes(manifest):
     """Return a mistake for each bad address, shared address or empty pool."""
-    return [*_addresses(manifest), *_empty_pools(manifest)]
+    return [
+        *_upstream_address_mistakes(manifest),
+        *_empty_pool_mistakes(manifest),
+    ]
 
 
-def bare_domains(manifest):
-    """Return a warning for each pool and domain without an upstream of it.
+def coverage_warnings(manifest):
+    """Return a warning for each domain in which a pool has no upstream.
 
     Explanation
     ===========
 
-    A domain that is cut off from the others can't run a stage that it has no
-    upstream for. The manifest is still served.
+    A domain that is partitioned from the others can't run the stages of such
+    a pool. The manifest is accepted nevertheless.
     """
     warnings = []
     for name, pool in manifest.pools.items():
-        covered = {one.domain for one in pool.upstreams.values()}
+        covered = {upstream.domain for upstream in pool.upstreams.values()}
         for domain in manifest.domains:
             if domain in covered:
                 continue
--- a/pollenstile/manifest/_checks.py
+++ b/pollenstile/manifest/_checks.py
@@ -1,12 +1,12 @@
-"""Checks across a manifest's fields."""
+"""Validation rules that relate several fields of a manifest."""
 
 from pollenstile.manifest._addresses import address_mistakes
 from pollenstile.manifest._engines import engine_mistakes
+from pollenstile.manifest._idempotency import idempotency_mistakes
 from pollenstile.manifest._keys import key_mistakes
 from pollenstile.manifest._names import name_mistakes
 from pollenstile.manifest._order import order_mistakes
 from pollenstile.manifest._references import reference_mistakes
-from pollenstile.manifest._repeats import repeat_mistakes
 from pollenstile.manifest._timing import timing_mistakes
 
 _CHECKS = (
@@ -16,25 +16,25 @@
     engine_mistakes,
     key_mistakes,
     order_mistakes,
-    repeat_mistakes,
+    idempotency_mistakes,
     timing_mistakes,
 )
 
 
 def semantic_mistakes(manifest):
-    """Return every mistake that shows only across fields.
+    """Return the violations of all rules that relate several fields.
 
     Parameters
     ==========
 
     manifest : Manifest
-        Decoded and well typed.
+        Decoded, with every field of its declared type.
 
     Returns
     =======
 
     list of Mistake
-        Empty when the manifest can be served.
+        Empty when the manifest is valid.
     """
     mistakes = []
     for check in _CHECKS:
--- a/pollenstile/manifest/_decode.py
+++ b/pollenstile/manifest/_decode.py
@@ -1,4 +1,4 @@
-"""Decoding of manifests from YAML or JSON."""
+"""Decoding, canonical encoding and digest of manifests."""
 
 import hashlib
 import json
@@ -13,13 +13,15 @@
     independent_mistakes,
 )
 from pollenstile.manifest._model import Manifest
-from pollenstile.manifest._repair import mend_document
+from pollenstile.manifest._placeholders import insert_placeholders
 
 _ADAPTER = TypeAdapter(Manifest)
-_SHOWN = 40
-_BARE = frozenset(('json_invalid', 'missing', 'unexpected_keyword_argument'))
-_TEXTS = {
-    'json_invalid': 'has text that is not Unicode',
+_MAX_SHOWN_CHARACTERS = 40
+_TYPES_WITHOUT_INPUT = frozenset(
+    ('json_invalid', 'missing', 'unexpected_keyword_argument')
+)
+_TEXT_BY_TYPE = {
+    'json_invalid': 'contains text that is not valid Unicode',
     'missing': 'is required',
     'unexpected_keyword_argument': 'is not a field here',
     'dataclass_type': 'should be a mapping of fields',
@@ -29,39 +31,41 @@
 }
 
 
-def _text_of(detail):
-    text = _TEXTS.get(detail['type'])
+def _detail_text(detail):
+    text = _TEXT_BY_TYPE.get(detail['type'])
     if text is None:
         text = detail['msg'].replace('Input should', 'should')
     shown = json.dumps(detail['input'])
-    if detail['type'] in _BARE:
+    if detail['type'] in _TYPES_WITHOUT_INPUT:
         return text
-    return f'{text}, not {shown}' if len(shown) <= _SHOWN else text
+    return (
+        f'{text}, not {shown}' if len(shown) <= _MAX_SHOWN_CHARACTERS else text
+    )
 
 
-def _typed_mistakes(details):
+def _type_mistakes(details):
     mistakes = []
     for detail in details:
         path = '.'.join(str(part) for part in detail['loc']) or 'document'
-        mistakes.append(Mistake(path, _text_of(detail)))
+        mistakes.append(Mistake(path, _detail_text(detail)))
     return mistakes
 
 
-def _decoded(document):
-    # Decoding from JSON, as strict decoding of Python data would ask for
-    # instances of the classes.
+def _decode(document):
+    # Decodes from JSON, because strict decoding of Python data accepts only
+    # instances of the dataclasses.
     return _ADAPTER.validate_json(json.dumps(document))
 
 
-def _mistakes_behind(document, details):
-    """Return what the checks find beside the fields that did not decode."""
+def _independent_semantic_mistakes(document, details):
+    """Return semantic mistakes that don't depend on undecoded fields."""
     plain = json.loads(json.dumps(document))
-    mend_document(plain, Manifest, details)
+    insert_placeholders(plain, Manifest, details)
     try:
-        manifest = _decoded(plain)
+        manifest = _decode(plain)
     except ValidationError:
         return []
-    broken = {one.path for one in _typed_mistakes(details)}
+    broken = {mistake.path for mistake in _type_mistakes(details)}
     return independent_mistakes(semantic_mistakes(manifest), broken)
 
 
@@ -74,34 +78,34 @@
 
 
 def manifest_from_text(text):
-    """Return the checked manifest that a document declares.
+    """Decode and validate a manifest document.
 
     Parameters
     ==========
 
     text : str or bytes
-        YAML, or JSON, which is a subset of it.
+        A YAML or JSON document.
 
     Returns
     =======
 
     Manifest
-        Well typed and checked across fields.
+        The valid manifest.
 
     Raises
     ======
 
     ManifestError
-        With every mistake found.
+        If the document has mistakes; the error lists all that were found.
     """
     document = document_from_text(text)
     try:
-        manifest = _decoded(document)
+        manifest = _decode(document)
     except ValidationError as error:
         details = error.errors(include_url=False)
-        typed = _typed_mistakes(details)
+        type_mistakes = _type_mistakes(details)
         raise ManifestError(
-            typed + _mistakes_behind(document, details),
+            type_mistakes + _independent_semantic_mistakes(document, details),
         ) from None
     mistakes = semantic_mistakes(manifest) or _size_mistakes(manifest)
     if mistakes:
@@ -115,8 +119,9 @@
     Explanation
     ===========
 
-    Every field is written, defaults too, with keys in order: hosts of two
-    releases read the same values, and equal manifests have equal texts.
+    The text contains every field, including defaults, with sorted keys. Hosts
+    of different releases therefore read the same values, and equal manifests
+    have equal texts.
     """
     plain = _ADAPTER.dump_python(manifest, mode='json')
     return json.dumps(plain, sort_keys=True, separators=(',', ':'))
@@ -128,9 +133,9 @@
     Explanation
     ===========
 
-    Equal for the same content whatever the order of keys, the comments or the
-    choice of YAML or JSON. It tells reviewed versions apart, so that chance
-    collisions must not happen at all; a faster checksum gains nothing at a
-    few hundred changes a day.
+    The digest depends only on the content, not on the order of keys, comments
+    or the choice of YAML or JSON. It identifies reviewed versions, so
+    accidental collisions must not occur. A faster checksum would gain nothing
+    at a few hundred changes a day.
     """
     return hashlib.sha256(text_from_manifest(manifest).encode()).hexdigest()
--- a/pollenstile/manifest/_diff.py
+++ b/pollenstile/manifest/_diff.py
@@ -1,4 +1,4 @@
-"""What changes from one manifest to the next."""
+"""Differences between two manifests, listed by path."""
 
 import json
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from pollenstile.manifest._decode import text_from_manifest
 
 _ABSENT = None
-_SHOWN = 72
+_MAX_VALUE_CHARACTERS = 72
 
 
 @dataclass(slots=True, frozen=True)
@@ -17,11 +17,12 @@
     ==========
 
     path : str
-        Where, ``'pipelines.draft.stages.rerank.attempts'``.
+        Path of the value, such as
+        ``'pipelines.draft.stages.rerank.attempts'``.
     before : object
-        Plain data; ``None`` when it is new.
+        Old value as plain data; ``None`` if the path is new.
     after : object
-        Plain data; ``None`` when it is gone.
+        New value as plain data; ``None`` if the path was removed.
     """
 
     path: str
@@ -29,71 +30,77 @@
     after: object
 
 
-def _is_staged(value):
-    return bool(value) and all(isinstance(one, dict) for one in value)
+def _is_stage_list(value):
+    return bool(value) and all(isinstance(item, dict) for item in value)
 
 
-def _comparable(value):
-    """Return a mapping for what is compared part by part, or ``None``.
+def _as_mapping(value):
+    """Return a value as a mapping of its parts, or ``None`` if it has none.
 
-    Stages are compared by name, so that one more in front does not show as a
-    change of all that follow; their order is a part of its own.
+    Stages are compared by name, so that inserting one does not report every
+    later stage as changed. The order of the stages is a separate part.
     """
     if isinstance(value, dict):
         return value
-    if not isinstance(value, list) or not _is_staged(value):
+    if not isinstance(value, list) or not _is_stage_list(value):
         return None
-    parts = {one['name']: one for one in value}
-    parts['(order)'] = [one['name'] for one in value]
+    parts = {stage['name']: stage for stage in value}
+    parts['(order)'] = [stage['name'] for stage in value]
     return parts
 
 
 def _changes(path, before, after):
     if before == after:
         return []
-    old = _comparable(before)
-    new = _comparable(after)
-    if old is None or new is None:
+    old_parts = _as_mapping(before)
+    new_parts = _as_mapping(after)
+    if old_parts is None or new_parts is None:
         return [Change(path, before, after)]
-    found = []
-    for key in sorted({*old, *new}):
-        below = f'{path}.{key}' if path else key
-        found.extend(_changes(below, old.get(key), new.get(key)))
-    return found
+    changes = []
+    for key in sorted({*old_parts, *new_parts}):
+        part_path = f'{path}.{key}' if path else key
+        changes.extend(
+            _changes(part_path, old_parts.get(key), new_parts.get(key)),
+        )
+    return changes
 
 
-def _plain(manifest):
+def _plain_data(manifest):
     if manifest is None:
         return {}
     return json.loads(text_from_manifest(manifest))
 
 
 def manifest_diff(old, new):
-    """Return the changes from one manifest to another, by path.
+    """Return the changes from one manifest to another.
 
     Parameters
     ==========
 
     old : Manifest or None
-        ``None`` before the first one.
+        ``None`` if there is no earlier manifest.
     new : Manifest
 
     Returns
     =======
 
     list of Change
-        Empty when both say the same.
+        Ordered by path; empty if both manifests are equal.
     """
-    return _changes('', _plain(old), _plain(new))
+    return _changes('', _plain_data(old), _plain_data(new))
 
 
-def _shown(value):
+def _format_value(value):
     text = json.dumps(value, sort_keys=True)
-    return text if len(text) <= _SHOWN else f'{text[: _SHOWN - 3]}...'
+    return (
+        text
+        if len(text) <= _MAX_VALUE_CHARACTERS
+        else f'{text[: _MAX_VALUE_CHARACTERS - 3]}...'
+    )
 
 
 def diff_lines(changes):
-    """Return a line for each change, for a terminal.
+    """Format each change as one line for a terminal.
 
     Examples
     ========
@@ -109,11 +116,13 @@
     lines = []
     for change in changes:
         if change.before is _ABSENT:
-            lines.append(f'+ {change.path}: {_shown(change.after)}')
+            lines.append(f'+ {change.path}: {_format_value(change.after)}')
             continue
         if change.after is _ABSENT:
-            lines.append(f'- {change.path}: {_shown(change.before)}')
+            lines.append(f'- {change.path}: {_format_value(change.before)}')
             continue
-        before = _shown(change.before)
-        lines.append(f'~ {change.path}: {before} -> {_shown(change.after)}')
+        before = _format_value(change.before)
+        lines.append(
+            f'~ {change.path}: {before} -> {_format_value(change.after)}'
+        )
     return lines
--- a/pollenstile/manifest/_document.py
+++ b/pollenstile/manifest/_document.py
@@ -1,12 +1,12 @@
-"""Reading of YAML and JSON text into plain data.
+"""Parsing of YAML and JSON text into plain data.
 
 Explanation
 ===========
 
-JSON is read by the standard library. Everything else, and JSON that it
-refuses, goes through PyYAML, whose marks give the line of a mistake. Scalars
-follow YAML 1.2's core schema, in which only ``true`` and ``false`` are
-booleans and a team may be named ``no`` or ``on``.
+The standard library parses JSON. PyYAML parses all other text, and JSON that
+the standard library rejects, because PyYAML's marks give the line of an
+error. Scalars follow YAML 1.2's core schema, in which only ``true`` and
+``false`` are booleans and a team may be named ``no`` or ``on``.
 """
 
 import contextlib
@@ -18,77 +18,78 @@
 from pollenstile.manifest._mistake import ManifestError, Mistake
 
 MAX_BYTES = 1_048_576
-_WHOLE = 'document'
+_DOCUMENT_PATH = 'document'
 
 
-def _refusal(text, place=_WHOLE):
-    return ManifestError([Mistake(place, text)])
+def _document_error(text, path=_DOCUMENT_PATH):
+    return ManifestError([Mistake(path, text)])
 
 
-def _unique(pairs):
+def _mapping_without_duplicates(pairs):
     mapping = dict(pairs)
     if len(mapping) != len(pairs):
         raise ValueError('a key is given twice')
     return mapping
 
 
-def _refused_constant(name):
-    raise ValueError(f'{name} is no JSON')
+def _reject_constant(name):
+    raise ValueError(f'{name} is not valid JSON')
 
 
-def _from_json(text):
+def _parse_json(text):
     return json.loads(
         text,
-        object_pairs_hook=_unique,
-        parse_constant=_refused_constant,
+        object_pairs_hook=_mapping_without_duplicates,
+        parse_constant=_reject_constant,
     )
 
 
-def _from_yaml(text):
+def _parse_yaml(text):
     with contextlib.closing(BoundedLoader(text)) as loader:
         node = loader.get_single_node()
     if node is None:
-        raise _refusal('is empty')
+        raise _document_error('is empty')
     return plain_value(node)
 
 
-def _yaml_refusal(error):
+def _error_from_yaml(error):
     mark = getattr(error, 'problem_mark', None)
-    place = f'line {mark.line + 1}' if mark else _WHOLE
-    said = [
+    path = f'line {mark.line + 1}' if mark else _DOCUMENT_PATH
+    parts = [
         getattr(error, name, None) for name in ('context', 'problem', 'reason')
     ]
-    text = ', '.join(part for part in said if part)
-    return _refusal(text or 'is neither YAML nor JSON', place)
+    text = ', '.join(part for part in parts if part)
+    return _document_error(text or 'is neither YAML nor JSON', path)
 
 
-def _unicode(text):
+def _decode_utf8(text):
     try:
         encoded = text.encode() if isinstance(text, str) else bytes(text)
     except UnicodeEncodeError:
-        raise _refusal('is not UTF-8') from None
+        raise _document_error('is not UTF-8') from None
     if len(encoded) > MAX_BYTES:
-        raise _refusal(f'has {len(encoded)} bytes, at most {MAX_BYTES}')
+        raise _document_error(f'has {len(encoded)} bytes, at most {MAX_BYTES}')
     try:
         return encoded.decode('utf-8-sig')
     except UnicodeDecodeError:
-        raise _refusal('is not UTF-8') from None
+        raise _document_error('is not UTF-8') from None
 
 
 def document_from_text(text):
-    """Return the mapping that a YAML or JSON text holds.
+    """Parse a YAML or JSON text whose top level is a mapping.
 
     Parameters
     ==========
 
     text : str or bytes
-        At most a mebibyte, the most that the object API holds.
+        At most one mebibyte, the largest object that the object API stores.
 
     Raises
     ======
 
     ManifestError
-        With one mistake; its path is the line where that is known.
+        If the text is invalid. The error has one mistake, whose path is the
+        line number if it is known.
 
     Examples
     ========
@@ -96,19 +97,19 @@
     >>> document_from_text('teams: {no: {weight: 2}}')
     {'teams': {'no': {'weight': 2}}}
     """
-    text = _unicode(text)
+    text = _decode_utf8(text)
     try:
-        document = _from_json(text)
+        document = _parse_json(text)
     except (ValueError, RecursionError):
-        # Not JSON, or JSON with a mistake, whose line YAML's marks give.
-        document = _yaml_document(text)
+        # YAML, or invalid JSON: the YAML parser reports the line of the error.
+        document = _document_from_yaml(text)
     if not isinstance(document, dict):
-        raise _refusal('is not a mapping of fields')
+        raise _document_error('is not a mapping of fields')
     return document
 
 
-def _yaml_document(text):
+def _document_from_yaml(text):
     try:
-        return _from_yaml(text)
+        return _parse_yaml(text)
     except yaml.YAMLError as error:
-        raise _yaml_refusal(error) from None
+        raise _error_from_yaml(error) from None
--- a/pollenstile/manifest/_engines.py
+++ b/pollenstile/manifest/_engines.py
@@ -1,9 +1,9 @@
-"""Checks of models, adapters and the engines that hold them."""
+"""Checks of models, adapters and the engine pools that hold them."""
 
 import math
 
 from pollenstile.manifest._mistake import Mistake
-from pollenstile.manifest._walk import each_stage
+from pollenstile.manifest._traversal import list_stages
 
 
 def _held_models(manifest):
@@ -14,30 +14,30 @@
     return held
 
 
-def _pool_models(manifest):
+def _pool_model_mistakes(manifest):
     mistakes = []
     for name, pool in manifest.pools.items():
         path = f'pools.{name}.models'
         reads = (f'pools.{name}.kind',)
         if pool.kind == 'engine' and not pool.models:
-            text = 'an engine pool holds at least one model'
+            text = 'an engine pool must hold at least one model'
             mistakes.append(Mistake(path, text, reads))
         if pool.kind != 'engine' and pool.models:
-            text = f'a {pool.kind} pool holds no models'
+            text = f'a {pool.kind} pool must not hold models'
             mistakes.append(Mistake(path, text, reads))
     return mistakes
 
 
-def _pool_paths(manifest):
+def _pool_model_paths(manifest):
     paths = ['pools']
     for name in manifest.pools:
         paths.extend([f'pools.{name}.models', f'pools.{name}.kind'])
     return tuple(paths)
 
 
-def _unheld(manifest):
+def _unheld_model_mistakes(manifest):
     mistakes = []
-    reads = _pool_paths(manifest)
+    reads = _pool_model_paths(manifest)
     held = _held_models(manifest)
     for model in manifest.models:
         if model in held:
@@ -48,11 +48,11 @@
 
 
 def _largest_memory(pool):
-    sizes = [one.memory_mb for one in pool.upstreams.values()]
+    sizes = [upstream.memory_mb for upstream in pool.upstreams.values()]
     return max(sizes, default=math.inf)
 
 
-def _size_text(manifest, name, largest):
+def _size_problem(manifest, name, largest):
     model = manifest.models.get(name)
     if model is None or model.memory_mb <= largest:
         return ''
@@ -60,27 +60,27 @@
     return f'{name!r} takes {size} MB, the largest upstream has {largest} MB'
 
 
-def _too_large(manifest):
+def _oversized_model_mistakes(manifest):
     mistakes = []
     for name, pool in manifest.pools.items():
         largest = _largest_memory(pool)
-        for place, model in enumerate(pool.models):
-            text = _size_text(manifest, model, largest)
+        for index, model in enumerate(pool.models):
+            text = _size_problem(manifest, model, largest)
             if not text:
                 continue
-            path = f'pools.{name}.models.{place}'
-            read = f'models.{model}.memory_mb'
-            mistakes.append(Mistake(path, text, (read,)))
+            path = f'pools.{name}.models.{index}'
+            reads = (f'models.{model}.memory_mb',)
+            mistakes.append(Mistake(path, text, reads))
     return mistakes
 
 
-def _model_text(manifest, held, stage):
+def _stage_model_problem(manifest, held, stage):
     pool = manifest.pools[stage.pool]
     if pool.kind != 'engine':
-        text = f'a {pool.kind} pool takes no model'
+        text = f'a stage on a {pool.kind} pool must not name a model'
         return text if stage.model else ''
     if not stage.model:
-        return 'a stage on an engine pool names its model'
+        return 'a stage on an engine pool must name its model'
     if stage.model not in manifest.models:
         return f'no model is named {stage.model!r}'
     if stage.model in pool.models or stage.model not in held:
@@ -88,13 +88,13 @@
     return f'pool {stage.pool!r} holds no model {stage.model!r}'
 
 
-def _stage_models(manifest):
+def _stage_model_mistakes(manifest):
     mistakes = []
     held = _held_models(manifest)
-    for path, stage in each_stage(manifest):
+    for path, stage in list_stages(manifest):
         if stage.pool not in manifest.pools:
             continue
-        text = _model_text(manifest, held, stage)
+        text = _stage_model_problem(manifest, held, stage)
         if not text:
             continue
         pool = f'pools.{stage.pool}'
@@ -103,21 +103,21 @@
     return mistakes
 
 
-def _adapter_text(manifest, stage):
+def _adapter_problem(manifest, stage):
     if not stage.adapter:
         return ''
     if not stage.model:
-        return 'an adapter goes with a model'
+        return 'an adapter requires a model'
     model = manifest.models.get(stage.model)
     if model is None or stage.adapter in model.adapters:
         return ''
     return f'model {stage.model!r} has no adapter {stage.adapter!r}'
 
 
-def _stage_adapters(manifest):
+def _stage_adapter_mistakes(manifest):
     mistakes = []
-    for path, stage in each_stage(manifest):
-        text = _adapter_text(manifest, stage)
+    for path, stage in list_stages(manifest):
+        text = _adapter_problem(manifest, stage)
         if not text:
             continue
         reads = (f'{path}.model', f'models.{stage.model}.adapters')
@@ -131,13 +131,13 @@
     Explanation
     ===========
 
-    A model that is held nowhere gives one mistake, at the model; the stages
-    that ask for it give none.
+    A model that no engine pool holds is reported once, at the model, and not
+    again at each stage that names it.
     """
     return [
-        *_pool_models(manifest),
-        *_unheld(manifest),
-        *_too_large(manifest),
-        *_stage_models(manifest),
-        *_stage_adapters(manifest),
+        *_pool_model_mistakes(manifest),
+        *_unheld_model_mistakes(manifest),
+        *_oversized_model_mistakes(manifest),
+        *_stage_model_mistakes(manifest),
+        *_stage_adapter_mistakes(manifest),
     ]
--- a/pollenstile/manifest/_fields.py
+++ b/pollenstile/manifest/_fields.py
@@ -1,4 +1,4 @@
-"""What the classes' docstrings say of their fields."""
+"""Field descriptions, extracted from the data classes' docstrings."""
 
 import dataclasses
 import inspect
@@ -13,19 +13,24 @@
     return inspect.getdoc(kind).splitlines()[0]
 
 
-def _plain(text):
+def _without_markup(text):
     return _ROLE.sub(r'\1', text).replace('``', '`')
 
 
 def field_texts(kind):
-    """Return name to description, from a class's ``Parameters`` section.
+    """Return a mapping of field names to descriptions.
+
+    Explanation
+    ===========
+
+    The descriptions are those of the class's ``Parameters`` section.
 
     Examples
     ========
 
     >>> from pollenstile.manifest._model import Domain
     >>> field_texts(Domain)
-    {'region': 'The region it lies in.'}
+    {'region': 'Region that contains the domain.'}
     """
     texts = {}
     name = ''
@@ -36,6 +41,8 @@
             texts[name] = ''
             continue
         if name and line.startswith('    '):
-            texts[name] = _plain(f'{texts[name]} {line.strip()}'.strip())
-    names = [one.name for one in dataclasses.fields(kind)]
+            texts[name] = _without_markup(
+                f'{texts[name]} {line.strip()}'.strip()
+            )
+    names = [member.name for member in dataclasses.fields(kind)]
     return {name: texts[name] for name in names}
--- a/pollenstile/manifest/_keys.py
+++ b/pollenstile/manifest/_keys.py
@@ -8,31 +8,33 @@
 _DIGEST = re.compile(DIGEST_PATTERN.replace('$', r'\Z'))
 
 
-def _each_digest(manifest):
-    found = []
+def _list_digests(manifest):
+    digests = []
     for name, team in manifest.teams.items():
-        for place, digest in enumerate(team.key_digests):
-            found.append((f'teams.{name}.key_digests.{place}', digest))
-    return found
+        for index, digest in enumerate(team.key_digests):
+            digests.append((f'teams.{name}.key_digests.{index}', digest))
+    return digests
 
 
 def key_mistakes(manifest):
-    """Return a mistake for each digest that is malformed or not unique.
+    """Return a mistake for each malformed or duplicate key digest.
 
     Explanation
     ===========
 
-    A key that two teams share names neither: requests would be admitted,
-    weighed and billed as the team that is found first.
+    A key that two teams share identifies neither of them: its requests would
+    be admitted, weighted and billed as those of the team found first.
     """
     mistakes = []
-    owners = {}
-    for path, digest in _each_digest(manifest):
+    first_paths = {}
+    for path, digest in _list_digests(manifest):
         if not _DIGEST.match(digest):
-            text = 'is no SHA-256 in 64 lowercase hexadecimal digits'
+            text = 'is not a SHA-256 digest of 64 lowercase hexadecimal digits'
             mistakes.append(Mistake(path, text))
             continue
-        owner = owners.setdefault(digest, path)
-        if owner != path:
-            mistakes.append(Mistake(path, f'is the digest at {owner}, too'))
+        first_path = first_paths.setdefault(digest, path)
+        if first_path != path:
+            mistakes.append(
+                Mistake(path, f'is also the digest at {first_path}')
+            )
     return mistakes
--- a/pollenstile/manifest/_loader.py
+++ b/pollenstile/manifest/_loader.py
@@ -1,10 +1,10 @@
-"""A YAML loader with bounds and unique keys.
+"""YAML loader that limits expansion and rejects duplicate keys.
 
 Explanation
 ===========
 
-PyYAML's own loaders follow YAML 1.1 (``no`` is false, ``22:30`` is 1350), keep
-the last of two equal keys without a word, and expand aliases without bound.
+PyYAML's own loaders follow YAML 1.1 (``no`` is false, ``22:30`` is 1350),
+silently keep the last of two equal keys, and expand aliases without limit.
 """
 
 import re
@@ -16,11 +16,11 @@
 from yaml.resolver import BaseResolver
 
 MAX_DEPTH = 32
-MAX_EXPANDED = 4_194_304
+MAX_EXPANDED_CHARACTERS = 4_194_304
 
 _PREFIX = 'tag:yaml.org,2002:'
 _DIGITS = '-+0123456789'
-_PLAIN_SCALARS = (
+_SCALAR_PATTERNS = (
     ('null', '~|null|Null|NULL|', ('~', 'n', 'N', '')),
     ('bool', 'true|True|TRUE|false|False|FALSE', tuple('tTfF')),
     ('int', '[-+]?[0-9]+', tuple(_DIGITS)),
@@ -33,36 +33,36 @@
 
 
 class CoreResolver(BaseResolver):
-    """Resolves plain scalars by YAML 1.2's core schema."""
+    """Resolves plain scalars according to YAML 1.2's core schema."""
 
 
-def _define_scalars():
-    for kind, regex, first in _PLAIN_SCALARS:
+def _register_scalar_patterns():
+    for kind, regex, first_characters in _SCALAR_PATTERNS:
         CoreResolver.add_implicit_resolver(
             f'{_PREFIX}{kind}',
             re.compile(f'^(?:{regex})$'),
-            first,
+            first_characters,
         )
 
 
-_define_scalars()
+_register_scalar_patterns()
 
 
 class BoundedLoader(Composer, yaml.cyaml.CParser, CoreResolver):
-    """Composes a document's nodes within bounds.
+    """Composes the nodes of a document and limits its depth and size.
 
     Parameters
     ==========
 
     text : str
-        The document.
+        Text of the document.
 
     Raises
     ======
 
     yaml.YAMLError
-        When the text is no YAML, nests deeper than ``MAX_DEPTH`` or would
-        expand beyond ``MAX_EXPANDED`` characters.
+        If the text is not valid YAML, nests deeper than ``MAX_DEPTH`` or
+        would expand beyond ``MAX_EXPANDED_CHARACTERS`` characters.
     """
 
     def __init__(self, text):
@@ -74,27 +74,29 @@
         self.sizes = {}
 
     def compose_node(self, parent, index):
-        """Return the next node; called by the composer for each.
+        """Return the next node; the composer calls this for each node.
 
-        An alias counts with all that it stands for. Without this a text of a
-        few hundred bytes, each line of which names the line before ten times,
-        expands to gigabytes and takes the host's memory.
+        An alias counts as much as the node that it refers to. Otherwise a
+        text of a few hundred bytes, in which each line refers ten times to the
+        line before, expands to gigabytes and exhausts the host's memory.
         """
         mark = self.peek_event().start_mark
-        aliased = self.check_event(AliasEvent)
-        before = self.expanded
+        is_alias = self.check_event(AliasEvent)
+        expanded_before = self.expanded
         self.depth += 1
-        self._hold(self.depth <= MAX_DEPTH, 'nests too deeply', mark)
+        self._require(self.depth <= MAX_DEPTH, 'nests too deeply', mark)
         node = super().compose_node(parent, index)
         self.depth -= 1
-        if aliased:
-            self._hold(node in self.sizes, 'an alias holds itself', mark)
+        if is_alias:
+            self._require(node in self.sizes, 'an alias contains itself', mark)
             self.expanded += self.sizes[node]
         else:
-            self.expanded += 1 + _width(node)
-            self.sizes[node] = self.expanded - before
-        self._hold(
-            self.expanded <= MAX_EXPANDED, 'aliases expand too far', mark
+            self.expanded += 1 + _character_count(node)
+            self.sizes[node] = self.expanded - expanded_before
+        self._require(
+            self.expanded <= MAX_EXPANDED_CHARACTERS,
+            'alias expansion is too large',
+            mark,
         )
         return node
 
@@ -102,75 +104,83 @@
         """Free the parser's buffers."""
         self.dispose()
 
-    def _hold(self, condition, problem, mark):
+    def _require(self, condition, problem, mark):
         if not condition:
             raise ComposerError(None, None, problem, mark)
 
 
-def _width(node):
+def _character_count(node):
     return len(node.value) if isinstance(node, yaml.ScalarNode) else 0
 
 
-def _refusal(problem, node):
+def _constructor_error(problem, node):
     return ConstructorError(None, None, problem, node.start_mark)
 
 
-def _as_bool(text):
+def _parse_bool(text):
     return text.lower() == 'true'
 
 
-def _as_none(_text):
+def _parse_null(_text):
     """Return ``None``."""
 
 
-_SCALARS = {
-    f'{_PREFIX}null': _as_none,
-    f'{_PREFIX}bool': _as_bool,
+_SCALAR_PARSERS = {
+    f'{_PREFIX}null': _parse_null,
+    f'{_PREFIX}bool': _parse_bool,
     f'{_PREFIX}int': int,
     f'{_PREFIX}float': float,
     f'{_PREFIX}str': str,
 }
 
 
-def _scalar(node):
-    convert = _SCALARS.get(node.tag)
-    if convert is None:
-        raise _refusal(f'unknown tag {node.tag}', node)
+def _scalar_value(node):
+    parse = _SCALAR_PARSERS.get(node.tag)
+    if parse is None:
+        raise _constructor_error(f'unknown tag {node.tag}', node)
     try:
-        return convert(node.value)
+        return parse(node.value)
     except ValueError:
-        raise _refusal('not the value that its tag says', node) from None
+        raise _constructor_error(
+            'the value is not valid for its tag', node
+        ) from None
 
 
-def _key(node):
+def _mapping_key(node):
     if isinstance(node, yaml.ScalarNode) and node.tag == f'{_PREFIX}str':
         return node.value
-    raise _refusal('a key is not text; put it in quotes', node)
+    raise _constructor_error('a key is not text; put it in quotes', node)
 
 
-def _mapping(node):
+def _mapping_value(node):
     mapping = {}
     for key_node, value_node in node.value:
-        key = _key(key_node)
+        key = _mapping_key(key_node)
         if key in mapping:
-            raise _refusal(f'{key!r} is given twice', key_node)
+            raise _constructor_error(f'{key!r} is given twice', key_node)
         mapping[key] = plain_value(value_node)
     return mapping
 
 
 def plain_value(node):
-    """Return a node's dicts, lists, texts, numbers, booleans and ``None``.
+    """Convert a node to plain Python data.
+
+    Explanation
+    ===========
+
+    The result consists of dicts, lists, strings, numbers, booleans and
+    ``None``.
 
     Raises
     ======
 
     yaml.YAMLError
-        For keys that are given twice or are not text, and for other tags.
+        For duplicate keys, keys that are not text, and unsupported tags.
     """
     if isinstance(node, yaml.ScalarNode):
-        return _scalar(node)
+        return _scalar_value(node)
     if node.tag not in {f'{_PREFIX}map', f'{_PREFIX}seq'}:
-        raise _refusal(f'unknown tag {node.tag}', node)
+        raise _constructor_error(f'unknown tag {node.tag}', node)
     if isinstance(node, yaml.MappingNode):
-        return _mapping(node)
+        return _mapping_value(node)
     return [plain_value(part) for part in node.value]
--- a/pollenstile/manifest/_mistake.py
+++ b/pollenstile/manifest/_mistake.py
@@ -1,21 +1,21 @@
-"""What is wrong with a manifest, and where."""
+"""Mistakes of a manifest and the error that reports them."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class Mistake:
-    """One thing wrong with a manifest.
+    """One validation error of a manifest.
 
     Parameters
     ==========
 
     path : str
-        Where it stands, ``'pipelines.draft.stages.0.pool'``.
+        Path of the field, such as ``'pipelines.draft.stages.0.pool'``.
     text : str
-        What is wrong.
+        Description of the error.
     reads : tuple of str
-        Paths that it was concluded from besides its own.
+        Paths of the other fields that the check used.
     """
 
     path: str
@@ -24,17 +24,19 @@
 
 
 class ManifestError(Exception):
-    """A manifest has mistakes; ``mistakes`` lists every one."""
+    """Raised for an invalid manifest; ``mistakes`` lists every mistake."""
 
     def __init__(self, mistakes):
         super().__init__(
-            '; '.join(f'{one.path}: {one.text}' for one in mistakes),
+            '; '.join(
+                f'{mistake.path}: {mistake.text}' for mistake in mistakes
+            ),
         )
         self.mistakes = tuple(mistakes)
 
 
 def _is_within(path, broken):
-    """Tell whether a path, or a field that holds it, is broken."""
+    """Return whether a path or one of its parents is in ``broken``."""
     parts = path.split('.')
     for count, _ in enumerate(parts, start=1):
         if '.'.join(parts[:count]) in broken:
@@ -43,21 +45,21 @@
 
 
 def independent_mistakes(mistakes, broken):
-    """Return the mistakes that do not follow from broken fields.
+    """Return the mistakes that don't depend on fields that failed to decode.
 
     Explanation
     ===========
 
-    A field that does not decode is stood in for by a placeholder, so that the
-    rest can be checked in the same run. What is concluded from a placeholder
-    says nothing of the document and is left out.
+    A placeholder replaces each field that fails to decode, so that the other
+    fields can be checked in the same run. A mistake derived from a placeholder
+    says nothing about the document and is omitted.
 
     Parameters
     ==========
 
     mistakes : list of Mistake
     broken : set of str
-        Paths of the fields that did not decode.
+        Paths of the fields that failed to decode.
 
     Examples
     ========
@@ -68,10 +70,10 @@
     >>> len(independent_mistakes([unknown], {'pools.encoders.kind'}))
     1
     """
-    kept = []
+    independent = []
     for mistake in mistakes:
-        read = (mistake.path, *mistake.reads)
-        if any(_is_within(path, broken) for path in read):
+        used_paths = (mistake.path, *mistake.reads)
+        if any(_is_within(path, broken) for path in used_paths):
             continue
-        kept.append(mistake)
-    return kept
+        independent.append(mistake)
+    return independent
--- a/pollenstile/manifest/_model.py
+++ b/pollenstile/manifest/_model.py
@@ -1,4 +1,4 @@
-"""The manifest's plain data classes."""
+"""Data classes of the manifest."""
 
 from dataclasses import dataclass, field
 
@@ -17,10 +17,10 @@
     Text,
     Urgency,
     Weight,
-    Window,
+    WindowSeconds,
 )
 
-# Strict, so that `slots: true` or `weight: '4'` is a mistake and not a guess.
+# Strict: `slots: true` or `weight: '4'` is rejected instead of converted.
 _STRICT = ConfigDict(
     extra='forbid',
     strict=True,
@@ -37,7 +37,7 @@
     ==========
 
     region : str
-        The region it lies in.
+        Region that contains the domain.
     """
 
     region: Name
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Model:
-    """A model that engines load.
+    """A model that engines can load.
 
     Parameters
     ==========
@@ -54,9 +54,9 @@
     version : str
         The version to serve.
     memory_mb : int
-        Accelerator memory that the weights take, in megabytes.
+        Accelerator memory that the weights occupy, in megabytes.
     adapters : list of str
-        Adapters that may be loaded beside it.
+        Adapters that can be loaded with the model.
     """
 
     version: Text
@@ -73,13 +73,13 @@
     ==========
 
     domain : str
-        Failure domain it stands in.
+        Failure domain that contains the upstream.
     address : str
-        IP number and port, ``'127.0.0.1:9000'``.
+        IP address and port, such as ``'127.0.0.1:9000'``.
     slots : int
-        Calls it runs side by side.
+        Number of calls that it runs concurrently.
     fencing : {'checked', 'ignored'}
-        Whether it refuses an order with an old fencing number.
+        Whether it rejects an order with an outdated fencing number.
     memory_mb : int
         Accelerator memory, in megabytes; engines only.
     """
@@ -100,9 +100,10 @@
     ==========
 
     kind : {'engine', 'stage', 'service'}
-        Model engines stream; stages and services answer whole.
+        Model engines stream their answers; stages and services return
+        complete answers.
     upstreams : dict
-        Name to :class:`Upstream`.
+        Mapping of names to :class:`Upstream`.
     models : list of str
         Models that the pool's engines hold; engines only.
     cost : float
@@ -124,26 +125,27 @@
     ==========
 
     name : str
-        Unique in its pipeline; errors carry it.
+        Name, unique in the pipeline; errors contain it.
     pool : str
-        The pool that serves it.
+        Pool that runs the stage.
     model : str
-        Model to ask for; engine pools only.
+        Model that the call requests; engine pools only.
     adapter : str
-        Adapter of the model to ask for; none when empty.
+        Adapter of the model that the call requests; none if empty.
     needs : list of str
-        Stages whose results it reads; the stage before it when empty.
+        Stages whose results it reads; the preceding stage if empty.
     idempotent : bool
-        Whether a call may be sent again.
+        Whether a call may be retried.
     attempts : int
-        Calls at most, the first included; 1 when not idempotent.
+        Maximum number of calls, including the first; 1 if not idempotent.
     hedge : bool
-        Whether a straggling call is sent to a second upstream as well;
+        Whether a straggling call is also sent to a second upstream;
         idempotent stages only.
     expect_ms : int
-        Usual time, in milliseconds, until measured quantiles replace it.
+        Usual duration, in milliseconds, used until measured quantiles
+        replace it.
     max_tokens : int
-        Tokens at most; engine pools only.
+        Maximum number of tokens; engine pools only.
     """
 
     name: Name
@@ -167,19 +169,19 @@
     ==========
 
     deadline_ms : int
-        Time from acceptance to the whole answer, in milliseconds.
+        Time from acceptance to the complete answer, in milliseconds.
     teams : list of str
         Teams that may call it.
     stages : list of Stage
-        In the order in which they run; a non-idempotent one is the last.
+        Stages in execution order; a non-idempotent stage must be the last.
     urgency : {'urgent', 'normal', 'batch'}
-        Class that admission orders by.
+        Class by which admission control prioritises requests.
     idempotent : bool
-        Whether a whole request may run twice.
+        Whether a complete request may run twice.
     upstream_dedupes : bool
-        Whether the non-idempotent upstream itself drops repeats of a key.
+        Whether the non-idempotent upstream itself discards repeated keys.
     claim_window_s : int
-        How long a key is remembered, in seconds.
+        Time for which a key is remembered, in seconds.
     """
 
     deadline_ms: Milliseconds
@@ -188,7 +190,7 @@
     urgency: Urgency = 'normal'
     idempotent: bool = True
     upstream_dedupes: bool = False
-    claim_window_s: Window = 86400
+    claim_window_s: WindowSeconds = 86400
     __pydantic_config__ = _STRICT
 
 
@@ -202,7 +204,7 @@
     key_digests : list of str
         SHA-256 of each valid key, 64 lowercase hexadecimal digits.
     weight : float
-        Its share of capacity beside other teams.
+        Share of capacity relative to other teams.
     """
 
     key_digests: list[Digest]
@@ -212,7 +214,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Policy:
-    """Limits that hold for every entry host.
+    """Limits that apply to every entry host.
 
     Parameters
     ==========
@@ -220,13 +222,14 @@
     max_body_bytes : int
         Largest request body.
     max_queue : int
-        Requests that one entry host keeps waiting at most.
+        Maximum number of requests that wait at one entry host.
     retry_ratio : float
         Retries and hedges allowed for each first attempt.
     silence_ms : int
-        Longest gap in a stream or between heartbeats, in milliseconds.
+        Longest permitted gap in a stream or between heartbeats, in
+        milliseconds.
     lame_duck_ms : int
-        Time a leaving entry host still listens, in milliseconds.
+        Time for which a leaving entry host still listens, in milliseconds.
     """
 
     max_body_bytes: Count = 262144
@@ -239,7 +242,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Manifest:
-    """Everything that operators declare.
+    """The complete configuration that operators declare.
 
     Parameters
     ==========
@@ -247,15 +250,15 @@
     name : str
         Name of the deployment.
     domains : dict
-        Name to :class:`Domain`.
+        Mapping of names to :class:`Domain`.
     pools : dict
-        Name to :class:`Pool`.
+        Mapping of names to :class:`Pool`.
     pipelines : dict
-        Name to :class:`Pipeline`.
+        Mapping of names to :class:`Pipeline`.
     teams : dict
-        Name to :class:`Team`.
+        Mapping of names to :class:`Team`.
     models : dict
-        Name to :class:`Model`.
+        Mapping of names to :class:`Model`.
     policy : Policy
         Limits of every entry host.
     """
--- a/pollenstile/manifest/_report.py
+++ b/pollenstile/manifest/_report.py
@@ -1,6 +1,6 @@
-"""What `pollenstile validate` says of a document."""
+"""Output and exit code of `pollenstile validate`."""
 
-from pollenstile.manifest._addresses import bare_domains
+from pollenstile.manifest._addresses import coverage_warnings
 from pollenstile.manifest._decode import manifest_from_text
 from pollenstile.manifest._mistake import ManifestError
 
@@ -8,25 +8,26 @@
 EXIT_MISTAKES = 2
 
 
-def _printable(text):
-    """Return a text on one line, whatever names a document holds."""
-    shown = []
+def _escape_unprintable(text):
+    """Escape unprintable characters, so that the text stays on one line."""
+    parts = []
     for character in text:
         if character.isprintable():
-            shown.append(character)
+            parts.append(character)
             continue
-        shown.append(character.encode('unicode_escape').decode())
-    return ''.join(shown)
+        parts.append(character.encode('unicode_escape').decode())
+    return ''.join(parts)
 
 
-def _lines(path, mistakes, label=''):
+def _mistake_lines(path, mistakes, label=''):
     lines = []
-    for one in mistakes:
-        lines.append(_printable(f'{path}: {one.path}: {label}{one.text}'))
+    for mistake in mistakes:
+        line = f'{path}: {mistake.path}: {label}{mistake.text}'
+        lines.append(_escape_unprintable(line))
     return lines
 
 
-def _counts(manifest):
+def _summary(manifest):
     upstreams = sum(len(pool.upstreams) for pool in manifest.pools.values())
     return (
         f'{len(manifest.pipelines)} pipelines, {len(manifest.pools)} pools,'
@@ -35,38 +36,38 @@
 
 
 def manifest_warnings(manifest):
-    """Return what a manifest may say, but operators should know of.
+    """Return the warnings for a valid manifest.
 
     Returns
     =======
 
     list of Mistake
-        The manifest is served all the same.
+        The manifest is accepted nevertheless.
     """
-    return bare_domains(manifest)
+    return coverage_warnings(manifest)
 
 
 def report_lines(path, text):
-    """Return the lines and the exit code for one document.
+    """Validate a document and return the report's lines and exit code.
 
     Parameters
     ==========
 
     path : str
-        The document's name, for the lines.
+        Name of the document in the report.
     text : str or bytes
-        Its content.
+        Content of the document.
 
     Returns
     =======
 
     tuple
-        List of str and int: ``PATH: FIELD: TEXT`` for each mistake and 2, or
-        warnings, ``PATH: ok (...)`` and 0.
+        List of lines and exit code: ``PATH: FIELD: TEXT`` for each mistake and
+        2, or the warnings, ``PATH: ok (...)`` and 0.
     """
     try:
         manifest = manifest_from_text(text)
     except ManifestError as error:
-        return _lines(path, error.mistakes), EXIT_MISTAKES
-    warnings = _lines(path, manifest_warnings(manifest), 'warning: ')
-    return [*warnings, f'{path}: ok ({_counts(manifest)})'], EXIT_OK
+        return _mistake_lines(path, error.mistakes), EXIT_MISTAKES
+    warnings = _mistake_lines(path, manifest_warnings(manifest), 'warning: ')
+    return [*warnings, f'{path}: ok ({_summary(manifest)})'], EXIT_OK
--- a/pollenstile/manifest/_schema.py
+++ b/pollenstile/manifest/_schema.py
@@ -1,4 +1,4 @@
-"""The JSON Schema of manifests."""
+"""JSON Schema of manifests."""
 
 import json
 
@@ -11,7 +11,7 @@
 DIALECT = 'https://json-schema.org/draft/2020-12/schema'
 
 
-def _described(schema, kind):
+def _add_descriptions(schema, kind):
     schema['description'] = summary(kind)
     for name, text in field_texts(kind).items():
         part = schema['properties'][name]
@@ -26,12 +26,13 @@
     Explanation
     ===========
 
-    It holds types, ranges, defaults and descriptions, for editors and build
-    pipelines. What shows only across fields is left to the checks.
+    The schema contains types, ranges, defaults and descriptions, for editors
+    and build pipelines. It does not contain the rules that relate several
+    fields; only the semantic checks enforce these.
     """
     schema = TypeAdapter(Manifest).json_schema()
     for name, part in schema['$defs'].items():
-        _described(part, getattr(_model, name))
-    _described(schema, Manifest)
+        _add_descriptions(part, getattr(_model, name))
+    _add_descriptions(schema, Manifest)
     schema['$schema'] = DIALECT
     return json.dumps(schema, indent=2, sort_keys=True)
--- a/pollenstile/manifest/_types.py
+++ b/pollenstile/manifest/_types.py
@@ -1,12 +1,12 @@
-"""Types of the manifest's fields, with the ranges that they allow.
+"""Types and permitted ranges of the manifest's fields.
 
 Explanation
 ===========
 
-Ranges are part of the types, so that decoding and the JSON Schema agree. Names
-and key digests carry their patterns for the schema only; the checks across
-fields say more plainly what is wrong with them, see
-:mod:`pollenstile.manifest._names` and :mod:`pollenstile.manifest._keys`.
+Ranges are part of the types, so that decoding and the JSON Schema agree. The
+patterns of names and key digests are used by the schema only; when a document
+is decoded, :mod:`pollenstile.manifest._names` and
+:mod:`pollenstile.manifest._keys` check them and give clearer messages.
 """
 
 from typing import Annotated, Literal
@@ -34,7 +34,7 @@
 Count = Annotated[int, Field(ge=1, le=1_000_000_000)]
 Attempts = Annotated[int, Field(ge=1, le=5)]
 Milliseconds = Annotated[int, Field(ge=1, le=HOUR_MS)]
-Window = Annotated[int, Field(ge=1, le=MONTH_S)]
+WindowSeconds = Annotated[int, Field(ge=1, le=MONTH_S)]
 Weight = Annotated[float, Field(gt=0)]
 Cost = Annotated[float, Field(ge=0)]
 Ratio = Annotated[float, Field(ge=0, le=1)]
