--- a/features/badinput.feature
+++ b/features/badinput.feature
@@ -1,16 +1,16 @@
-Feature: Bad input gets a clear error and touches no other request
+Feature: Bad input gets a clear error and does not affect other requests
 
   Background:
     Given an entry host that serves the Kowalczyk example for bad input
 
-  Scenario Outline: a wrong request is refused with its reason
-    A caller's client is set up wrongly. The caller gets the reason at once and
-    the word that nothing ran; a right request beside it is answered.
+  Scenario Outline: an invalid request is rejected with a reason
+    Guards against unclear errors for a misconfigured client. The caller gets
+    the reason and the outcome not-run at once; a valid request is answered.
 
     When the bad request "<case>" is sent
-    Then it is refused with <status> and a reason that says "<reason>"
-    And a right request beside the bad one is answered
-    And no upstream ran anything for the bad one
+    Then it is rejected with <status> and a reason that says "<reason>"
+    And a valid request after the bad one is answered
+    And no upstream ran a stage for the bad request
 
     Examples:
       | case           | status | reason             |
@@ -32,16 +32,16 @@
       | large body     | 413    | too large          |
       | short deadline | 503    | deadline           |
 
-  Scenario: bytes that are no HTTP close their connection only
-    Something speaks another protocol to the callers' port. Its connection is
-    closed; callers beside it notice nothing.
+  Scenario: bytes that are not HTTP close only their own connection
+    Guards against a client that uses another protocol on the callers' port.
+    Its connection is closed; other callers are not affected.
 
     When 40 connections send seeded random bytes to the bad input host
-    Then a right request beside the bad one is answered
+    Then a valid request after the bad one is answered
 
-  Scenario Outline: wrong settings are all told at once
+  Scenario Outline: all wrong settings are reported at once
     When the entry command is run with bad input "<arguments>"
-    Then it exits with 2 and <count> lines for its bad input
+    Then it exits with 2 and <count> lines about its bad input
 
     Examples:
       | arguments                                                   | count |
--- a/features/steps/badinput_steps.py
+++ b/features/steps/badinput_steps.py
@@ -1,4 +1,4 @@
-"""Steps that send wrong requests, bytes and settings."""
+"""Steps that send invalid requests, random bytes and wrong settings."""
 
 import random
 
@@ -20,18 +20,18 @@
 
 _PATH = '/v1/pipelines/draft-ticket'
 _KEY = 'dispatchers-example-key'
-_GOOD = b'{"input": "a leak"}'
-_SEED = 11
+_VALID_BODY = b'{"input": "a leak"}'
+_RANDOM_SEED = 11
 
 
 class _Case:
-    """A request with one thing wrong."""
+    """A request with one defect."""
 
     def __init__(
         self,
         path=_PATH,
         key=_KEY,
-        body=_GOOD,
+        body=_VALID_BODY,
         method=b'POST',
         **headers,
     ):
@@ -72,7 +72,7 @@
     context.add_cleanup(context.host.close)
 
 
-async def _sent(base, case):
+async def _send(base, case):
     response = await agent_for(reactor).request(
         case.method,
         (base + case.path).encode(),
@@ -83,43 +83,43 @@
 
 
 @when('the bad request "{name}" is sent')
-def send_bad(context, name):
-    answered = result_of(_sent(context.host.base, _CASES[name]))
-    context.status = answered[0]
-    context.problem = answered[1]
+def send_bad_request(context, name):
+    response = result_of(_send(context.host.base, _CASES[name]))
+    context.status = response[0]
+    context.problem = response[1]
 
 
-@then('it is refused with {status:d} and a reason that says "{reason}"')
-def refused(context, status, reason):
+@then('it is rejected with {status:d} and a reason that says "{reason}"')
+def is_rejected(context, status, reason):
     assert context.status == status, (context.status, context.problem)
     assert reason in context.problem['title'], context.problem
     assert context.problem['outcome'] == 'not-run', context.problem
 
 
-@then('no upstream ran anything for the bad one')
+@then('no upstream ran a stage for the bad request')
 def nothing_ran(context):
     stages = len(context.host.manifest.pipelines['draft-ticket'].stages)
     assert context.host.runs() == stages, context.host.runs()
 
 
-@then('a right request beside the bad one is answered')
-def right_answered(context):
-    call = pipeline_client(reactor, persistent=False)
+@then('a valid request after the bad one is answered')
+def valid_is_answered(context):
+    call_pipeline = pipeline_client(reactor, persistent=False)
     answer = result_of(
-        call(context.host.base, 'draft-ticket', _KEY, 'a leak'),
+        call_pipeline(context.host.base, 'draft-ticket', _KEY, 'a leak'),
     )
     assert answer.outcome == 'answered', answer
 
 
-class _Noise(Protocol):
-    """Sends bytes and waits for the end."""
+class _RandomBytesClient(Protocol):
+    """Sends random bytes and waits until the connection is closed."""
 
-    def __init__(self, noise):
-        self.noise = noise
+    def __init__(self, payload):
+        self.payload = payload
         self.closed = Deferred()
 
     def connectionMade(self):
-        self.transport.write(self.noise)
+        self.transport.write(self.payload)
         self.transport.loseWriteConnection()
 
     def connectionLost(self, reason):
@@ -127,24 +127,26 @@
 
 
 @when('{count:d} connections send seeded random bytes to the bad input host')
-def send_noise(context, count):
-    rng = random.Random(_SEED)
+def send_random_bytes(context, count):
+    rng = random.Random(_RANDOM_SEED)
     port = context.host.port.getHost().port
     for _ in range(count):
         endpoint = TCP4ClientEndpoint(reactor, '127.0.0.1', port)
-        noise = _Noise(b'%s\r\n\r\n' % rng.randbytes(rng.randint(1, 5000)))
-        protocol = result_of(connectProtocol(endpoint, noise))
+        client = _RandomBytesClient(
+            b'%s\r\n\r\n' % rng.randbytes(rng.randint(1, 5000))
+        )
+        protocol = result_of(connectProtocol(endpoint, client))
         result_of(protocol.closed)
 
 
 @when('the entry command is run with bad input "{arguments}"')
 def run_entry(context, arguments):
-    context.finished = command('entry', *arguments.split())
+    context.completed = command('entry', *arguments.split())
 
 
-@then('it exits with {code:d} and {count:d} lines for its bad input')
-def exit_lines(context, code, count):
-    finished = context.finished
-    assert finished.returncode == code, finished
-    lines = finished.stderr.splitlines()
+@then('it exits with {code:d} and {count:d} lines about its bad input')
+def has_exit_lines(context, code, count):
+    completed = context.completed
+    assert completed.returncode == code, completed
+    lines = completed.stderr.splitlines()
     assert len(lines) == count, lines
