--- a/features/builders/loop.py
+++ b/features/builders/loop.py
@@ -1,62 +1,68 @@
-"""Results of Deferreds in tests, with the reactor where sockets are used."""
+"""Helpers that run the reactor or a virtual clock in tests."""
 
 from twisted.internet import reactor
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
-# Far above what any scenario takes; it only ends one that would hang.
-_HANG_SECONDS = 60.0
-_TURN_SECONDS = 0.05
+# Ends a scenario that hangs; far above the duration of any scenario.
+_HANG_TIMEOUT_SECONDS = 60.0
+_MAX_ITERATION_SECONDS = 0.05
 
 
-def result_of(waiting):
-    """Return a Deferred's or coroutine's result, turning the reactor for it.
+def result_of(awaitable):
+    """Iterate the reactor until a result is available and return it.
 
     Explanation
     ===========
 
-    The reactor is never run, only iterated from here, so that each step of
-    a scenario is a plain function and several scenarios share one process.
+    The reactor is never run, only iterated here, so that each step of a
+    scenario is a plain function and several scenarios share one process.
+
+    Parameters
+    ==========
+
+    awaitable : Deferred or coroutine
+        Source of the result.
 
     Raises
     ======
 
     Exception
-        What the Deferred failed with.
+        The exception that the Deferred failed with.
     AssertionError
-        When nothing came in a time far above any scenario's.
+        If there is no result within a time far above any scenario's.
     """
-    if not isinstance(waiting, Deferred):
-        waiting = Deferred.fromCoroutine(waiting)
+    if not isinstance(awaitable, Deferred):
+        awaitable = Deferred.fromCoroutine(awaitable)
     outcomes = []
-    waiting.addBoth(outcomes.append)
-    hung = reactor.callLater(
-        _HANG_SECONDS,
+    awaitable.addBoth(outcomes.append)
+    timeout = reactor.callLater(
+        _HANG_TIMEOUT_SECONDS,
         outcomes.append,
         Failure(AssertionError('no result')),
     )
     while not outcomes:
-        _turn()
-    if hung.active():
-        hung.cancel()
-    return _unwrapped(outcomes[0])
+        _iterate_reactor()
+    if timeout.active():
+        timeout.cancel()
+    return _unwrap(outcomes[0])
 
 
 def turned_until(condition):
-    """Turn the reactor until a condition holds."""
-    hung = reactor.callLater(_HANG_SECONDS, lambda: None)
+    """Iterate the reactor until a condition holds."""
+    timeout = reactor.callLater(_HANG_TIMEOUT_SECONDS, lambda: None)
     while not condition():
-        assert hung.active(), 'the condition never held'
-        _turn()
-    hung.cancel()
+        assert timeout.active(), 'the condition did not hold in time'
+        _iterate_reactor()
+    timeout.cancel()
 
 
-def kept_result(waiting):
-    """Return a list that a Deferred's or coroutine's result is added to."""
+def kept_result(awaitable):
+    """Return a list to which the result is appended when it is available."""
     outcomes = []
-    if not isinstance(waiting, Deferred):
-        waiting = Deferred.fromCoroutine(waiting)
-    waiting.addBoth(outcomes.append)
+    if not isinstance(awaitable, Deferred):
+        awaitable = Deferred.fromCoroutine(awaitable)
+    awaitable.addBoth(outcomes.append)
     return outcomes
 
 
@@ -66,15 +72,15 @@
         clock.advance(step)
 
 
-def _turn():
-    """Turn once, no longer than until the next timer is due."""
-    due = reactor.timeout()
-    if due is None:
-        due = _TURN_SECONDS
-    reactor.iterate(min(due, _TURN_SECONDS))
+def _iterate_reactor():
+    """Iterate the reactor once, at most until the next timer is due."""
+    delay = reactor.timeout()
+    if delay is None:
+        delay = _MAX_ITERATION_SECONDS
+    reactor.iterate(min(delay, _MAX_ITERATION_SECONDS))
 
 
-def _unwrapped(outcome):
+def _unwrap(outcome):
     if isinstance(outcome, Failure):
         outcome.raiseException()
     return outcome
--- a/features/builders/processes.py
+++ b/features/builders/processes.py
@@ -1,4 +1,4 @@
-"""Real processes for scenarios: stand-ins and entry hosts on free ports."""
+"""Command-line processes for scenarios, with entry hosts on free ports."""
 
 import json
 import os
@@ -8,17 +8,17 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 COMMAND = (sys.executable, '-m', 'pollenstile.ops')
-_LOCAL = '127.0.0.1:0'
+_FREE_LOCAL_PORT = '127.0.0.1:0'
 
 
 class Processes:
-    """Processes that one scenario started; all are ended with it."""
+    """Starts processes of one scenario and kills them at its end."""
 
     def __init__(self):
         self.started = []
 
     def start(self, *arguments, **variables):
-        """Return a new process of the command line."""
+        """Start a process of the command line interface."""
         environment = dict(os.environ, PYTHONPATH=str(ROOT), **variables)
         process = subprocess.Popen(
             [*COMMAND, *arguments],
@@ -32,21 +32,21 @@
         return process
 
     def entry(self, name, domain, platform):
-        """Return an entry host's process and its addresses."""
+        """Start an entry host; return its process and the started log line."""
         process = self.start(
             'entry',
             POLLENSTILE_HOST=name,
             POLLENSTILE_DOMAIN=domain,
-            POLLENSTILE_LISTEN=_LOCAL,
-            POLLENSTILE_ADMIN=_LOCAL,
-            POLLENSTILE_PEER_LISTEN=_LOCAL,
+            POLLENSTILE_LISTEN=_FREE_LOCAL_PORT,
+            POLLENSTILE_ADMIN=_FREE_LOCAL_PORT,
+            POLLENSTILE_PEER_LISTEN=_FREE_LOCAL_PORT,
             POLLENSTILE_PLATFORM=platform,
         )
         line = line_with(process.stderr, 'started')
         return process, json.loads(line)
 
     def end(self):
-        """End every process that still runs."""
+        """Kill every process that is still running."""
         for process in self.started:
             if process.poll() is None:
                 process.kill()
@@ -54,15 +54,15 @@
 
 
 def line_with(stream, word):
-    """Return the next line that holds a word; read what comes before it."""
+    """Read lines up to the next one that contains a word; return that line."""
     for line in stream:
         if word in line:
             return line
-    raise AssertionError(f'the process ended before it said {word!r}')
+    raise AssertionError(f'the process ended before it printed {word!r}')
 
 
 def command(*arguments):
-    """Return the finished process of one command."""
+    """Run a command to its end and return the completed process."""
     return subprocess.run(
         [*COMMAND, *arguments],
         cwd=ROOT,
