--- a/features/manifest.feature
+++ b/features/manifest.feature
@@ -181,13 +181,13 @@
     Then the manifest has the one mistake <path> with "<text>"
 
     Examples:
-      | at                                      | value      | path                                    | text                                                                                       |
-      | pipelines.file-ticket.stages.2.attempts | 2          | pipelines.file-ticket.stages.2.attempts | a non-idempotent stage must have 1 attempt, not 2                                          |
-      | pipelines.file-ticket.stages.2.attempts | absent     | pipelines.file-ticket.stages.2.attempts | a non-idempotent stage must have 1 attempt, not 2                                          |
-      | pipelines.file-ticket.stages.2.hedge    | true       | pipelines.file-ticket.stages.2.hedge    | a non-idempotent stage must not be hedged                                                  |
-      | pipelines.file-ticket.idempotent        | true       | pipelines.file-ticket.idempotent        | stage 'dispatch' is non-idempotent: set this to false                                      |
-      | pipelines.file-ticket.idempotent        | absent     | pipelines.file-ticket.idempotent        | stage 'dispatch' is non-idempotent: set this to false                                      |
-      | pipelines.file-ticket.stages.2.needs    | ["encode"] | pipelines.file-ticket.stages.2.needs    | a non-idempotent stage must need every other, directly or indirectly; not needed: generate |
+      | at                                      | value      | path                                    | text                                                                                             |
+      | pipelines.file-ticket.stages.2.attempts | 2          | pipelines.file-ticket.stages.2.attempts | a non-idempotent stage must have 1 attempt, not 2                                                |
+      | pipelines.file-ticket.stages.2.attempts | absent     | pipelines.file-ticket.stages.2.attempts | a non-idempotent stage must have 1 attempt, not 2                                                |
+      | pipelines.file-ticket.stages.2.hedge    | true       | pipelines.file-ticket.stages.2.hedge    | a non-idempotent stage must not be hedged                                                        |
+      | pipelines.file-ticket.idempotent        | true       | pipelines.file-ticket.idempotent        | stage 'dispatch' is non-idempotent: set this to false                                            |
+      | pipelines.file-ticket.idempotent        | absent     | pipelines.file-ticket.idempotent        | stage 'dispatch' is non-idempotent: set this to false                                            |
+      | pipelines.file-ticket.stages.2.needs    | ["encode"] | pipelines.file-ticket.stages.2.needs    | a non-idempotent stage must need every other stage, directly or indirectly; not needed: generate |
 
   Scenario: A non-idempotent stage of the manifest must be the last of its pipeline
     Given the kowalczyk manifest
--- a/pollenstile/manifest/_addresses.py
+++ b/pollenstile/manifest/_addresses.py
@@ -53,8 +53,10 @@
         parsed = endpoint(upstream.address)
         text = _address_problem(parsed, upstream.address)
         if not text and parsed in path_by_endpoint:
-            first = path_by_endpoint[parsed]
-            text = f'{upstream.address!r} is already the address of {first}'
+            text = (
+                f'{upstream.address!r} is already the address of'
+                f' {path_by_endpoint[parsed]}'
+            )
         if text:
             mistakes.append(Mistake(path, text))
             continue
--- a/pollenstile/manifest/_decode.py
+++ b/pollenstile/manifest/_decode.py
@@ -16,7 +16,7 @@
 from pollenstile.manifest._placeholders import insert_placeholders
 
 _ADAPTER = TypeAdapter(Manifest)
-_MAX_SHOWN_CHARACTERS = 40
+_MAX_SHOWN = 40
 _TYPES_WITHOUT_INPUT = frozenset(
     ('json_invalid', 'missing', 'unexpected_keyword_argument')
 )
@@ -38,9 +38,7 @@
     shown = json.dumps(detail['input'])
     if detail['type'] in _TYPES_WITHOUT_INPUT:
         return text
-    return (
-        f'{text}, not {shown}' if len(shown) <= _MAX_SHOWN_CHARACTERS else text
-    )
+    return f'{text}, not {shown}' if len(shown) <= _MAX_SHOWN else text
 
 
 def _type_mistakes(details):
--- a/pollenstile/manifest/_diff.py
+++ b/pollenstile/manifest/_diff.py
@@ -6,7 +6,7 @@
 from pollenstile.manifest._decode import text_from_manifest
 
 _ABSENT = None
-_MAX_VALUE_CHARACTERS = 72
+_MAX_SHOWN = 72
 
 
 @dataclass(slots=True, frozen=True)
@@ -90,13 +90,9 @@
     return _changes('', _plain_data(old), _plain_data(new))
 
 
-def _format_value(value):
+def _shorten(value):
     text = json.dumps(value, sort_keys=True)
-    return (
-        text
-        if len(text) <= _MAX_VALUE_CHARACTERS
-        else f'{text[: _MAX_VALUE_CHARACTERS - 3]}...'
-    )
+    return text if len(text) <= _MAX_SHOWN else f'{text[: _MAX_SHOWN - 3]}...'
 
 
 def diff_lines(changes):
@@ -116,13 +112,11 @@
     lines = []
     for change in changes:
         if change.before is _ABSENT:
-            lines.append(f'+ {change.path}: {_format_value(change.after)}')
+            lines.append(f'+ {change.path}: {_shorten(change.after)}')
             continue
         if change.after is _ABSENT:
-            lines.append(f'- {change.path}: {_format_value(change.before)}')
+            lines.append(f'- {change.path}: {_shorten(change.before)}')
             continue
-        before = _format_value(change.before)
-        lines.append(
-            f'~ {change.path}: {before} -> {_format_value(change.after)}'
-        )
+        before = _shorten(change.before)
+        lines.append(f'~ {change.path}: {before} -> {_shorten(change.after)}')
     return lines
--- a/pollenstile/manifest/_engines.py
+++ b/pollenstile/manifest/_engines.py
@@ -69,8 +69,8 @@
             if not text:
                 continue
             path = f'pools.{name}.models.{index}'
-            reads = (f'models.{model}.memory_mb',)
-            mistakes.append(Mistake(path, text, reads))
+            memory_path = f'models.{model}.memory_mb'
+            mistakes.append(Mistake(path, text, (memory_path,)))
     return mistakes
 
 
--- a/pollenstile/manifest/_idempotency.py
+++ b/pollenstile/manifest/_idempotency.py
@@ -59,14 +59,14 @@
         return [Mistake(f'{path}.stages.{index}', text, reads)]
     needs = stage_needs(stages)
     unneeded = []
-    for other, stage in enumerate(stages[:index]):
-        if not dependency_path(needs, index, other):
+    for earlier, stage in enumerate(stages[:index]):
+        if not dependency_path(needs, index, earlier):
             unneeded.append(stage.name)
     if not unneeded:
         return []
     text = (
-        'a non-idempotent stage must need every other, directly or indirectly;'
-        f' not needed: {", ".join(unneeded)}'
+        'a non-idempotent stage must need every other stage,'
+        f' directly or indirectly; not needed: {", ".join(unneeded)}'
     )
     reads = stage_paths(path, stages, 'name', 'needs', 'idempotent')
     return [Mistake(f'{path}.stages.{index}.needs', text, reads)]
--- a/pollenstile/manifest/_model.py
+++ b/pollenstile/manifest/_model.py
@@ -175,7 +175,7 @@
     stages : list of Stage
         Stages in execution order; a non-idempotent stage must be the last.
     urgency : {'urgent', 'normal', 'batch'}
-        Class by which admission control prioritises requests.
+        Class by which admission control orders requests.
     idempotent : bool
         Whether a complete request may run twice.
     upstream_dedupes : bool
--- a/pollenstile/manifest/_order.py
+++ b/pollenstile/manifest/_order.py
@@ -33,7 +33,7 @@
     chain = dependency_path(needs, needed, index)
     if not chain:
         return f'{stages[needed].name!r} is a later stage, so it has not run'
-    names = [stages[step].name for step in (index, *chain)]
+    names = [stages[position].name for position in (index, *chain)]
     return f'a cycle: {" -> ".join(names)}'
 
 
@@ -64,8 +64,7 @@
             if not text:
                 continue
             need_index = stage.needs.index(name)
-            need_path = f'{needs_path}.{need_index}'
-            mistakes.append(Mistake(need_path, text, reads))
+            mistakes.append(Mistake(f'{needs_path}.{need_index}', text, reads))
     return mistakes
 
 
--- a/pollenstile/manifest/_placeholders.py
+++ b/pollenstile/manifest/_placeholders.py
@@ -34,7 +34,7 @@
     return get_type_hints(kind, include_extras=True)
 
 
-def _required_fields(kind):
+def _required(kind):
     names = []
     for member in dataclasses.fields(kind):
         if member.default is not dataclasses.MISSING:
@@ -49,9 +49,7 @@
     kind = _without_annotations(kind)
     if dataclasses.is_dataclass(kind):
         types = _field_types(kind)
-        return {
-            name: _placeholder(types[name]) for name in _required_fields(kind)
-        }
+        return {name: _placeholder(types[name]) for name in _required(kind)}
     if get_origin(kind) is Literal:
         return get_args(kind)[0]
     simplest = _SIMPLEST_VALUES[get_origin(kind) or kind]
@@ -72,9 +70,7 @@
         holder = holder[step]
         kind = _member_type(kind, step)
     kind = _without_annotations(kind)
-    optional = dataclasses.is_dataclass(kind) and last not in _required_fields(
-        kind
-    )
+    optional = dataclasses.is_dataclass(kind) and last not in _required(kind)
     if detail['type'] == _UNKNOWN_FIELD or optional:
         holder.pop(last, None)
         return
--- a/pollenstile/manifest/_report.py
+++ b/pollenstile/manifest/_report.py
@@ -22,8 +22,11 @@
 def _mistake_lines(path, mistakes, label=''):
     lines = []
     for mistake in mistakes:
-        line = f'{path}: {mistake.path}: {label}{mistake.text}'
-        lines.append(_escape_unprintable(line))
+        lines.append(
+            _escape_unprintable(
+                f'{path}: {mistake.path}: {label}{mistake.text}',
+            ),
+        )
     return lines
 
 
