--- a/features/builders/claims.py
+++ b/features/builders/claims.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred, maybeDeferred
 from twisted.internet.task import Clock
 
-from features.builders.loop import advanced, kept_result
+from features.builders.loop import advance_in_steps, collect_result
 from pollenstile.claims import forwarding, join_peers, sent
 from pollenstile.claims._digests import object_name
 from pollenstile.claims._records import segment_from
@@ -264,7 +264,7 @@
         self.world.requests[request.ident] = key
         running = Deferred.fromCoroutine(outcome_of(self.node.core, request))
         self.node.track(running)
-        return kept_result(running)
+        return collect_result(running)
 
     def kill(self):
         """End the host: nothing of it runs on."""
@@ -374,7 +374,9 @@
 
     def passed(self, seconds):
         """Let time pass."""
-        advanced(self.clock, seconds, step=0.001 if seconds < 10 else 0.25)
+        advance_in_steps(
+            self.clock, seconds, step=0.001 if seconds < 10 else 0.25
+        )
 
     def runs(self, key):
         """Return how often the booking service ran a key."""
--- a/features/builders/loop.py
+++ b/features/builders/loop.py
@@ -48,7 +48,7 @@
     return _unwrap(outcomes[0])
 
 
-def turned_until(condition):
+def run_reactor_until(condition):
     """Iterate the reactor until a condition holds."""
     timeout = reactor.callLater(_HANG_TIMEOUT_SECONDS, lambda: None)
     while not condition():
@@ -57,7 +57,7 @@
     timeout.cancel()
 
 
-def kept_result(awaitable):
+def collect_result(awaitable):
     """Return a list to which the result is appended when it is available."""
     outcomes = []
     if not isinstance(awaitable, Deferred):
@@ -66,7 +66,7 @@
     return outcomes
 
 
-def advanced(clock, seconds, step=0.05):
+def advance_in_steps(clock, seconds, step=0.05):
     """Advance a virtual clock in small steps."""
     for _ in range(round(seconds / step)):
         clock.advance(step)
--- a/features/builders/processes.py
+++ b/features/builders/processes.py
@@ -31,7 +31,7 @@
         self.started.append(process)
         return process
 
-    def entry(self, name, domain, platform):
+    def start_entry_host(self, name, domain, platform):
         """Start an entry host; return its process and the started log line."""
         process = self.start(
             'entry',
@@ -42,10 +42,10 @@
             POLLENSTILE_PEER_LISTEN=_FREE_LOCAL_PORT,
             POLLENSTILE_PLATFORM=platform,
         )
-        line = line_with(process.stderr, 'started')
+        line = wait_for_line(process.stderr, 'started')
         return process, json.loads(line)
 
-    def end(self):
+    def kill_all(self):
         """Kill every process that is still running."""
         for process in self.started:
             if process.poll() is None:
@@ -53,7 +53,7 @@
             process.communicate()
 
 
-def line_with(stream, word):
+def wait_for_line(stream, word):
     """Read lines up to the next one that contains a word; return that line."""
     for line in stream:
         if word in line:
@@ -61,7 +61,7 @@
     raise AssertionError(f'the process ended before it printed {word!r}')
 
 
-def command(*arguments):
+def run_command(*arguments):
     """Run a command to its end and return the completed process."""
     return subprocess.run(
         [*COMMAND, *arguments],
--- a/features/builders/shutdown.py
+++ b/features/builders/shutdown.py
@@ -7,7 +7,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 from twisted.internet.task import Clock
 
-from features.builders.loop import turned_until
+from features.builders.loop import run_reactor_until
 from pollenstile.entry import Daemon, built_node
 from pollenstile.manifest import (
     Domain,
@@ -193,7 +193,7 @@
         factory = RefusalCounter()
         factory.noisy = False
         reactor.connectTCP('127.0.0.1', self.port, factory)
-        turned_until(lambda: factory.refused)
+        run_reactor_until(lambda: factory.refused)
         return factory.refused == 1
 
     def advance(self, seconds):
