--- a/features/builders/claims.py
+++ b/features/builders/claims.py
@@ -8,10 +8,10 @@
 from twisted.internet.task import Clock
 
 from features.builders.loop import advance_in_steps, collect_result
-from pollenstile.claims import forwarding, join_peers, sent
+from pollenstile.claims import build_forwarder, connect_peers, sent
 from pollenstile.claims._digests import object_name
 from pollenstile.claims._records import segment_from
-from pollenstile.entry import built_node
+from pollenstile.entry import build_node
 from pollenstile.manifest import (
     Domain,
     Manifest,
@@ -23,7 +23,7 @@
     text_from_manifest,
 )
 from pollenstile.ops.settings import ENTRY, settings_from
-from pollenstile.pipeline import Request, outcome_of
+from pollenstile.pipeline import Request, run_request
 from pollenstile.platform import InDoubt, Unavailable
 from pollenstile.standin.objectapi import MemoryStore
 from pollenstile.standin.virtual import (
@@ -235,7 +235,7 @@
             ENTRY,
             {'POLLENSTILE_HOST': name, 'POLLENSTILE_DOMAIN': 'here'},
         )
-        self.node = built_node(
+        self.node = build_node(
             self.clock,
             Random(f'{name}/{boot}/{world.seed}'),
             settings,
@@ -247,7 +247,7 @@
         self.claims.shards = world.shards
         self.subjects = {}
         self.is_lost = bool
-        join_peers(self.claims, self._ask_peer, self.subjects.__setitem__)
+        connect_peers(self.claims, self._ask_peer, self.subjects.__setitem__)
         self.node.in_force.offer(1, world.manifest_text, 'test')
 
     def ask(self, key, minutes=10, team='salons', pipeline='log-minutes'):
@@ -262,7 +262,7 @@
             key,
         )
         self.world.requests[request.ident] = key
-        running = Deferred.fromCoroutine(outcome_of(self.node.core, request))
+        running = Deferred.fromCoroutine(run_request(self.node.core, request))
         self.node.track(running)
         return collect_result(running)
 
@@ -288,7 +288,7 @@
         """
 
         self.is_lost = is_lost
-        self.claims.forward = forwarding(
+        self.claims.forward = build_forwarder(
             self.name,
             live_hosts,
             partial(sent, self._ask_peer),
--- a/features/builders/requests_http.py
+++ b/features/builders/requests_http.py
@@ -9,11 +9,11 @@
 
 from features.builders.loop import collect_result, run_reactor_until
 from features.builders.requests import TEAM, TOKENS, Sent, requests_manifest
-from pollenstile.entry import built_node
+from pollenstile.entry import build_node
 from pollenstile.manifest import text_from_manifest
 from pollenstile.ops.http import site_for
 from pollenstile.ops.settings import ENTRY, settings_from
-from pollenstile.pipeline import Request, outcome_of
+from pollenstile.pipeline import Request, run_request
 from pollenstile.standin.plain import PlainResource, PlainServer
 from pollenstile.upstream import Call, http_transport, wire
 
@@ -168,7 +168,7 @@
     def transport(name, upstream, call, sink):
         return raw(name, there, call, sink)
 
-    node = built_node(
+    node = build_node(
         reactor,
         Random(1),
         settings_from(None, ENTRY, environment),
@@ -191,7 +191,7 @@
     )
     sent = Sent(request)
     sent.outcomes = collect_result(
-        outcome_of(node.core, request, sent.tokens.append),
+        run_request(node.core, request, sent.tokens.append),
     )
     run_reactor_until(lambda: sent.outcomes)
     return sent
--- a/features/builders/shutdown.py
+++ b/features/builders/shutdown.py
@@ -8,7 +8,7 @@
 from twisted.internet.task import Clock
 
 from features.builders.loop import run_reactor_until
-from pollenstile.entry import Daemon, built_node
+from pollenstile.entry import Daemon, build_node
 from pollenstile.manifest import (
     Domain,
     Manifest,
@@ -163,7 +163,7 @@
                 'POLLENSTILE_ADMIN': '127.0.0.1:0',
             },
         )
-        node = built_node(
+        node = build_node(
             self.clock,
             Random(1),
             settings,
--- a/features/steps/placement_http_steps.py
+++ b/features/steps/placement_http_steps.py
@@ -13,7 +13,7 @@
 from pollenstile.manifest import Upstream
 from pollenstile.ops.http import site_for
 from pollenstile.outcomes import Answered
-from pollenstile.pipeline import Request, outcome_of
+from pollenstile.pipeline import Request, run_request
 from pollenstile.placement import (
     Applied,
     EngineState,
@@ -122,7 +122,7 @@
             context.clock.seconds() + 4,
             '',
         )
-        running = Deferred.fromCoroutine(outcome_of(node.core, request))
+        running = Deferred.fromCoroutine(run_request(node.core, request))
         context.outcomes.append(collect_result(running))
         advance_in_steps(context.clock, 0.1, step=0.001)
     advance_in_steps(context.clock, 4, step=0.001)
--- a/pollenstile/entry/_assembly.py
+++ b/pollenstile/entry/_assembly.py
@@ -1,6 +1,6 @@
 """Putting one entry host together."""
 
-from pollenstile.claims import Claims, join_peers
+from pollenstile.claims import Claims, connect_peers
 from pollenstile.entry._node import Node
 from pollenstile.fleet import Fleet, InForce
 from pollenstile.limits import (
@@ -28,7 +28,7 @@
 _MS = 1000
 
 
-def built_node(
+def build_node(
     clock,
     rng,
     settings,
@@ -96,7 +96,7 @@
     return node
 
 
-def built_fleet(
+def build_fleet(
     node,
     settings,
     connect,
@@ -146,11 +146,11 @@
         core.log,
     )
     if node.claims is not None:
-        join_peers(node.claims, fleet.ask, fleet.answer)
+        connect_peers(node.claims, fleet.ask, fleet.answer)
     return fleet
 
 
-def place_engines(node, store, orders, ticket, suspend_clock):
+def add_placement(node, store, orders, ticket, suspend_clock):
     """Give a host its part in placement; not started.
 
     Parameters
