--- a/features/builders/claims.py
+++ b/features/builders/claims.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred, maybeDeferred
 from twisted.internet.task import Clock
 
-from features.builders.loop import advanced, kept_result
+from features.builders.loop import advance_in_steps, collect_result
 from pollenstile.claims import build_forwarder, connect_peers, send_append
 from pollenstile.claims._digests import object_name
 from pollenstile.claims._records import decode_segment
@@ -266,7 +266,7 @@
         self.world.requests[request.ident] = key
         running = Deferred.fromCoroutine(run_request(self.node.core, request))
         self.node.track(running)
-        return kept_result(running)
+        return collect_result(running)
 
     def kill(self):
         """Kill the host: none of its calls run any more."""
@@ -376,7 +376,9 @@
 
     def advance(self, seconds):
         """Advance the clock."""
-        advanced(self.clock, seconds, step=0.001 if seconds < 10 else 0.25)
+        advance_in_steps(
+            self.clock, seconds, step=0.001 if seconds < 10 else 0.25
+        )
 
     def count_runs(self, key):
         """Return how many times the booking service ran a key."""
