--- a/pollenstile/standin/__init__.py
+++ b/pollenstile/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Small fakes of each outside system."""
+"""Fakes of the outside systems, for tests, benchmarks and demos."""
--- a/pollenstile/standin/_memory.py
+++ b/pollenstile/standin/_memory.py
@@ -1,4 +1,4 @@
-"""An object store in memory, with switches for its faults."""
+"""In-memory object store with injectable faults."""
 
 from collections import Counter
 
@@ -16,41 +16,45 @@
 )
 from pollenstile.standin._objects import Objects
 
-_WRITES = frozenset(('put', 'delete'))
+_WRITE_STEPS = frozenset(('put', 'delete'))
 
 
 class MemoryStore:
-    """An object store in memory that takes its time from a clock.
+    """In-memory object store whose latency is timed by a clock.
 
     Explanation
     ===========
 
-    A call arrives after half of ``latency`` and is answered after the other
-    half. With no latency it is answered at once, without the clock. A call
-    that is not answered within ``timeout`` is given up by its caller, but a
-    write that is on its way is applied all the same.
+    A call is executed after half of ``latency`` and answered after the other
+    half. With zero latency it is answered immediately, without the clock. The
+    caller gives up a call that is not answered within ``timeout``; a write
+    that is already on its way is still applied.
 
-    Public state, to be set at any time
-    ===================================
+    Public state, may be set at any time
+    ====================================
 
     down : bool
-        Connections are refused; calls on their way get no answer.
+        Whether connections are refused. Calls in flight get no answer.
     latency : float
-        Seconds of each call.
+        Round-trip time of each call, in seconds.
     timeout : float
-        Seconds after which a caller gives up.
+        Time after which the caller gives up, in seconds.
     lose_answers : int
-        That many next writes are applied, but their answers are lost.
+        Number of following writes that are applied without an answer.
     lose_requests : int
-        That many next writes are lost, and their callers can't know.
+        Number of following writes that are lost. The caller can't distinguish
+        them from writes whose answer was lost.
     silent_watches : bool
-        Watches are never answered, neither waiting nor new ones.
+        Whether watches, both waiting and new ones, are never answered.
     deaf_watches : bool
-        Watches are answered after their poll time that nothing changed.
+        Whether watches miss all changes and are answered as unchanged when
+        their poll time is over.
     stale_watches : int
-        That many next watches are answered with the whole history.
+        Number of following watches that are answered with the full history.
     calls : collections.Counter
-        Calls that reached the store, by step.
+        Number of calls to the store, by step.
+    waiting : dict
+        Arguments of each waiting watch, by the Deferred that wakes it.
 
     Examples
     ========
@@ -103,12 +107,12 @@
         self.waiting = {}
 
     def is_answering(self):
-        """Return that no answer is half in: they come whole."""
+        """Return False: answers are never received in parts."""
         return False
 
     async def get(self, kind, name):
         """Return ``Found``, ``Absent`` or ``Unavailable``."""
-        return await self._exchange(
+        return await self._call(
             'get',
             lambda: self.objects.found(kind, name),
         )
@@ -121,26 +125,26 @@
         if len(encoded) > VALUE_LIMIT:
             return NotApplied('put', self.peer, 'status 413')
 
-        def work():
+        def operation():
             outcome = self.objects.put(kind, name, encoded, if_version)
-            self._wake()
+            self._wake_watches()
             return outcome
 
-        return await self._exchange('put', work)
+        return await self._call('put', operation)
 
     async def delete(self, kind, name, if_version=None):
         """Return ``Written``, ``Conflict``, ``NotApplied`` or ``InDoubt``."""
 
-        def work():
+        def operation():
             outcome = self.objects.delete(kind, name, if_version)
-            self._wake()
+            self._wake_watches()
             return outcome
 
-        return await self._exchange('delete', work)
+        return await self._call('delete', operation)
 
     async def listed(self, kind, prefix='', after='', limit=PAGE_LIMIT):
         """Return ``Listing`` or ``Unavailable``."""
-        return await self._exchange(
+        return await self._call(
             'list',
             lambda: self.objects.listing(kind, prefix, after, limit),
         )
@@ -149,37 +153,39 @@
         """Return ``Changes``, ``Compacted`` or ``Unavailable``."""
         self.calls['watch'] += 1
         if self.down:
-            return _refusal('watch', self.peer)
+            return _refused('watch', self.peer)
         if self.silent_watches:
             return await Deferred()
         if self.stale_watches:
             self.stale_watches -= 1
             old = self.objects.changes(kind, self.objects.compacted, prefix)
             return Changes(since, old.events)
-        outcome = self._seen(kind, since, prefix)
+        outcome = self._read_changes(kind, since, prefix)
         if isinstance(outcome, Changes) and not outcome.events:
-            await self._woken(kind, since, prefix, timeout)
-            outcome = self._seen(kind, since, prefix)
-        await _pause(self.clock, self.latency)
-        return _refusal('watch', self.peer) if self.down else outcome
+            await self._wait_for_change(kind, since, prefix, timeout)
+            outcome = self._read_changes(kind, since, prefix)
+        await _delay(self.clock, self.latency)
+        return _refused('watch', self.peer) if self.down else outcome
 
-    def _exchange(self, step, work):
+    def _call(self, step, operation):
         self.calls[step] += 1
         if self.down:
-            return succeed(_refusal(step, self.peer))
+            return succeed(_refused(step, self.peer))
         if not self.latency:
-            return succeed(self._result(step, work) or _lost(step, self.peer))
+            return succeed(
+                self._execute(step, operation) or _no_answer(step, self.peer)
+            )
         answer = Deferred()
         half = self.latency / 2
-        self.clock.callLater(half, self._arrive, step, work, answer, half)
+        self.clock.callLater(half, self._arrive, step, operation, answer, half)
         return answer.addTimeout(
             self.timeout,
             self.clock,
-            onTimeoutCancel=lambda *_: _lost(step, self.peer),
+            onTimeoutCancel=lambda *_: _no_answer(step, self.peer),
         )
 
-    def _arrive(self, step, work, answer, half):
-        outcome = None if self.down else self._result(step, work)
+    def _arrive(self, step, operation, answer, half):
+        outcome = None if self.down else self._execute(step, operation)
         if outcome is not None:
             self.clock.callLater(half, self._deliver, answer, outcome)
 
@@ -187,67 +193,67 @@
         if not self.down and not answer.called:
             answer.callback(outcome)
 
-    def _result(self, step, work):
-        if step in _WRITES and self.lose_requests:
+    def _execute(self, step, operation):
+        if step in _WRITE_STEPS and self.lose_requests:
             self.lose_requests -= 1
             return None
-        outcome = work()
-        if step in _WRITES and self.lose_answers:
+        outcome = operation()
+        if step in _WRITE_STEPS and self.lose_answers:
             self.lose_answers -= 1
             return None
         return outcome
 
-    def _seen(self, kind, since, prefix):
+    def _read_changes(self, kind, since, prefix):
         if self.deaf_watches:
             return Changes(self.objects.revision)
         return self.objects.changes(kind, since, prefix)
 
-    async def _woken(self, kind, since, prefix, timeout):
-        woken = Deferred()
-        self.waiting[woken] = (kind, since, prefix)
-        woken.addTimeout(
+    async def _wait_for_change(self, kind, since, prefix, timeout):
+        wakeup = Deferred()
+        self.waiting[wakeup] = (kind, since, prefix)
+        wakeup.addTimeout(
             timeout,
             self.clock,
             onTimeoutCancel=lambda *_: None,
         )
-        woken.addBoth(self._forget, woken)
-        await woken
+        wakeup.addBoth(self._remove_waiting, wakeup)
+        await wakeup
         if self.silent_watches:
             await Deferred()
 
-    def _forget(self, result, woken):
-        self.waiting.pop(woken)
+    def _remove_waiting(self, result, wakeup):
+        self.waiting.pop(wakeup)
         return result
 
-    def _wake(self):
+    def _wake_watches(self):
         if self.silent_watches or self.deaf_watches or self.down:
             return
-        for woken, watch in tuple(self.waiting.items()):
-            found = self.objects.changes(*watch)
-            if getattr(found, 'events', True):
-                self.clock.callLater(0, _fire, woken)
+        for wakeup, watch in tuple(self.waiting.items()):
+            outcome = self.objects.changes(*watch)
+            if getattr(outcome, 'events', True):
+                self.clock.callLater(0, _fire, wakeup)
 
 
-def _lost(step, peer):
-    if step in _WRITES:
+def _no_answer(step, peer):
+    if step in _WRITE_STEPS:
         return InDoubt(step, peer, 'no answer')
     return Unavailable(step, peer, 'no answer')
 
 
-def _refusal(step, peer):
-    if step in _WRITES:
+def _refused(step, peer):
+    if step in _WRITE_STEPS:
         return NotApplied(step, peer, 'refused')
     return Unavailable(step, peer, 'refused')
 
 
-def _pause(clock, seconds):
-    pause = Deferred()
+def _delay(clock, seconds):
+    delay = Deferred()
     if not seconds:
         return succeed(None)
-    clock.callLater(seconds, _fire, pause)
-    return pause
+    clock.callLater(seconds, _fire, delay)
+    return delay
 
 
-def _fire(woken):
-    if not woken.called:
-        woken.callback(None)
+def _fire(wakeup):
+    if not wakeup.called:
+        wakeup.callback(None)
--- a/pollenstile/standin/_objects.py
+++ b/pollenstile/standin/_objects.py
@@ -1,4 +1,4 @@
-"""State of the object API's stand-in, without time and faults."""
+"""State of the in-memory object store, without timing and faults."""
 
 from bisect import bisect_right, insort
 from collections import deque
@@ -21,20 +21,22 @@
 
 
 class Objects:
-    """Objects of all kinds, and the changes that led to them.
+    """Objects of all kinds, with a history of their changes.
 
     Explanation
     ===========
 
-    The store has one revision, raised by each write; an object's version is
-    the revision of its last write. So versions rise over a deletion too.
-    Values are kept encoded: a reader can't change them.
+    The store has one revision, which each write increments. An object's
+    version is the revision of its last write, so versions also increase
+    across a deletion. Values are stored encoded, so that readers can't modify
+    them.
 
     Parameters
     ==========
 
     history_limit : int
-        Changes kept for watches; a watch from before them is compacted.
+        Number of changes kept for watches. A watch from an older revision
+        gets ``Compacted``.
     """
 
     __slots__ = ('compacted', 'history', 'names', 'revision', 'rows')
@@ -47,7 +49,7 @@
         self.history = deque(maxlen=history_limit)
 
     def version_of(self, kind, name):
-        """Return an object's version, 0 when it is absent."""
+        """Return an object's version, or 0 if the object is absent."""
         row = self.rows.get((kind, name))
         return row[0] if row else 0
 
@@ -67,7 +69,7 @@
             insort(self.names.setdefault(kind, []), name)
         self.revision += 1
         self.rows[kind, name] = (self.revision, encoded)
-        self._remember(kind, name, encoded)
+        self._record_change(kind, name, encoded)
         return Written(self.revision)
 
     def delete(self, kind, name, if_version):
@@ -80,11 +82,11 @@
         self.revision += 1
         self.names[kind].remove(name)
         self.rows.pop((kind, name))
-        self._remember(kind, name, None)
+        self._record_change(kind, name, None)
         return Written(self.revision)
 
     def listing(self, kind, prefix, after, limit):
-        """Return a page as ``Listing``."""
+        """Return one page of objects as ``Listing``."""
         names = self.names.get(kind, [])
         page = []
         size = 0
@@ -104,7 +106,9 @@
             return Compacted(self.revision)
         events = []
         size = 0
-        for revision, name, encoded in self._rows(kind, since, prefix):
+        for revision, name, encoded in self._matching_changes(
+            kind, since, prefix
+        ):
             size += len(encoded or '')
             if events and (len(events) >= _EVENTS_LIMIT or size > VALUE_LIMIT):
                 return Changes(events[-1].revision, tuple(events))
@@ -113,18 +117,18 @@
         return Changes(self.revision, tuple(events))
 
     def compact(self):
-        """Forget all changes."""
+        """Discard the history of changes."""
         self.history.clear()
         self.compacted = self.revision
 
-    def _rows(self, kind, since, prefix):
-        for revision, changed, name, encoded in self.history:
-            if revision <= since or changed != kind:
+    def _matching_changes(self, kind, since, prefix):
+        for revision, changed_kind, name, encoded in self.history:
+            if revision <= since or changed_kind != kind:
                 continue
             if name.startswith(prefix):
                 yield revision, name, encoded
 
-    def _remember(self, kind, name, encoded):
+    def _record_change(self, kind, name, encoded):
         if len(self.history) == self.history.maxlen:
             self.compacted = self.history[0][0]
         self.history.append((self.revision, kind, name, encoded))
--- a/pollenstile/standin/_objectweb.py
+++ b/pollenstile/standin/_objectweb.py
@@ -1,4 +1,4 @@
-"""The object API over HTTP, served from a store in memory."""
+"""HTTP server of the object API, backed by an in-memory store."""
 
 import msgspec
 from twisted.internet.defer import CancelledError, Deferred
@@ -20,7 +20,7 @@
     Written,
 )
 
-_MILLISECONDS = 1000
+_MS_PER_SECOND = 1000
 _STATUS = {
     Found: 200,
     Written: 200,
@@ -35,14 +35,15 @@
 
 
 def objectapi_resource(store):
-    """Return the resource to stand at ``/v1``.
+    """Return the resource to mount at ``/v1``.
 
     Parameters
     ==========
 
     store : MemoryStore
-        Holds the objects and the faults. A store that is down answers 503;
-        where its answer is lost, the connection is aborted.
+        Holds the objects and the injected faults. While the store is down,
+        the resource answers 503. If an answer is lost, it aborts the
+        connection.
     """
     root = Resource()
     root.putChild(b'objects', _ObjectsResource(store))
@@ -51,15 +52,15 @@
 
 
 def platform_site(store, hosts=None, weights=None):
-    """Return a site with the object API and the other stand-ins.
+    """Return a site with the object API and the other platform fakes.
 
     Parameters
     ==========
 
     store : MemoryStore
-        The object API.
+        Store behind the object API.
     hosts, weights : twisted.web.resource.Resource or None
-        The host list and the weight store.
+        Resources of the host list and of the weight store.
     """
     version = objectapi_resource(store)
     if hosts is not None:
@@ -83,19 +84,19 @@
         call = self._call(request, path)
         if call is None:
             return reply(request, 400, {'detail': 'no such call'})
-        return answered(request, call)
+        return answer_request(request, call)
 
     def _call(self, request, path):
         if len(path) == 1 and request.method == b'GET':
             return self.store.listed(
                 path[0],
-                _text(request, b'prefix'),
-                _text(request, b'after'),
-                _whole(request, b'limit', PAGE_LIMIT),
+                _text_argument(request, b'prefix'),
+                _text_argument(request, b'after'),
+                _integer_argument(request, b'limit', PAGE_LIMIT),
             )
         if len(path) != 2 or not all(path):
             return None
-        condition = _whole(request, b'if-version', None)
+        condition = _integer_argument(request, b'if-version', None)
         if request.method == b'GET':
             return self.store.get(*path)
         if request.method == b'DELETE':
@@ -113,14 +114,16 @@
         self.store = store
 
     def render_GET(self, request):
-        milliseconds = _whole(request, b'timeout-ms', 30 * _MILLISECONDS)
+        milliseconds = _integer_argument(
+            request, b'timeout-ms', 30 * _MS_PER_SECOND
+        )
         call = self.store.watched(
             request.postpath[0].decode(),
-            _whole(request, b'since', 0),
-            _text(request, b'prefix'),
-            milliseconds / _MILLISECONDS,
+            _integer_argument(request, b'since', 0),
+            _text_argument(request, b'prefix'),
+            milliseconds / _MS_PER_SECOND,
         )
-        return answered(request, call)
+        return answer_request(request, call)
 
 
 async def _put(store, request, path, condition):
@@ -134,28 +137,28 @@
     return await store.put(*path, value, condition)
 
 
-def _text(request, name):
+def _text_argument(request, name):
     return request.args.get(name, [b''])[0].decode()
 
 
-def _whole(request, name, default):
+def _integer_argument(request, name, default):
     text = request.args.get(name, [b''])[0]
     return int(text) if text.isdigit() else default
 
 
 def reply(request, status, body):
-    """Return the encoded body after setting status and type."""
+    """Set status and content type, and return the encoded body."""
     request.setResponseCode(status)
     request.setHeader(b'content-type', b'application/json')
     return msgspec.json.encode(body)
 
 
-def answered(request, call):
+def answer_request(request, call):
     """Answer a request with the outcome of a store's coroutine."""
-    waiting = Deferred.fromCoroutine(call)
-    request.notifyFinish().addErrback(lambda _: waiting.cancel())
-    waiting.addCallback(_finish, request)
-    waiting.addErrback(lambda failure: failure.trap(CancelledError))
+    pending = Deferred.fromCoroutine(call)
+    request.notifyFinish().addErrback(lambda _: pending.cancel())
+    pending.addCallback(_finish, request)
+    pending.addErrback(lambda failure: failure.trap(CancelledError))
     return NOT_DONE_YET
 
 
--- a/pollenstile/standin/_slots.py
+++ b/pollenstile/standin/_slots.py
@@ -1,4 +1,4 @@
-"""Slots of a stand-in: calls that run and calls that wait."""
+"""Concurrency slots of a fake upstream, with a queue of waiting calls."""
 
 from collections import deque
 
@@ -6,15 +6,15 @@
 
 
 class Slots:
-    """Calls side by side, the rest in a queue.
+    """Limits concurrent calls and queues the others in arrival order.
 
     Parameters
     ==========
 
     most : int
-        Calls that run at once.
+        Maximum number of concurrent calls.
     incarnation : str
-        Stated in load reports.
+        Incarnation named in load reports.
 
     Examples
     ========
@@ -40,7 +40,7 @@
         self.waiting = deque()
 
     def take(self, begin):
-        """Call ``begin`` now or when a slot is free."""
+        """Call ``begin`` now, or as soon as a slot is free."""
         if self.running < self.most:
             self.running += 1
             begin()
@@ -48,21 +48,21 @@
         self.waiting.append(begin)
 
     def free(self):
-        """Give a slot back; the next in the queue gets it."""
+        """Release a slot, or pass it to the first call in the queue."""
         if self.waiting:
             self.waiting.popleft()()
             return
         self.running -= 1
 
     def drop(self, begin):
-        """Take a call out of the queue; return whether it was there."""
+        """Remove a call from the queue; return whether it was queued."""
         if begin not in self.waiting:
             return False
         self.waiting.remove(begin)
         return True
 
     def report(self, *, leaving=False):
-        """Return the load to state."""
+        """Return the current load report."""
         return LoadReport(
             self.running,
             len(self.waiting),
--- a/pollenstile/standin/clock.py
+++ b/pollenstile/standin/clock.py
@@ -1,4 +1,4 @@
-"""A virtual clock that stays fast with many waiting calls."""
+"""Virtual clock that stays fast with many pending calls."""
 
 import heapq
 import itertools
@@ -10,14 +10,14 @@
 
 @implementer(IReactorTime)
 class VirtualClock:
-    """Time that passes only when it is told to.
+    """Clock that advances only on request.
 
     Explanation
     ===========
 
-    It does what ``twisted.internet.task.Clock`` does. That one sorts all
-    waiting calls at each new one, which took more than half of the time of a
-    run of many hosts; here they are a heap.
+    It has the interface of ``twisted.internet.task.Clock``, but keeps pending
+    calls in a heap. Twisted's clock sorts all pending calls at each new one,
+    which took more than half of the run time of simulations of many hosts.
 
     Examples
     ========
@@ -38,11 +38,11 @@
     3.0
     """
 
-    __slots__ = ('entries', 'now', 'numbers')
+    __slots__ = ('heap', 'now', 'numbers')
 
     def __init__(self):
         self.now = 0.0
-        self.entries = []
+        self.heap = []
         self.numbers = itertools.count()
 
     def seconds(self):
@@ -56,7 +56,7 @@
             callable,
             args,
             kw,
-            _leave_in_heap,
+            _ignore_cancel,
             self._push,
             self.seconds,
         )
@@ -64,18 +64,18 @@
         return call
 
     def getDelayedCalls(self):
-        """Return the calls that wait."""
-        return [call for _, _, call in self.entries if call.active()]
+        """Return the pending calls."""
+        return [call for _, _, call in self.heap if call.active()]
 
     def advance(self, amount):
-        """Let some seconds pass, and make the calls that are due."""
+        """Advance the time by some seconds and run the calls that are due."""
         self.now += amount
-        while self.entries and self.entries[0][0] <= self.now:
-            due, _, call = heapq.heappop(self.entries)
+        while self.heap and self.heap[0][0] <= self.now:
+            due, _, call = heapq.heappop(self.heap)
             if not call.active():
                 continue
             if call.getTime() > due:
-                # It was put off after it had been entered.
+                # The call was delayed after it had been scheduled.
                 self._push(call)
                 continue
             call.called = 1
@@ -83,8 +83,8 @@
 
     def _push(self, call):
         entry = (call.getTime(), next(self.numbers), call)
-        heapq.heappush(self.entries, entry)
+        heapq.heappush(self.heap, entry)
 
 
-def _leave_in_heap(call):
-    """Do nothing: a cancelled call is passed over when it is due."""
+def _ignore_cancel(call):
+    """Do nothing; ``advance`` skips a cancelled call when it is due."""
--- a/pollenstile/standin/crashing.py
+++ b/pollenstile/standin/crashing.py
@@ -1,11 +1,12 @@
-"""Upstreams in virtual time, which some of their requests crash.
+"""Simulated upstreams that certain requests crash.
 
 Explanation
 ===========
 
-Such a request ends the process of each upstream that begins to run it, with all
-that runs beside it. The upstream is back after some seconds, at its address and
-as another incarnation. Hosts reach it by a client like their own.
+A crashing request ends the process of each upstream that starts to run it, with
+all concurrent requests of that upstream. After some seconds, the upstream
+restarts at its address as a new incarnation. Hosts send to it with a client
+that has the interface of their HTTP client.
 """
 
 from dataclasses import dataclass
@@ -16,22 +17,25 @@
 from pollenstile.standin.exchanges import Head, HeldCall
 
 NAMES = HeaderNames()
-# Seconds one way between a host and an upstream.
-_WAY = 0.001
-# Seconds until a request's first event, and until it crashes its upstream.
-_FIRST = 0.1
-_DEADLY = 0.06
-_GAP = 0.1
-# Seconds after which an upstream's entry lapses, and it is back.
-_LAPSE = 3.0
-_BACK = 2.5
+# One-way latency between a host and an upstream.
+_LATENCY_SECONDS = 0.001
+# Time from the start of a request to its first event.
+_FIRST_EVENT_SECONDS = 0.1
+# Time from the start of a crashing request to the crash.
+_CRASH_SECONDS = 0.06
+# Time between events.
+_EVENT_GAP_SECONDS = 0.1
+# Time from a crash to the expiry of the upstream's entry.
+_EXPIRY_SECONDS = 3.0
+# Time from a crash to the restart.
+_RESTART_SECONDS = 2.5
 _OK = 200
 _MISDIRECTED = 421
 
 
 @dataclass(slots=True, frozen=True)
 class Arrival:
-    """A request that reached an upstream."""
+    """A request that an upstream accepted."""
 
     at: float
     host: str
@@ -40,8 +44,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class End:
-    """An upstream that ended, and the request that did it."""
+class Crash:
+    """Crash of an upstream, with the body of the request that caused it."""
 
     at: float
     upstream: str
@@ -49,29 +53,29 @@
 
 
 class _Call(HeldCall):
-    """One send of a host, under way."""
+    """One request of a host in flight."""
 
     def __init__(self, host, address, headers, body):
         super().__init__(address, headers)
         self.host = host
         self.body = body
 
-    def take(self, outcome):
-        """Hand over a head, or what came in its place."""
+    def receive_head(self, outcome):
+        """Pass the head, or the failure to get one, to the host."""
         if not self.cancelled and not self.head.called:
             self.head.callback(outcome)
 
-    def break_off(self):
-        """Hand over that the connection broke."""
+    def break_connection(self):
+        """Report a broken connection to the host."""
         if self.cancelled:
             return
         if not self.head.called:
-            self.take(Lost('ConnectionLost', self.address, broken=True))
+            self.receive_head(Lost('ConnectionLost', self.address, broken=True))
             return
         self.end(BodyEnd.BROKEN)
 
     def end(self, how):
-        """Hand over the end of a body."""
+        """Report the end of the body to the host."""
         if not self.cancelled and self.on_end is not None:
             self.on_end(how)
 
@@ -93,29 +97,30 @@
     ==========
 
     clock : IReactorTime
-        Virtual.
+        Virtual clock.
     write : function
-        Takes an upstream's name and its entry; None deletes it.
-    deadly : function
-        Takes a body; returns whether it ends the upstream that runs it.
+        Called with an upstream's name and entry to write the entry, or with
+        None to delete it.
+    is_crashing : function
+        Called with a body; returns whether the request crashes its upstream.
     work : float
-        Seconds that a sound request takes.
+        Run time of other requests, in seconds.
 
     Attributes
     ==========
 
     processes : dict
-        By address; None for one that has ended.
+        Running process by address, or None after a crash.
     arrivals : list of Arrival
-        Of requests that were meant for who got them.
-    ends : list of End
-        In their order.
+        Requests that reached the expected incarnation, in order.
+    ends : list of Crash
+        Crashes, in order.
     """
 
-    def __init__(self, clock, write, deadly, work=1.0):
+    def __init__(self, clock, write, is_crashing, work=1.0):
         self.clock = clock
         self.write = write
-        self.deadly = deadly
+        self.is_crashing = is_crashing
         self.work = work
         self.processes = {}
         self.arrivals = []
@@ -131,101 +136,117 @@
         self.write(process.ident, entry)
 
     def client_of(self, host):
-        """Return the client by which a host reaches them."""
+        """Return the client that a host sends with."""
         return _Client(self, host)
 
     def running(self):
-        """Return the processes that run."""
-        return [one for one in self.processes.values() if one is not None]
+        """Return the running processes."""
+        return [
+            process
+            for process in self.processes.values()
+            if process is not None
+        ]
 
     def crash(self, process, body=b''):
-        """End an upstream and all that it runs."""
+        """Crash an upstream with all requests that it runs."""
         if self.processes.get(process.address) is not process:
             return
         self.processes[process.address] = None
         now = self.clock.seconds()
-        self.ends.append(End(now, process.ident, body))
+        self.ends.append(Crash(now, process.ident, body))
         for call in process.calls:
-            self.clock.callLater(_WAY, call.break_off)
-        later = self.clock.callLater
-        later(_LAPSE, self.write, process.ident, None)
-        later(_BACK, self.start, process.address, process.domain)
-
-    def connected(self, call):
-        """Take a connection: refused where nobody listens."""
+            self.clock.callLater(_LATENCY_SECONDS, call.break_connection)
+        call_later = self.clock.callLater
+        call_later(_EXPIRY_SECONDS, self.write, process.ident, None)
+        call_later(
+            _RESTART_SECONDS, self.start, process.address, process.domain
+        )
+
+    def accept_connection(self, call):
+        """Accept a connection, or refuse it if no process is listening."""
         if call.cancelled:
             return
         if self.processes.get(call.address) is None:
             refused = NotRun('refused', call.address, arrived=False)
-            call.take(refused)
+            call.receive_head(refused)
             return
         call.sent = True
-        self.clock.callLater(_WAY, self._arrive, call)
+        self.clock.callLater(_LATENCY_SECONDS, self._receive, call)
 
-    def _arrive(self, call):
+    def _receive(self, call):
         process = self.processes.get(call.address)
         if process is None:
-            self.clock.callLater(_WAY, call.break_off)
+            self.clock.callLater(_LATENCY_SECONDS, call.break_connection)
             return
         expected = call.headers[NAMES.expect].decode()
         if expected != process.ident:
-            call.take(Head(_MISDIRECTED, {NAMES.not_run: ['1']}))
+            call.receive_head(Head(_MISDIRECTED, {NAMES.not_run: ['1']}))
             return
         now = self.clock.seconds()
         arrival = Arrival(now, call.host, process.ident, call.body)
         self.arrivals.append(arrival)
         process.calls.append(call)
-        if self.deadly(call.body):
-            self.clock.callLater(_DEADLY, self.crash, process, call.body)
+        if self.is_crashing(call.body):
+            self.clock.callLater(_CRASH_SECONDS, self.crash, process, call.body)
             return
-        self.clock.callLater(_FIRST, self._begin, process, call)
+        self.clock.callLater(
+            _FIRST_EVENT_SECONDS, self._send_head, process, call
+        )
 
     def _is_running(self, process, call):
         alive = self.processes.get(process.address) is process
         return alive and not call.cancelled
 
-    def _begin(self, process, call):
+    def _send_head(self, process, call):
         if not self._is_running(process, call):
             return
         headers = {
             NAMES.attempt: [call.headers[NAMES.attempt]],
             NAMES.stamp: ['proof'],
         }
-        call.take(Head(_OK, headers))
+        call.receive_head(Head(_OK, headers))
         last = int(call.headers.get(NAMES.last_event, b'0'))
-        self._event(process, call, last + 1)
+        self._send_event(process, call, last + 1)
 
-    def _event(self, process, call, number):
+    def _send_event(self, process, call, number):
         if not self._is_running(process, call):
             return
         call.on_data(b'id: %d\ndata: x\n\n' % number)
-        if number * _GAP < self.work:
-            self.clock.callLater(_GAP, self._event, process, call, number + 1)
+        if number * _EVENT_GAP_SECONDS < self.work:
+            self.clock.callLater(
+                _EVENT_GAP_SECONDS, self._send_event, process, call, number + 1
+            )
             return
         process.calls.remove(call)
         call.end(BodyEnd.COMPLETE)
 
 
 class _Client:
-    """Sends a host's requests."""
+    """Client that sends the requests of one host."""
 
     def __init__(self, upstreams, host):
         self.upstreams = upstreams
         self.host = host
 
     def send(self, address, method, target, headers, body):
-        """Send a request once; return its call."""
+        """Send a request once and return its call."""
         call = _Call(self.host, address, headers, body)
         upstreams = self.upstreams
-        upstreams.clock.callLater(2 * _WAY, upstreams.connected, call)
+        upstreams.clock.callLater(
+            2 * _LATENCY_SECONDS, upstreams.accept_connection, call
+        )
         return call
 
     def probe(self, address):
-        """Return a Deferred of whether somebody listens."""
+        """Return a Deferred of the address's ``ProbeResult``."""
         done = Deferred()
-        self.upstreams.clock.callLater(2 * _WAY, self._reached, address, done)
+        self.upstreams.clock.callLater(
+            2 * _LATENCY_SECONDS, self._finish_probe, address, done
+        )
         return done
 
-    def _reached(self, address, done):
-        is_there = self.upstreams.processes.get(address) is not None
-        done.callback(ProbeResult.ACCEPTED if is_there else ProbeResult.REFUSED)
+    def _finish_probe(self, address, done):
+        is_listening = self.upstreams.processes.get(address) is not None
+        done.callback(
+            ProbeResult.ACCEPTED if is_listening else ProbeResult.REFUSED
+        )
--- a/pollenstile/standin/engine.py
+++ b/pollenstile/standin/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine."""
+"""Fake model engine that streams completions over HTTP."""
 
 import xxhash
 from twisted.web.resource import Resource
@@ -6,14 +6,14 @@
 
 from pollenstile.ops.http import abort, answer_json, answer_problem
 from pollenstile.standin._slots import Slots
-from pollenstile.standin.faults import Faults, state_attempt
+from pollenstile.standin.faults import Faults, set_attempt_header
 from pollenstile.upstream import wire
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 def token(prompt, offset):
-    """Return the token at an offset, the same from every engine.
+    """Return the token at an offset, which is the same for all engines.
 
     Examples
     ========
@@ -26,54 +26,61 @@
 
 
 class Engine:
-    """State of one stand-in.
+    """State of one fake engine.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        Real or virtual.
+        Real or virtual clock.
     name : str
-        For its log.
-    first : float
-        Seconds until the first token.
-    gap : float
-        Seconds between tokens.
+        Name of the engine and its incarnation in load reports.
+    first_token_seconds : float
+        Time to the first token, in seconds.
+    token_gap_seconds : float
+        Time between tokens, in seconds.
     most : int
-        Calls side by side.
+        Maximum number of concurrent calls.
 
     Attributes
     ==========
 
     runs : list of str
-        Attempts that ran.
+        Attempts that started to run.
     cancelled : list of str
-        Attempts that were stopped before their end.
+        Attempts whose caller disconnected before their end.
     """
 
     __slots__ = (
         'cancelled',
         'clock',
         'faults',
-        'first',
-        'gap',
+        'first_token_seconds',
+        'token_gap_seconds',
         'name',
         'runs',
         'slots',
     )
 
-    def __init__(self, clock, name, first=0.05, gap=0.01, most=8):
+    def __init__(
+        self,
+        clock,
+        name,
+        first_token_seconds=0.05,
+        token_gap_seconds=0.01,
+        most=8,
+    ):
         self.clock = clock
         self.name = name
-        self.first = first
-        self.gap = gap
+        self.first_token_seconds = first_token_seconds
+        self.token_gap_seconds = token_gap_seconds
         self.slots = Slots(most, name)
         self.faults = Faults()
         self.runs = []
         self.cancelled = []
 
     def load(self):
-        """Return the load to state."""
+        """Return the current load report."""
         return self.slots.report(leaving=self.faults.leaving)
 
 
@@ -87,12 +94,12 @@
         self.engine = engine
 
     def render_GET(self, request):
-        """State the load; called by twisted."""
+        """Answer with the load report; called by Twisted."""
         return answer_json(request, self.engine.load())
 
     def render_POST(self, request):
-        """Stream one completion; called by twisted."""
-        state_attempt(request, self.engine.faults)
+        """Stream one completion; called by Twisted."""
+        set_attempt_header(request, self.engine.faults)
         if self.engine.faults.refusing:
             return answer_problem(request, 503, 'refusing', wire.NOT_RUN)
         try:
@@ -104,7 +111,7 @@
 
 
 class _Stream:
-    """One completion from queue to its last token."""
+    """One completion, from the queue to its last token."""
 
     __slots__ = (
         'attempt',
@@ -132,21 +139,21 @@
         self.ended = False
 
     def begin(self):
-        """Wait for a slot."""
-        self.http.notifyFinish().addErrback(self.disconnected)
+        """Start when a slot is free."""
+        self.http.notifyFinish().addErrback(self.on_disconnect)
         self.engine.slots.take(self.work)
 
     def work(self):
-        """Start to generate."""
+        """Start to generate tokens."""
         self.engine.runs.append(self.attempt)
         self.started = self.engine.clock.seconds()
-        self.attempt = self.engine.faults.stated(self.attempt)
+        self.attempt = self.engine.faults.attempt_to_name(self.attempt)
         self.http.setHeader(b'content-type', b'text/event-stream')
         if not self.engine.faults.frozen:
-            self.wait(self.engine.first)
+            self.schedule(self.engine.first_token_seconds)
 
-    def wait(self, seconds):
-        """Generate the next token after a time."""
+    def schedule(self, seconds):
+        """Schedule the next token."""
         clock = self.engine.clock
         self.timer = clock.callLater(
             seconds * self.engine.faults.slow,
@@ -154,7 +161,7 @@
         )
 
     def advance(self):
-        """Send the next token, or the end."""
+        """Send the next token, or end the stream."""
         self.timer = None
         if self.engine.faults.frozen:
             return
@@ -175,16 +182,16 @@
         )
         self.offset += 1
         self.sent += 1
-        self.wait(self.engine.gap)
+        self.schedule(self.engine.token_gap_seconds)
 
     def write(self, event):
         """Send one event."""
         self.http.write(b'data: %s\n\n' % wire.encode_json(event))
 
     def finish(self):
-        """Send usage, load and the end mark."""
+        """Send usage, load and the end marker."""
         self.stop()
-        busy = (self.engine.clock.seconds() - self.started) * _MS
+        busy = (self.engine.clock.seconds() - self.started) * _MS_PER_SECOND
         self.write(
             wire.CompletionEvent(
                 self.attempt,
@@ -198,14 +205,14 @@
         self.http.finish()
 
     def stop(self):
-        """Give the slot back once."""
+        """Release the slot unless already done."""
         if self.ended:
             return
         self.ended = True
         self.engine.slots.free()
 
-    def disconnected(self, failure):
-        """Stop a completion that nobody waits for."""
+    def on_disconnect(self, failure):
+        """Stop a completion whose caller disconnected."""
         if self.ended:
             return
         self.engine.cancelled.append(self.attempt)
--- a/pollenstile/standin/exchanges.py
+++ b/pollenstile/standin/exchanges.py
@@ -1,19 +1,19 @@
-"""Stand-ins for both sides of a request: an upstream's call, its caller."""
+"""Fakes of both ends of a request: the upstream call and the caller."""
 
 from twisted.internet.defer import Deferred
 from twisted.web.http_headers import Headers
 
 
 class Head:
-    """The head of an upstream's answer.
+    """Head of an upstream's answer.
 
     Parameters
     ==========
 
     code : int
-        Status.
+        Status code.
     headers : dict
-        Lists of values by name.
+        Lists of values by header name.
     """
 
     def __init__(self, code, headers):
@@ -23,19 +23,20 @@
 
 
 class HeldCall:
-    """One send of a host, which whoever plays the upstream answers.
+    """One upstream call of a host, answered by the test or the simulation.
 
     Attributes
     ==========
 
     head : Deferred
-        Of a :class:`Head`, or of what comes in its place.
+        Fires with a :class:`Head`, or with the failure to get one.
     sent : bool
-        Whether the request was handed to the upstream.
+        Whether the request was sent to the upstream.
     cancelled : bool
         Whether the host has closed the connection.
     on_data, on_end : function or None
-        Take the body; None until the host asks for it.
+        Called with the data and the end of the body; None until the host
+        requests the body.
     """
 
     def __init__(self, address, headers):
@@ -48,23 +49,23 @@
         self.on_end = None
 
     def cancel(self):
-        """Note that the connection was closed."""
+        """Record that the host closed the connection."""
         self.cancelled = True
 
     def deliver(self, response, on_data, on_end):
-        """Keep the functions that take the body; return no producer."""
+        """Store the callbacks for the body; return no producer."""
         self.on_data = on_data
         self.on_end = on_end
 
 
 class KeptAnswer:
-    """A caller's side: what reached it.
+    """Answer as received by a caller.
 
     Attributes
     ==========
 
     end : str
-        ``'whole'``, ``'broken'`` or ``'refused'``; empty before its end.
+        ``'whole'``, ``'broken'`` or ``'refused'``; empty before the end.
     """
 
     def __init__(self):
@@ -77,32 +78,32 @@
         self.refusal = None
 
     def begin(self, status, phrase, headers):
-        """Take the head."""
+        """Record the head."""
         self.begun = True
         self.status = status
         self.headers = headers
 
     def write(self, data):
-        """Take a part of the body."""
+        """Append a part of the body."""
         self.content += data
 
     def finish(self):
-        """Note a whole answer."""
+        """Record a complete answer."""
         self.end = 'whole'
 
     def abort(self):
-        """Note a broken connection."""
+        """Record a broken connection."""
         self.end = 'broken'
 
     def refuse(self, refusal):
-        """Take an answer of the system's own."""
+        """Record a refusal by the host itself."""
         self.begun = True
         self.refusal = refusal
         self.status = refusal.status
         self.end = 'refused'
 
     def produce(self, producer):
-        """Take the producer."""
+        """Ignore the producer."""
 
     def unproduce(self):
-        """Forget the producer."""
+        """Ignore the end of production."""
--- a/pollenstile/standin/faults.py
+++ b/pollenstile/standin/faults.py
@@ -1,28 +1,28 @@
-"""Faults that a stand-in shows on request."""
+"""Injectable faults of fake upstreams."""
 
 from pollenstile.upstream import wire
 
-_OTHER = 'other/call/1'
+_FOREIGN_ATTEMPT = 'other/call/1'
 
 
 class Faults:
-    """Switches of one stand-in, set by tests and by its command line.
+    """Fault switches of one fake upstream, set by tests and simulations.
 
     Parameters
     ==========
 
     slow : float
-        Factor on working time.
+        Factor by which run times are multiplied.
     frozen : bool
-        Takes calls, never answers.
+        Whether it accepts calls and never answers.
     refusing : bool
-        Refuses calls as not run.
+        Whether it refuses calls as not run.
     foreign : bool
-        Answers with another call's attempt id.
+        Whether answers name the attempt of another call.
     cut_after : int
-        Breaks a stream after so many tokens; -1 for never.
+        Number of tokens after which a stream breaks off, or -1 for never.
     leaving : bool
-        Reports that it wants no new work.
+        Whether load reports ask for no new work.
     """
 
     __slots__ = (
@@ -42,21 +42,21 @@
         self.cut_after = -1
         self.leaving = False
 
-    def stated(self, attempt):
-        """Return the attempt that an answer names."""
-        return _OTHER if self.foreign else attempt
+    def attempt_to_name(self, attempt):
+        """Return the attempt to name in an answer."""
+        return _FOREIGN_ATTEMPT if self.foreign else attempt
 
 
-def state_attempt(http, faults):
-    """Name the attempt in the header of a stand-in's answer.
+def set_attempt_header(http, faults):
+    """Set the attempt header of an answer.
 
     Parameters
     ==========
 
     http : twisted.web.server.Request
-        The call.
+        Call to answer.
     faults : Faults
-        Of the stand-in.
+        Faults of the upstream that answers.
     """
     attempt = http.getHeader(wire.ATTEMPT_HEADER) or ''
-    http.setHeader(wire.ATTEMPT_HEADER, faults.stated(attempt.strip()))
+    http.setHeader(wire.ATTEMPT_HEADER, faults.attempt_to_name(attempt.strip()))
--- a/pollenstile/standin/fleet.py
+++ b/pollenstile/standin/fleet.py
@@ -1,23 +1,23 @@
-"""Stand-ins of every upstream that a manifest names."""
+"""Fakes of all upstreams that a manifest declares."""
 
 from dataclasses import dataclass, replace
 
 from pollenstile.manifest import manifest_from_text
 from pollenstile.ops.http import site_for
 from pollenstile.standin.engine import Engine, EngineResource
-from pollenstile.standin.orders import OrderedResource, warm_holdings
+from pollenstile.standin.orders import OrderedResource, preloaded_holdings
 from pollenstile.standin.plain import PlainResource, PlainServer
 
-_WORK = {'stage': 0.02, 'service': 0.03}
-_FIRST_TOKEN = 0.05
-_TOKEN_GAP = 0.005
-_MOST_BODY = 1048576
-_LOCAL = '127.0.0.1'
+_WORK_SECONDS = {'stage': 0.02, 'service': 0.03}
+_FIRST_TOKEN_SECONDS = 0.05
+_TOKEN_GAP_SECONDS = 0.005
+_MAX_BODY_BYTES = 1048576
+_LOOPBACK = '127.0.0.1'
 
 
 @dataclass(slots=True)
 class Standin:
-    """A running stand-in: its name, its state and its port."""
+    """A running fake upstream with its name, state and listening port."""
 
     name: str
     server: object
@@ -25,66 +25,71 @@
 
 
 def started_upstreams(reactor, path, scale=1.0):
-    """Return stand-ins that listen at the addresses of a manifest's file."""
+    """Start fakes at the addresses in a manifest file; return them."""
     with open(path, encoding='utf-8') as source:
         manifest = manifest_from_text(source.read())
     started = []
     for pool in manifest.pools.values():
         for name, upstream in pool.upstreams.items():
             port = int(upstream.address.rpartition(':')[-1])
-            one = _started(reactor, manifest, name, pool, scale, port)
-            started.append(one)
+            standin = _start_upstream(
+                reactor, manifest, name, pool, scale, port
+            )
+            started.append(standin)
     return started
 
 
 def started_anywhere(reactor, manifest, scale=1.0):
-    """Start stand-ins on free ports.
+    """Start fakes of all upstreams of a manifest on free ports.
 
     Parameters
     ==========
 
     reactor : IReactorTCP and IReactorTime
-        Listens, and times the work.
+        Reactor that listens and times the work.
     manifest : Manifest
-        Names pools and upstreams.
+        Declares pools and upstreams.
     scale : float
-        Factor on all times.
+        Factor by which all times are multiplied.
 
     Returns
     =======
 
     tuple
-        The stand-ins by name, and the manifest with their real addresses.
+        Dict of :class:`Standin` by name, and the manifest with their actual
+        addresses.
     """
     started = {}
     pools = {}
     for pool_name, pool in manifest.pools.items():
         upstreams = {}
         for name, upstream in pool.upstreams.items():
-            standin = _started(reactor, manifest, name, pool, scale, 0)
+            standin = _start_upstream(reactor, manifest, name, pool, scale, 0)
             started[name] = standin
-            number = standin.port.getHost().port
-            upstreams[name] = replace(upstream, address=f'{_LOCAL}:{number}')
+            port_number = standin.port.getHost().port
+            upstreams[name] = replace(
+                upstream, address=f'{_LOOPBACK}:{port_number}'
+            )
         pools[pool_name] = replace(pool, upstreams=upstreams)
     return started, replace(manifest, pools=pools)
 
 
-def _started(reactor, manifest, name, pool, scale, number):
+def _start_upstream(reactor, manifest, name, pool, scale, port_number):
     slots = pool.upstreams[name].slots
     if pool.kind == 'engine':
         server = Engine(
             reactor,
             name,
-            _FIRST_TOKEN * scale,
-            _TOKEN_GAP * scale,
+            _FIRST_TOKEN_SECONDS * scale,
+            _TOKEN_GAP_SECONDS * scale,
             slots,
         )
-        holdings = warm_holdings(reactor, server, manifest, pool)
+        holdings = preloaded_holdings(reactor, server, manifest, pool)
         resource = OrderedResource(holdings, EngineResource(server))
     else:
-        work = _WORK[pool.kind] * scale
+        work = _WORK_SECONDS[pool.kind] * scale
         server = PlainServer(reactor, name, work, slots)
         resource = PlainResource(server)
-    site = site_for(resource, reactor, most_body=_MOST_BODY)
-    port = reactor.listenTCP(number, site, interface=_LOCAL)
+    site = site_for(resource, reactor, most_body=_MAX_BODY_BYTES)
+    port = reactor.listenTCP(port_number, site, interface=_LOOPBACK)
     return Standin(name, server, port)
--- a/pollenstile/standin/forwarded.py
+++ b/pollenstile/standin/forwarded.py
@@ -1,10 +1,10 @@
-"""Upstreams of forwarded requests, over HTTP: stages and model engines.
+"""Fake HTTP upstreams of forwarding hosts: stages and model engines.
 
 Explanation
 ===========
 
-They speak the product's own interface: the default header names, batches as
-JSON. Each keeps what it was asked, so that a test can tell what ran where.
+They use the default formats: the default header names, and batches as JSON.
+Each records the requests that it ran, so that a test can check what ran where.
 """
 
 import msgspec
@@ -19,7 +19,16 @@
 
 
 class Results:
-    """Results of all stage upstreams of a test, by handle."""
+    """Results shared by all stage upstreams of a test.
+
+    Attributes
+    ==========
+
+    known : dict
+        Pieces whose results are kept, by handle.
+    made : list of dict
+        All pieces that ran, in order.
+    """
 
     __slots__ = ('known', 'made')
 
@@ -37,15 +46,15 @@
     clock : IReactorTime
         Times the calls.
     results : Results
-        Shared by the upstreams of a test.
+        Results shared by the upstreams of a test.
     work : float
-        Seconds of a call.
+        Run time of a call, in seconds.
 
     Attributes
     ==========
 
     address : str
-        Names the handles; set once it listens.
+        First part of the handles; set once the upstream listens.
     """
 
     isLeaf = True
@@ -58,7 +67,7 @@
         self.address = ''
 
     def render(self, request):
-        """Serve a batch or a release; called by twisted."""
+        """Run a batch or release results; called by Twisted."""
         content = request.content.read()
         if request.path == FREE_TARGET:
             for handle in msgspec.json.decode(content):
@@ -68,17 +77,19 @@
             request.setResponseCode(_NOT_FOUND)
             return b''
         pieces = msgspec.json.decode(content)
-        self.clock.callLater(self.work, self._made, request, pieces)
+        self.clock.callLater(self.work, self._finish_batch, request, pieces)
         return NOT_DONE_YET
 
-    def _made(self, request, pieces):
+    def _finish_batch(self, request, pieces):
         handles = []
         for piece in pieces:
-            if not all(one in self.results.known for one in piece['inputs']):
+            if not all(
+                handle in self.results.known for handle in piece['inputs']
+            ):
                 handles.append('')
                 continue
-            place = len(self.results.made)
-            handle = f'{self.address}/{place}'
+            position = len(self.results.made)
+            handle = f'{self.address}/{position}'
             self.results.known[handle] = piece
             self.results.made.append(piece)
             handles.append(handle)
@@ -93,7 +104,7 @@
     ==========
 
     runs : list of tuple
-        Attempt and handles of each request that it ran.
+        Attempt and result handles of each request that ran.
     """
 
     isLeaf = True
@@ -107,24 +118,24 @@
         self.runs = []
 
     def render(self, request):
-        """Serve a request; called by twisted."""
+        """Stream the answer to a request; called by Twisted."""
         attempt = request.getHeader(NAMES.attempt) or b''
         stated = request.getHeader(NAMES.results) or b''
-        handles = [one for one in stated.decode().split(',') if one]
+        handles = [handle for handle in stated.decode().split(',') if handle]
         request.setHeader(NAMES.attempt, attempt)
-        if not all(one in self.results.known for one in handles):
+        if not all(handle in self.results.known for handle in handles):
             request.setHeader(NAMES.not_run, b'1')
             request.setResponseCode(_CONFLICT)
             return b''
         self.runs.append((attempt.decode(), tuple(handles)))
         request.setHeader(NAMES.stamp, b'proof')
         request.setHeader(b'content-type', b'text/event-stream')
-        self._event(request, 1)
+        self._send_event(request, 1)
         return NOT_DONE_YET
 
-    def _event(self, request, number):
+    def _send_event(self, request, number):
         request.write(b'id: %d\ndata: piece\n\n' % number)
         if number == self.events:
             request.finish()
             return
-        self.clock.callLater(self.gap, self._event, request, number + 1)
+        self.clock.callLater(self.gap, self._send_event, request, number + 1)
--- a/pollenstile/standin/hostlist.py
+++ b/pollenstile/standin/hostlist.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's host list, which lags behind reality."""
+"""Fake of the platform's host list, which shows changes with a delay."""
 
 from twisted.internet.defer import succeed
 from twisted.web.resource import Resource
@@ -8,23 +8,23 @@
 
 
 class MemoryHosts:
-    """Hosts, and since when the list shows their changes.
+    """In-memory host list that shows changes after a delay.
 
     Parameters
     ==========
 
     clock : twisted.internet.interfaces.IReactorTime
-        Measures the lag.
+        Times the delay.
     lag : float
-        Seconds until a change shows.
+        Time until a change is visible, in seconds.
 
     Public state
     ============
 
     down : bool
         Whether the list can't be read.
-    shown : dict
-        What the list shows, by name.
+    visible : dict
+        Entries that the list shows, by host name.
 
     Examples
     ========
@@ -34,36 +34,36 @@
     >>> clock = Clock()
     >>> hosts = MemoryHosts(clock, lag=5.0)
     >>> hosts.change(HostEntry('e1', '10.0.0.1:80', 'clark', 1, 'live'))
-    >>> sorted(hosts.shown)
+    >>> sorted(hosts.visible)
     []
     >>> clock.advance(5.0)
-    >>> sorted(hosts.shown)
+    >>> sorted(hosts.visible)
     ['e1']
     """
 
-    __slots__ = ('clock', 'down', 'lag', 'shown')
+    __slots__ = ('clock', 'down', 'lag', 'visible')
 
     def __init__(self, clock, lag=0.0):
         self.clock = clock
         self.lag = lag
         self.down = False
-        self.shown = {}
+        self.visible = {}
 
     def change(self, entry):
-        """Show a host's new entry after the lag."""
-        self._later(self.shown.__setitem__, entry.name, entry)
+        """Add or replace a host's entry after the delay."""
+        self._apply_later(self.visible.__setitem__, entry.name, entry)
 
     def remove(self, name):
-        """Show a host no more after the lag."""
-        self._later(self.shown.pop, name, None)
+        """Remove a host's entry after the delay."""
+        self._apply_later(self.visible.pop, name, None)
 
     def listed(self):
         """Return a Deferred of ``HostList`` or ``Unavailable``."""
         if self.down:
             return succeed(Unavailable('hosts', 'memory', 'refused'))
-        return succeed(HostList(tuple(self.shown.values())))
+        return succeed(HostList(tuple(self.visible.values())))
 
-    def _later(self, change, *arguments):
+    def _apply_later(self, change, *arguments):
         if self.lag:
             self.clock.callLater(self.lag, change, *arguments)
             return
@@ -80,9 +80,9 @@
     def render_GET(self, request):
         if self.hosts.down:
             return reply(request, 503, {'reason': 'down'})
-        return reply(request, 200, list(self.hosts.shown.values()))
+        return reply(request, 200, list(self.hosts.visible.values()))
 
 
 def hostlist_resource(hosts):
-    """Return the resource to stand at ``/v1/hosts``."""
+    """Return the resource to mount at ``/v1/hosts``."""
     return _HostsResource(hosts)
--- a/pollenstile/standin/orders.py
+++ b/pollenstile/standin/orders.py
@@ -1,4 +1,4 @@
-"""Orders at the engine stand-in: what it holds and loads."""
+"""Placement orders of fake engines: models held and models loading."""
 
 import msgspec
 from twisted.internet.defer import Deferred, succeed
@@ -19,16 +19,16 @@
 _BAD_REQUEST = 400
 _UNAVAILABLE = 503
 _LOAD_SECONDS = 2.0
-_order_from = msgspec.json.Decoder(Order).decode
+_decode_order = msgspec.json.Decoder(Order).decode
 
 
-def _idle():
-    """Return that no calls run."""
+def _no_calls():
+    """Return an empty dict: no calls are running."""
     return {}
 
 
 class Holdings:
-    """What one engine holds, and the orders it got.
+    """Models of one fake engine, and the placement orders that it received.
 
     Parameters
     ==========
@@ -36,29 +36,29 @@
     clock : IReactorTime
         Times the loads.
     name : str
-        First part of its incarnations.
+        Name of the engine and first part of its incarnations.
     sizes : dict
-        Model to its memory in megabytes.
+        Memory of each model in megabytes, by model.
     memory : int
-        Megabytes for models.
+        Memory for models, in megabytes.
     checks : bool
-        Whether it refuses old fencing numbers.
+        Whether the engine refuses orders with old fencing numbers.
     load_seconds : float
-        Time of one load.
+        Time to load a model.
 
     Public state
     ============
 
     models, loading : dict
-        Model to :class:`~pollenstile.placement.Holding`.
+        :class:`~pollenstile.placement.Holding` by model.
     running : function
-        Returns the calls in flight by model.
+        Returns the number of calls in flight by model.
     orders : list of Order
-        All that it took, in order.
+        Orders that were applied, in order.
     refused : list of Order
-        All that it refused.
+        Orders that were refused, in order.
     loaded : int
-        Loads that it has begun.
+        Number of loads that were started.
 
     Examples
     ========
@@ -67,9 +67,10 @@
     >>> from pollenstile.placement import Holding
     >>> clock = Clock()
     >>> engine = Holdings(clock, 'e1', {'draft': 8}, 10, checks=True)
-    >>> engine.take(Order('a/1', 7, {'draft': Holding('3')})).state.loading
+    >>> order = Order('a/1', 7, {'draft': Holding('3')})
+    >>> engine.apply_order(order).state.loading
     {'draft': Holding(version='3', adapters=())}
-    >>> engine.take(Order('b/1', 6, {}))
+    >>> engine.apply_order(Order('b/1', 6, {}))
     Refused(reason='old-fence', fence=7)
     >>> clock.advance(20)
     >>> engine.state().models
@@ -91,7 +92,7 @@
         'role',
         'running',
         'sizes',
-        'starts',
+        'start_count',
         'timers',
     )
 
@@ -102,8 +103,8 @@
         self.memory = memory
         self.checks = checks
         self.load_seconds = load_seconds
-        self.running = _idle
-        self.starts = 0
+        self.running = _no_calls
+        self.start_count = 0
         self.loaded = 0
         self.orders = []
         self.refused = []
@@ -111,19 +112,19 @@
         self.restart()
 
     def restart(self):
-        """Come back as another process that holds nothing."""
+        """Restart as a new incarnation that holds no models."""
         for model in tuple(self.timers):
             self._stop_load(model)
-        self.starts += 1
+        self.start_count += 1
         self.models = {}
         self.loading = {}
         self.fence = 0
         self.role = 'both'
 
     def state(self):
-        """Return what it holds and does now."""
+        """Return the engine's current state."""
         return EngineState(
-            f'{self.name}-{self.starts}',
+            f'{self.name}-{self.start_count}',
             self.fence,
             dict(self.models),
             dict(self.loading),
@@ -131,9 +132,9 @@
             self.role,
         )
 
-    def take(self, order):
-        """Return ``Applied`` or ``Refused``."""
-        reason = self._objection(order)
+    def apply_order(self, order):
+        """Apply an order; return ``Applied`` or ``Refused``."""
+        reason = self._refusal_reason(order)
         if reason:
             self.refused.append(order)
             return Refused(reason, self.fence)
@@ -148,16 +149,16 @@
             if wanted is None or wanted.version != self.models[model].version:
                 self.models.pop(model)
         for model, holding in order.models.items():
-            self._hold(model, holding)
+            self._load(model, holding)
         return Applied(self.state())
 
-    def _objection(self, order):
+    def _refusal_reason(self, order):
         if self.checks and order.fence < self.fence:
             return 'old-fence'
         needed = sum(self.sizes.get(model, 0) for model in order.models)
         return 'memory' if needed > self.memory else ''
 
-    def _hold(self, model, holding):
+    def _load(self, model, holding):
         held = self.models.get(model)
         if held and set(holding.adapters).issubset(held.adapters):
             self.models[model] = holding
@@ -168,11 +169,11 @@
         self.loading[model] = holding
         self.timers[model] = self.clock.callLater(
             self.load_seconds,
-            self._loaded,
+            self._finish_load,
             model,
         )
 
-    def _loaded(self, model):
+    def _finish_load(self, model):
         self.timers.pop(model)
         self.models[model] = self.loading.pop(model)
 
@@ -182,7 +183,7 @@
 
 
 class MemoryOrders:
-    """Looks and orders at stand-ins, in virtual time.
+    """Client that reads the state of fake engines and sends them orders.
 
     Parameters
     ==========
@@ -190,21 +191,21 @@
     clock : IReactorTime
         Times the messages.
     engines : dict
-        Name to :class:`Holdings`.
+        :class:`Holdings` by engine name.
     latency : float
-        Seconds one way; without it all comes at once.
+        One-way latency in seconds. With zero, calls are answered immediately.
 
     Public state
     ============
 
     down : set of str
-        Engines that can't be reached.
+        Names of unreachable engines.
     lose_answers, lose_requests : int
-        That many next orders are taken but not answered, or not taken.
+        Number of following orders that are applied without an answer, or lost.
     looks : int
-        Looks that were asked for.
+        Number of state reads.
     hold : Deferred or None
-        Orders wait for it on their way.
+        Delays orders in flight until it fires.
     """
 
     __slots__ = (
@@ -233,7 +234,7 @@
         self.looks += 1
         if name in self.down:
             return succeed(Lost('look', name, 'no connection'))
-        return self._after(lambda: self.engines[name].state())
+        return self._answer_later(lambda: self.engines[name].state())
 
     def send(self, name, upstream, order):
         """Return a Deferred of ``Applied``, ``Refused`` or ``Lost``."""
@@ -241,21 +242,21 @@
             return succeed(Lost('order', name, 'no connection'))
         if self.hold is not None:
             waiting = Deferred()
-            self.hold.addCallback(_passed_on, waiting)
+            self.hold.addCallback(_resume, waiting)
             return waiting.addCallback(lambda _: self._arrive(name, order))
-        return self._after(lambda: self._arrive(name, order))
+        return self._answer_later(lambda: self._arrive(name, order))
 
     def _arrive(self, name, order):
         if self.lose_requests:
             self.lose_requests -= 1
             return Lost('order', name, 'no answer')
-        outcome = self.engines[name].take(order)
+        outcome = self.engines[name].apply_order(order)
         if self.lose_answers:
             self.lose_answers -= 1
             return Lost('order', name, 'no answer')
         return outcome
 
-    def _after(self, work):
+    def _answer_later(self, work):
         if not self.latency:
             return succeed(work())
         done = Deferred()
@@ -263,13 +264,13 @@
         return done.addCallback(lambda _: work())
 
 
-def _passed_on(outcome, waiting):
+def _resume(outcome, waiting):
     waiting.callback(None)
     return outcome
 
 
-def warm_holdings(clock, engine, manifest, pool):
-    """Return the holdings of an engine that has its pool's models loaded.
+def preloaded_holdings(clock, engine, manifest, pool):
+    """Return the holdings of an engine with its pool's models loaded.
 
     Parameters
     ==========
@@ -277,14 +278,15 @@
     clock : IReactorTime
         Times the loads.
     engine : Engine
-        The stand-in.
+        Fake engine.
     manifest : Manifest
-        Names versions and sizes.
+        Declares the versions and sizes of models.
     pool : Pool
-        The engine's pool; of its models those are held that fit.
+        Pool of the engine. Its models are loaded as far as they fit into the
+        engine's memory.
     """
     upstream = pool.upstreams[engine.name]
-    sizes = {each: manifest.models[each].memory_mb for each in pool.models}
+    sizes = {model: manifest.models[model].memory_mb for model in pool.models}
     holdings = Holdings(
         clock,
         engine.name,
@@ -293,11 +295,11 @@
         checks=upstream.fencing == 'checked',
         load_seconds=_LOAD_SECONDS,
     )
-    room = upstream.memory_mb
+    free_memory_mb = upstream.memory_mb
     for model in sorted(pool.models):
-        if sizes[model] > room:
+        if sizes[model] > free_memory_mb:
             continue
-        room -= sizes[model]
+        free_memory_mb -= sizes[model]
         declared = manifest.models[model]
         holdings.models[model] = Holding(
             declared.version,
@@ -305,7 +307,7 @@
         )
 
     def running():
-        # The stand-in does not tell its calls apart by model.
+        # The fake engine does not count its calls by model.
         total = engine.slots.running + len(engine.slots.waiting)
         return dict.fromkeys(holdings.models, total)
 
@@ -314,42 +316,43 @@
 
 
 class OrderedResource(Resource):
-    """``GET`` and ``PUT /v1/placement`` before an engine's other calls.
+    """``GET`` and ``PUT /v1/placement`` in front of an engine's other calls.
 
     Explanation
     ===========
 
-    Of the other calls it refuses those for a model that is not held.
+    Other calls are passed to the engine, except those for a model that is not
+    held, which are refused.
     """
 
     isLeaf = True
 
-    def __init__(self, holdings, rest):
+    def __init__(self, holdings, engine_resource):
         super().__init__()
         self.holdings = holdings
-        self.rest = rest
+        self.engine_resource = engine_resource
 
     def render(self, request):
-        """Answer, or hand the call to the engine; called by twisted."""
+        """Answer, or pass the call to the engine; called by Twisted."""
         if request.postpath[:2] != [b'v1', b'placement']:
-            return self._call(request)
+            return self._pass_to_engine(request)
         if request.method == b'GET':
             return answer_json(request, self.holdings.state())
         try:
-            order = _order_from(request.content.read())
+            order = _decode_order(request.content.read())
         except msgspec.MsgspecError as error:
             return answer_problem(request, _BAD_REQUEST, str(error), 'not-run')
-        outcome = self.holdings.take(order)
+        outcome = self.holdings.apply_order(order)
         if isinstance(outcome, Refused):
             return answer_json(request, outcome, _CONFLICT)
         return answer_json(request, outcome.state)
 
-    def _call(self, request):
+    def _pass_to_engine(self, request):
         try:
             call = wire.decode_completion_call(request.content.read())
         except wire.DecodeError:
             call = None
         request.content.seek(0)
         if call is None or call.model in self.holdings.models:
-            return self.rest.render(request)
+            return self.engine_resource.render(request)
         return answer_problem(request, _UNAVAILABLE, 'not held', wire.NOT_RUN)
--- a/pollenstile/standin/plain.py
+++ b/pollenstile/standin/plain.py
@@ -1,36 +1,36 @@
-"""Stand-in of a stage pool's server or of a plain service."""
+"""Fake server of a stage pool or of a plain service."""
 
 from twisted.web.resource import Resource
 from twisted.web.server import NOT_DONE_YET
 
 from pollenstile.ops.http import answer_json, answer_problem
 from pollenstile.standin._slots import Slots
-from pollenstile.standin.faults import Faults, state_attempt
+from pollenstile.standin.faults import Faults, set_attempt_header
 from pollenstile.upstream import wire
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 class PlainServer:
-    """State of one stand-in.
+    """State of one fake server.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        Real or virtual.
+        Real or virtual clock.
     name : str
-        Stated in answers, so that tests see who answered.
+        Name in answers, so that tests can check which server answered.
     work : float
-        Seconds that a call takes.
+        Run time of a call, in seconds.
     most : int
-        Calls side by side.
+        Maximum number of concurrent calls.
 
     Attributes
     ==========
 
     runs : list of str
-        Attempts that ran, for checks of *at most once*.
+        Attempts that started to run, for checks of at-most-once execution.
     """
 
     __slots__ = ('clock', 'faults', 'name', 'runs', 'slots', 'work')
@@ -44,12 +44,12 @@
         self.runs = []
 
     def load(self):
-        """Return the load to state."""
+        """Return the current load report."""
         return self.slots.report(leaving=self.faults.leaving)
 
 
 class PlainResource(Resource):
-    """``POST /v1/call`` and ``GET /v1/load`` of a stand-in."""
+    """``POST /v1/call`` and ``GET /v1/load`` of a fake server."""
 
     isLeaf = True
 
@@ -58,37 +58,37 @@
         self.server = server
 
     def render_GET(self, request):
-        """State the load; called by twisted."""
+        """Answer with the load report; called by Twisted."""
         return answer_json(request, self.server.load())
 
     def render_POST(self, request):
-        """Run one call; called by twisted."""
-        state_attempt(request, self.server.faults)
+        """Run one call; called by Twisted."""
+        set_attempt_header(request, self.server.faults)
         if self.server.faults.refusing:
             return answer_problem(request, 503, 'refusing', wire.NOT_RUN)
         try:
             call = wire.decode_plain_call(request.content.read())
         except wire.DecodeError as error:
             return answer_problem(request, 400, str(error), wire.NOT_RUN)
-        _Running(self.server, request, call).begin()
+        _PlainCall(self.server, request, call).begin()
         return NOT_DONE_YET
 
 
-class _Running:
-    """One call from queue to answer."""
+class _PlainCall:
+    """One call, from the queue to its answer."""
 
-    __slots__ = ('call', 'gone', 'http', 'server', 'timer')
+    __slots__ = ('call', 'http', 'is_disconnected', 'server', 'timer')
 
     def __init__(self, server, http, call):
         self.server = server
         self.http = http
         self.call = call
         self.timer = None
-        self.gone = False
+        self.is_disconnected = False
 
     def begin(self):
-        """Wait for a slot."""
-        self.http.notifyFinish().addErrback(self.disconnected)
+        """Start when a slot is free."""
+        self.http.notifyFinish().addErrback(self.on_disconnect)
         self.server.slots.take(self.work)
 
     def work(self):
@@ -96,11 +96,13 @@
         self.server.runs.append(self.call.attempt)
         if self.server.faults.frozen:
             return
-        took = self.server.work * self.server.faults.slow
-        self.timer = self.server.clock.callLater(took, self.answer, took)
+        run_seconds = self.server.work * self.server.faults.slow
+        self.timer = self.server.clock.callLater(
+            run_seconds, self.answer, run_seconds
+        )
 
-    def answer(self, took):
-        """Answer and give the slot back."""
+    def answer(self, run_seconds):
+        """Release the slot and answer."""
         self.timer = None
         self.server.slots.free()
         output = {
@@ -108,21 +110,21 @@
             'step': self.call.step,
             'for': self.call.attempt.partition('/')[0],
         }
-        if self.gone:
+        if self.is_disconnected:
             return
         answer_json(
             self.http,
             wire.PlainReply(
-                self.server.faults.stated(self.call.attempt),
+                self.server.faults.attempt_to_name(self.call.attempt),
                 output,
-                took * _MS,
+                run_seconds * _MS_PER_SECOND,
                 self.server.load(),
             ),
         )
 
-    def disconnected(self, failure):
-        """Stop a call that nobody waits for."""
-        self.gone = True
+    def on_disconnect(self, failure):
+        """Stop a call whose caller disconnected."""
+        self.is_disconnected = True
         if self.server.slots.drop(self.work):
             return
         if self.timer is not None:
--- a/pollenstile/standin/reach.py
+++ b/pollenstile/standin/reach.py
@@ -1,4 +1,4 @@
-"""A store that some hosts can't reach for a time."""
+"""Wrapper that simulates network partitions between a host and a store."""
 
 from twisted.internet.defer import Deferred
 
@@ -14,16 +14,17 @@
 
 
 class ReachedStore:
-    """One host's way to a store.
+    """Access of one host to a store, with network partitions.
 
     Parameters
     ==========
 
     store : Store
-        Behind the way.
+        Store behind the network.
     is_cut : function
-        Whether nothing passes now. A call that is answered while the way is
-        cut never comes back.
+        Returns whether the host is partitioned from the store now. Reads and
+        watches that the store answers during a partition never complete;
+        writes end in doubt.
 
     Examples
     ========
@@ -46,14 +47,14 @@
         self.is_cut = is_cut
 
     def is_answering(self):
-        """Return that no answer is half in: they come whole."""
+        """Return False: answers are never received in parts."""
         return False
 
     async def get(self, kind, name):
         """Return ``Found``, ``Absent`` or ``Unavailable``."""
         if self.is_cut():
             return Unavailable('get', _PEER, 'refused')
-        return await self._back(await self.store.get(kind, name))
+        return await self._return_if_connected(await self.store.get(kind, name))
 
     async def put(self, kind, name, value, if_version=None):
         """Return ``Written``, ``Conflict``, ``NotApplied`` or ``InDoubt``."""
@@ -76,16 +77,16 @@
         if self.is_cut():
             return Unavailable('list', _PEER, 'refused')
         listing = await self.store.listed(kind, prefix, after, limit)
-        return await self._back(listing)
+        return await self._return_if_connected(listing)
 
     async def watched(self, kind, since, prefix='', timeout=POLL_SECONDS):
         """Return ``Changes``, ``Compacted`` or ``Unavailable``."""
         if self.is_cut():
             return Unavailable('watch', _PEER, 'refused')
         changes = await self.store.watched(kind, since, prefix, timeout)
-        return await self._back(changes)
+        return await self._return_if_connected(changes)
 
-    async def _back(self, outcome):
+    async def _return_if_connected(self, outcome):
         if self.is_cut():
             await Deferred()
         return outcome
--- a/pollenstile/standin/virtual.py
+++ b/pollenstile/standin/virtual.py
@@ -1,12 +1,12 @@
-"""Upstreams in virtual time: the transport's interface without a network.
+"""Simulated upstreams and network with the interface of the transport.
 
 Explanation
 ===========
 
-Benches and soaks run the real code of entry hosts over these fakes. An
-upstream has slots, a queue and sampled times; a link between a failure domain
-and an upstream has a latency and a state. A message is looked at when it
-arrives, so that a cut holds back what was on its way.
+Benchmarks and soak tests run the real code of entry hosts over these fakes in
+virtual time. An upstream has slots, a queue and sampled times. A link between a
+failure domain and an upstream has a latency and a state. The state is checked
+when a message arrives, so that a partition also drops messages in flight.
 """
 
 from dataclasses import dataclass
@@ -17,23 +17,23 @@
 from pollenstile.upstream import Chunk, Load, Lost, NotRun, Reply, wire
 
 UP = 'up'
-# Messages vanish, as on a connection whose path has forgotten it.
+# Messages are dropped, as on a connection that a middlebox no longer tracks.
 SILENT = 'silent'
-# New connections are refused at once.
+# New connections are refused immediately.
 REFUSED = 'refused'
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 @dataclass(slots=True, frozen=True)
 class Times:
-    """Functions that return seconds, each call a new sample.
+    """Functions that sample durations in seconds.
 
     Parameters
     ==========
 
     work : function
-        Time of a call, or until the first token.
+        Run time of a call, or time to the first token.
     gap : function
         Time between tokens.
     """
@@ -43,29 +43,29 @@
 
 
 class VirtualUpstream:
-    """One upstream in virtual time.
+    """One simulated upstream.
 
     Parameters
     ==========
 
     clock : twisted.internet.task.Clock
-        Virtual.
+        Virtual clock.
     name, kind : str
-        As declared.
+        Name, and kind of its pool.
     slots : int
-        Calls side by side.
+        Maximum number of concurrent calls.
     times : Times
-        Samples its times.
+        Samples run times.
 
     Attributes
     ==========
 
     runs : list of str
-        Attempts that it started to run, in order.
+        Attempts that started to run, in order.
     keys : list of tuple
-        Key and step of each run that carried a key.
+        Idempotency key and step of each run that has a key.
     busy : float
-        Seconds that its slots worked, all together.
+        Total busy time of all slots, in seconds.
     """
 
     __slots__ = (
@@ -92,7 +92,7 @@
         self.busy = 0
 
     def load(self):
-        """Return the load to state."""
+        """Return the current load report."""
         report = self.slots.report(leaving=self.faults.leaving)
         return Load(
             report.running,
@@ -103,7 +103,7 @@
 
 
 class _Run:
-    """One call at a virtual upstream."""
+    """One call at a simulated upstream."""
 
     __slots__ = (
         'call',
@@ -125,14 +125,14 @@
         self.ended = False
 
     def arrive(self):
-        """Take a slot or queue, unless the upstream refuses."""
+        """Start or queue the call, unless the upstream refuses it."""
         if self.upstream.faults.refusing:
             self.ended = True
             self.send(
                 NotRun(
                     'refusing',
                     load=self.upstream.load(),
-                    attempt=self.stated(),
+                    attempt=self.attempt_to_name(),
                 ),
             )
             return
@@ -144,10 +144,10 @@
         self.upstream.runs.append(self.call.attempt)
         if self.call.key:
             self.upstream.keys.append((self.call.key, self.call.step))
-        self.wait(self.upstream.times.work())
+        self.schedule(self.upstream.times.work())
 
-    def wait(self, seconds):
-        """Go on after a time, unless frozen."""
+    def schedule(self, seconds):
+        """Schedule the next event, unless the upstream is frozen."""
         if self.upstream.faults.frozen:
             return
         self.timer = self.upstream.clock.callLater(
@@ -168,36 +168,44 @@
         if self.offset >= self.call.max_tokens:
             self.answer(self.text(), self.offset)
             return
-        self.send(Chunk(self.stated(), self.offset, self.token(self.offset)))
+        self.send(
+            Chunk(self.attempt_to_name(), self.offset, self.token(self.offset))
+        )
         self.offset += 1
-        self.wait(self.upstream.times.gap())
+        self.schedule(self.upstream.times.gap())
 
     def answer(self, output, tokens):
-        """Send the whole answer."""
+        """Send the complete answer."""
         self.end()
-        busy = (self.upstream.clock.seconds() - self.started) * _MS
+        busy = (self.upstream.clock.seconds() - self.started) * _MS_PER_SECOND
         self.send(
-            Reply(self.stated(), output, tokens, busy, self.upstream.load()),
+            Reply(
+                self.attempt_to_name(),
+                output,
+                tokens,
+                busy,
+                self.upstream.load(),
+            ),
         )
 
     def request(self):
-        """Return the request's identifier."""
+        """Return the identifier of the request."""
         return self.call.attempt.partition('/')[0]
 
-    def stated(self):
-        """Return the attempt that the answer names."""
-        return self.upstream.faults.stated(self.call.attempt)
+    def attempt_to_name(self):
+        """Return the attempt to name in the answer."""
+        return self.upstream.faults.attempt_to_name(self.call.attempt)
 
     def token(self, offset):
-        """Return a token, the same from every engine."""
+        """Return the token at an offset, which is the same for all engines."""
         return token(wire.encode_json(self.call.content), offset)
 
     def text(self):
-        """Return the whole text."""
+        """Return the complete text."""
         return ''.join(self.token(offset) for offset in range(self.offset))
 
     def end(self):
-        """Give the slot back once."""
+        """Release the slot unless already done."""
         if self.ended:
             return
         self.ended = True
@@ -207,7 +215,7 @@
         self.upstream.slots.free()
 
     def stop(self):
-        """Stop a call that nobody waits for."""
+        """Stop a call that the host cancelled."""
         if self.ended:
             return
         if self.timer is not None:
@@ -220,17 +228,17 @@
 
 
 class VirtualNetwork:
-    """Upstreams and the links to them.
+    """Simulated network between hosts and upstreams.
 
     Parameters
     ==========
 
     clock : twisted.internet.task.Clock
-        Virtual.
+        Virtual clock.
     upstreams : dict
-        Name to :class:`VirtualUpstream`.
+        :class:`VirtualUpstream` by name.
     latency : function
-        ``latency(origin, name)`` returns seconds one way.
+        ``latency(origin, name)`` returns the one-way latency in seconds.
     state : function
         ``state(origin, name)`` returns ``UP``, ``SILENT`` or ``REFUSED``.
     """
@@ -250,45 +258,45 @@
         ==========
 
         origin : str
-            The host, as ``latency`` and ``state`` know it.
+            Name of the host for ``latency`` and ``state``.
         """
 
         def start(name, upstream, call, sink):
-            link = _Link(self, origin, name, sink)
+            link = _CallLink(self, origin, name, sink)
             link.begin(call)
             return link.cancel
 
         return start
 
 
-class _Link:
-    """One call's messages between a host and an upstream."""
+class _CallLink:
+    """Messages of one call between a host and an upstream."""
 
-    __slots__ = ('gone', 'name', 'network', 'origin', 'run', 'sink')
+    __slots__ = ('cancelled', 'name', 'network', 'origin', 'run', 'sink')
 
     def __init__(self, network, origin, name, sink):
         self.network = network
         self.origin = origin
         self.name = name
         self.sink = sink
-        self.gone = False
+        self.cancelled = False
         self.run = None
 
     def begin(self, call):
-        """Send the call."""
+        """Send the call to the upstream."""
         self.run = _Run(self.network.upstreams[self.name], call, self.send)
-        self._later(self._arrive)
+        self._send_later(self._arrive)
 
     def send(self, event):
-        """Send an event back."""
-        self._later(self._deliver, event)
+        """Send an event to the host."""
+        self._send_later(self._deliver, event)
 
     def cancel(self):
-        """Hand over nothing more, and tell the upstream to stop."""
-        self.gone = True
-        self._later(self._stop)
+        """Deliver no further events and stop the call at the upstream."""
+        self.cancelled = True
+        self._send_later(self._stop)
 
-    def _later(self, function, *arguments):
+    def _send_later(self, function, *arguments):
         latency = self.network.latency(self.origin, self.name)
         self.network.clock.callLater(latency, function, *arguments)
 
@@ -296,7 +304,7 @@
         return self.network.state(self.origin, self.name)
 
     def _arrive(self):
-        if self.gone:
+        if self.cancelled:
             return
         state = self._state()
         if state == REFUSED:
@@ -306,7 +314,7 @@
             self.run.arrive()
 
     def _deliver(self, event):
-        if not self.gone and self._state() == UP:
+        if not self.cancelled and self._state() == UP:
             self.sink(event)
 
     def _stop(self):
@@ -321,11 +329,11 @@
     ==========
 
     clock : twisted.internet.task.Clock
-        Virtual.
+        Virtual clock.
     upstreams : dict
-        Name to :class:`VirtualUpstream`.
+        :class:`VirtualUpstream` by name.
     latency : float
-        Seconds one way, on each link.
+        One-way latency of each link, in seconds.
     """
     return VirtualNetwork(
         clock,
--- a/pollenstile/standin/weightstore.py
+++ b/pollenstile/standin/weightstore.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's weight store, which is rate-limited."""
+"""Fake of the platform's weight store, which is rate-limited."""
 
 from math import ceil
 
@@ -10,25 +10,25 @@
 
 
 class MemoryWeights:
-    """A token bucket of tickets.
+    """In-memory weight store that limits tickets by a token bucket.
 
     Parameters
     ==========
 
     clock : twisted.internet.interfaces.IReactorTime
-        Refills the bucket.
+        Times the refill of the bucket.
     rate : float
-        Tickets a second.
+        Tickets per second.
     burst : float
-        Most tickets at once.
+        Capacity of the bucket, in tickets.
 
     Public state
     ============
 
     down : bool
-        Whether the store can't be reached.
+        Whether the store is unreachable.
     issued : list of Ticket
-        All tickets so far.
+        All tickets issued so far.
 
     Examples
     ========
@@ -41,14 +41,22 @@
     Throttled(retry_after=2.0)
     """
 
-    __slots__ = ('burst', 'clock', 'down', 'filled', 'issued', 'rate', 'tokens')
+    __slots__ = (
+        'burst',
+        'clock',
+        'down',
+        'refilled_at',
+        'issued',
+        'rate',
+        'tokens',
+    )
 
     def __init__(self, clock, rate=1.0, burst=4):
         self.clock = clock
         self.rate = rate
         self.burst = burst
         self.tokens = burst
-        self.filled = clock.seconds()
+        self.refilled_at = clock.seconds()
         self.down = False
         self.issued = []
 
@@ -56,14 +64,14 @@
         """Return a Deferred of ``Ticket``, ``Throttled``, ``Unavailable``."""
         if self.down:
             return succeed(Unavailable('ticket', 'memory', 'refused'))
-        return succeed(self.drawn(model, version))
+        return succeed(self.take_ticket(model, version))
 
-    def drawn(self, model, version):
-        """Return ``Ticket`` or ``Throttled``."""
+    def take_ticket(self, model, version):
+        """Issue a ticket; return ``Ticket`` or ``Throttled``."""
         now = self.clock.seconds()
-        gained = (now - self.filled) * self.rate
-        self.tokens = min(self.tokens + gained, self.burst)
-        self.filled = now
+        refill = (now - self.refilled_at) * self.rate
+        self.tokens = min(self.tokens + refill, self.burst)
+        self.refilled_at = now
         if self.tokens < 1:
             return Throttled((1 - self.tokens) / self.rate)
         self.tokens -= 1
@@ -84,7 +92,7 @@
             return reply(request, 404, {'reason': 'no such call'})
         if self.weights.down:
             return reply(request, 503, {'reason': 'down'})
-        return _answer(request, self.weights.drawn(*path[:2]))
+        return _answer(request, self.weights.take_ticket(*path[:2]))
 
 
 def _answer(request, outcome):
@@ -96,10 +104,10 @@
 
 
 def weightstore(clock):
-    """Return the resource of a weight store with the usual rate."""
+    """Return the resource of a weight store with the default rate."""
     return weightstore_resource(MemoryWeights(clock))
 
 
 def weightstore_resource(weights):
-    """Return the resource to stand at ``/v1/weights``."""
+    """Return the resource to mount at ``/v1/weights``."""
     return _WeightsResource(weights)
