--- a/features/builders/claims.py
+++ b/features/builders/claims.py
@@ -29,7 +29,7 @@
 from pollenstile.standin.virtual import (
     Times,
     VirtualUpstream,
-    calm_network,
+    healthy_network,
 )
 
 WINDOW = 600
@@ -353,7 +353,7 @@
             name: VirtualUpstream(self.clock, name, 'service', 64, times)
             for name in ('booking-1', 'members-1')
         }
-        self.network = calm_network(self.clock, self.upstreams)
+        self.network = healthy_network(self.clock, self.upstreams)
         self.hosts = {}
         self.answers = {}
         self.requests = {}
--- a/features/builders/shutdown.py
+++ b/features/builders/shutdown.py
@@ -26,7 +26,7 @@
 from pollenstile.standin.virtual import (
     Times,
     VirtualUpstream,
-    calm_network,
+    healthy_network,
 )
 
 LAME_DUCK = 2.0
@@ -150,7 +150,7 @@
             'e1': VirtualUpstream(self.clock, 'e1', 'engine', 8, times),
             'b1': VirtualUpstream(self.clock, 'b1', 'service', 8, times),
         }
-        network = calm_network(self.clock, self.upstreams)
+        network = healthy_network(self.clock, self.upstreams)
         settings = settings_from(
             None,
             ENTRY,
--- a/features/steps/forward_fleet_steps.py
+++ b/features/steps/forward_fleet_steps.py
@@ -77,7 +77,7 @@
 def then_once(context):
     pieces = Counter(
         (piece['request'], piece['step'], piece['number'])
-        for piece in context.fleet.results.made
+        for piece in context.fleet.results.executed_pieces
     )
     assert len(pieces) == 4 * len(context.connections), len(pieces)
     assert set(pieces.values()) == {1}, pieces
--- a/features/steps/placement_http_steps.py
+++ b/features/steps/placement_http_steps.py
@@ -25,7 +25,7 @@
 )
 from pollenstile.platform import ServerClient
 from pollenstile.standin.engine import Engine, EngineResource
-from pollenstile.standin.orders import Holdings, OrderedResource
+from pollenstile.standin.orders import Holdings, PlacementResource
 from pollenstile.upstream import wire
 
 _SIZES = {'draft': 8, 'tags': 8}
@@ -43,7 +43,7 @@
 def step_engine(context):
     holdings = Holdings(Clock(), 'e1', _SIZES, 16, checks=True)
     rest = EngineResource(Engine(reactor, 'e1'))
-    _serve(context, OrderedResource(holdings, rest))
+    _serve(context, PlacementResource(holdings, rest))
 
 
 @given('a placement engine of a release that lacks orders, over HTTP')
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -537,13 +537,13 @@
 
 @when('the placement state reads are counted for {seconds:d} seconds')
 def step_count_looks(context, seconds):
-    context.world.orders.looks = 0
+    context.world.orders.state_reads = 0
     context.world.advance(seconds)
 
 
 @then('from {least:d} to {most:d} placement state reads were counted')
 def step_looks(context, least, most):
-    assert least <= context.world.orders.looks <= most
+    assert least <= context.world.orders.state_reads <= most
 
 
 @then('placement engine "{name}" refused from {least:d} to {most:d} orders')
--- a/features/steps/platform_watch_steps.py
+++ b/features/steps/platform_watch_steps.py
@@ -25,7 +25,7 @@
 
 @given('watch calls of the platform store report no changes')
 def step_no_changes(context):
-    context.world.store.deaf_watches = True
+    context.world.store.empty_watches = True
 
 
 @given('the watched platform store has an extra object')
--- a/pollenstile/ops/_democmd.py
+++ b/pollenstile/ops/_democmd.py
@@ -16,7 +16,7 @@
 from pollenstile.ops.logs import configure_logs
 from pollenstile.ops.running import result_of
 from pollenstile.ops.settings import ENTRY, settings_from
-from pollenstile.standin.fleet import started_anywhere
+from pollenstile.standin.fleet import start_on_free_ports
 from pollenstile.standin.objectapi import MemoryStore, platform_site
 from pollenstile.standin.weightstore import weightstore
 
@@ -74,7 +74,7 @@
 
 async def _started(reactor, manifest):
     """Return two running hosts, with stand-ins of all that they need."""
-    _, placed = started_anywhere(reactor, manifest)
+    _, placed = start_on_free_ports(reactor, manifest)
     store = MemoryStore(reactor)
     site = platform_site(store, weights=weightstore(reactor))
     port = reactor.listenTCP(0, site, interface=_LOCAL)
--- a/pollenstile/standin/_memory.py
+++ b/pollenstile/standin/_memory.py
@@ -46,7 +46,7 @@
         them from writes whose answer was lost.
     silent_watches : bool
         Whether watches, both waiting and new ones, are never answered.
-    deaf_watches : bool
+    empty_watches : bool
         Whether watches miss all changes and are answered as unchanged when
         their poll time is over.
     stale_watches : int
@@ -78,8 +78,8 @@
     __slots__ = (
         'calls',
         'clock',
-        'deaf_watches',
         'down',
+        'empty_watches',
         'latency',
         'lose_answers',
         'lose_requests',
@@ -101,7 +101,7 @@
         self.lose_answers = 0
         self.lose_requests = 0
         self.silent_watches = False
-        self.deaf_watches = False
+        self.empty_watches = False
         self.stale_watches = 0
         self.calls = Counter()
         self.waiting = {}
@@ -204,7 +204,7 @@
         return outcome
 
     def _read_changes(self, kind, since, prefix):
-        if self.deaf_watches:
+        if self.empty_watches:
             return Changes(self.objects.revision)
         return self.objects.changes(kind, since, prefix)
 
@@ -226,7 +226,7 @@
         return result
 
     def _wake_watches(self):
-        if self.silent_watches or self.deaf_watches or self.down:
+        if self.silent_watches or self.empty_watches or self.down:
             return
         for wakeup, watch in tuple(self.waiting.items()):
             outcome = self.objects.changes(*watch)
--- a/pollenstile/standin/_slots.py
+++ b/pollenstile/standin/_slots.py
@@ -11,7 +11,7 @@
     Parameters
     ==========
 
-    most : int
+    max_running : int
         Maximum number of concurrent calls.
     incarnation : str
         Incarnation named in load reports.
@@ -22,39 +22,39 @@
     >>> from pollenstile.standin._slots import Slots
     >>> slots = Slots(1, 'a')
     >>> begun = []
-    >>> slots.take(lambda: begun.append(1))
-    >>> waiting = slots.take(lambda: begun.append(2))
+    >>> slots.acquire(lambda: begun.append(1))
+    >>> waiting = slots.acquire(lambda: begun.append(2))
     >>> begun
     [1]
-    >>> slots.free()
+    >>> slots.release()
     >>> begun
     [1, 2]
     """
 
-    __slots__ = ('incarnation', 'most', 'running', 'waiting')
+    __slots__ = ('incarnation', 'max_running', 'running', 'waiting')
 
-    def __init__(self, most, incarnation):
-        self.most = most
+    def __init__(self, max_running, incarnation):
+        self.max_running = max_running
         self.incarnation = incarnation
         self.running = 0
         self.waiting = deque()
 
-    def take(self, begin):
+    def acquire(self, begin):
         """Call ``begin`` now, or as soon as a slot is free."""
-        if self.running < self.most:
+        if self.running < self.max_running:
             self.running += 1
             begin()
             return
         self.waiting.append(begin)
 
-    def free(self):
+    def release(self):
         """Release a slot, or pass it to the first call in the queue."""
         if self.waiting:
             self.waiting.popleft()()
             return
         self.running -= 1
 
-    def drop(self, begin):
+    def remove_waiting(self, begin):
         """Remove a call from the queue; return whether it was queued."""
         if begin not in self.waiting:
             return False
--- a/pollenstile/standin/crashing.py
+++ b/pollenstile/standin/crashing.py
@@ -14,7 +14,7 @@
 from twisted.internet.defer import Deferred
 
 from pollenstile.forward import BodyEnd, HeaderNames, Lost, NotRun, ProbeResult
-from pollenstile.standin.exchanges import Head, HeldCall
+from pollenstile.standin.exchanges import Head, StubCall
 
 NAMES = HeaderNames()
 # One-way latency between a host and an upstream.
@@ -52,7 +52,7 @@
     body: bytes
 
 
-class _Call(HeldCall):
+class _Call(StubCall):
     """One request of a host in flight."""
 
     def __init__(self, host, address, headers, body):
--- a/pollenstile/standin/engine.py
+++ b/pollenstile/standin/engine.py
@@ -39,7 +39,7 @@
         Time to the first token, in seconds.
     token_gap_seconds : float
         Time between tokens, in seconds.
-    most : int
+    max_running : int
         Maximum number of concurrent calls.
 
     Attributes
@@ -68,13 +68,13 @@
         name,
         first_token_seconds=0.05,
         token_gap_seconds=0.01,
-        most=8,
+        max_running=8,
     ):
         self.clock = clock
         self.name = name
         self.first_token_seconds = first_token_seconds
         self.token_gap_seconds = token_gap_seconds
-        self.slots = Slots(most, name)
+        self.slots = Slots(max_running, name)
         self.faults = Faults()
         self.runs = []
         self.cancelled = []
@@ -141,7 +141,7 @@
     def begin(self):
         """Start when a slot is free."""
         self.http.notifyFinish().addErrback(self.on_disconnect)
-        self.engine.slots.take(self.work)
+        self.engine.slots.acquire(self.work)
 
     def work(self):
         """Start to generate tokens."""
@@ -209,7 +209,7 @@
         if self.ended:
             return
         self.ended = True
-        self.engine.slots.free()
+        self.engine.slots.release()
 
     def on_disconnect(self, failure):
         """Stop a completion whose caller disconnected."""
@@ -219,7 +219,7 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if self.engine.slots.drop(self.work):
+        if self.engine.slots.remove_waiting(self.work):
             self.ended = True
             return
         self.stop()
--- a/pollenstile/standin/exchanges.py
+++ b/pollenstile/standin/exchanges.py
@@ -22,7 +22,7 @@
         self.headers = Headers(headers)
 
 
-class HeldCall:
+class StubCall:
     """One upstream call of a host, answered by the test or the simulation.
 
     Attributes
@@ -58,7 +58,7 @@
         self.on_end = on_end
 
 
-class KeptAnswer:
+class RecordedAnswer:
     """Answer as received by a caller.
 
     Attributes
--- a/pollenstile/standin/fleet.py
+++ b/pollenstile/standin/fleet.py
@@ -5,7 +5,7 @@
 from pollenstile.manifest import manifest_from_text
 from pollenstile.ops.http import site_for
 from pollenstile.standin.engine import Engine, EngineResource
-from pollenstile.standin.orders import OrderedResource, preloaded_holdings
+from pollenstile.standin.orders import PlacementResource, preloaded_holdings
 from pollenstile.standin.plain import PlainResource, PlainServer
 
 _WORK_SECONDS = {'stage': 0.02, 'service': 0.03}
@@ -24,7 +24,7 @@
     port: object
 
 
-def started_upstreams(reactor, path, scale=1.0):
+def start_upstreams(reactor, path, scale=1.0):
     """Start fakes at the addresses in a manifest file; return them."""
     with open(path, encoding='utf-8') as source:
         manifest = manifest_from_text(source.read())
@@ -39,7 +39,7 @@
     return started
 
 
-def started_anywhere(reactor, manifest, scale=1.0):
+def start_on_free_ports(reactor, manifest, scale=1.0):
     """Start fakes of all upstreams of a manifest on free ports.
 
     Parameters
@@ -85,7 +85,7 @@
             slots,
         )
         holdings = preloaded_holdings(reactor, server, manifest, pool)
-        resource = OrderedResource(holdings, EngineResource(server))
+        resource = PlacementResource(holdings, EngineResource(server))
     else:
         work = _WORK_SECONDS[pool.kind] * scale
         server = PlainServer(reactor, name, work, slots)
--- a/pollenstile/standin/forwarded.py
+++ b/pollenstile/standin/forwarded.py
@@ -26,15 +26,15 @@
 
     known : dict
         Pieces whose results are kept, by handle.
-    made : list of dict
+    executed_pieces : list of dict
         All pieces that ran, in order.
     """
 
-    __slots__ = ('known', 'made')
+    __slots__ = ('executed_pieces', 'known')
 
     def __init__(self):
         self.known = {}
-        self.made = []
+        self.executed_pieces = []
 
 
 class StageResource(Resource):
@@ -84,14 +84,14 @@
         handles = []
         for piece in pieces:
             if not all(
-                handle in self.results.known for handle in piece['inputs']
+                source in self.results.known for source in piece['inputs']
             ):
                 handles.append('')
                 continue
-            position = len(self.results.made)
+            position = len(self.results.executed_pieces)
             handle = f'{self.address}/{position}'
             self.results.known[handle] = piece
-            self.results.made.append(piece)
+            self.results.executed_pieces.append(piece)
             handles.append(handle)
         request.write(msgspec.json.encode(handles))
         request.finish()
--- a/pollenstile/standin/orders.py
+++ b/pollenstile/standin/orders.py
@@ -202,7 +202,7 @@
         Names of unreachable engines.
     lose_answers, lose_requests : int
         Number of following orders that are applied without an answer, or lost.
-    looks : int
+    state_reads : int
         Number of state reads.
     hold : Deferred or None
         Delays orders in flight until it fires.
@@ -214,7 +214,7 @@
         'engines',
         'hold',
         'latency',
-        'looks',
+        'state_reads',
         'lose_answers',
         'lose_requests',
     )
@@ -224,14 +224,14 @@
         self.engines = engines
         self.latency = latency
         self.down = set()
-        self.looks = 0
+        self.state_reads = 0
         self.lose_answers = 0
         self.lose_requests = 0
         self.hold = None
 
     def read_state(self, name, upstream):
         """Return a Deferred of ``EngineState`` or ``Lost``."""
-        self.looks += 1
+        self.state_reads += 1
         if name in self.down:
             return succeed(Lost('look', name, 'no connection'))
         return self._answer_later(lambda: self.engines[name].state())
@@ -286,7 +286,7 @@
         engine's memory.
     """
     upstream = pool.upstreams[engine.name]
-    sizes = {model: manifest.models[model].memory_mb for model in pool.models}
+    sizes = {name: manifest.models[name].memory_mb for name in pool.models}
     holdings = Holdings(
         clock,
         engine.name,
@@ -315,7 +315,7 @@
     return holdings
 
 
-class OrderedResource(Resource):
+class PlacementResource(Resource):
     """``GET`` and ``PUT /v1/placement`` in front of an engine's other calls.
 
     Explanation
--- a/pollenstile/standin/reach.py
+++ b/pollenstile/standin/partition.py
@@ -13,7 +13,7 @@
 _PEER = 'cut off'
 
 
-class ReachedStore:
+class PartitionedStore:
     """Access of one host to a store, with network partitions.
 
     Parameters
@@ -32,7 +32,7 @@
     >>> from twisted.internet.defer import Deferred
     >>> from twisted.internet.task import Clock
     >>> from pollenstile.standin.objectapi import MemoryStore
-    >>> store = ReachedStore(MemoryStore(Clock()), lambda: True)
+    >>> store = PartitionedStore(MemoryStore(Clock()), lambda: True)
     >>> waiting = Deferred.fromCoroutine(store.get('config', 'manifest'))
     >>> waiting.addCallback(print).called
     Unavailable(step='get', peer='cut off', reason='refused', \
--- a/pollenstile/standin/plain.py
+++ b/pollenstile/standin/plain.py
@@ -23,7 +23,7 @@
         Name in answers, so that tests can check which server answered.
     work : float
         Run time of a call, in seconds.
-    most : int
+    max_running : int
         Maximum number of concurrent calls.
 
     Attributes
@@ -35,11 +35,11 @@
 
     __slots__ = ('clock', 'faults', 'name', 'runs', 'slots', 'work')
 
-    def __init__(self, clock, name, work=0.02, most=8, incarnation='1'):
+    def __init__(self, clock, name, work=0.02, max_running=8, incarnation='1'):
         self.clock = clock
         self.name = name
         self.work = work
-        self.slots = Slots(most, incarnation)
+        self.slots = Slots(max_running, incarnation)
         self.faults = Faults()
         self.runs = []
 
@@ -89,7 +89,7 @@
     def begin(self):
         """Start when a slot is free."""
         self.http.notifyFinish().addErrback(self.on_disconnect)
-        self.server.slots.take(self.work)
+        self.server.slots.acquire(self.work)
 
     def work(self):
         """Run the call."""
@@ -104,7 +104,7 @@
     def answer(self, run_seconds):
         """Release the slot and answer."""
         self.timer = None
-        self.server.slots.free()
+        self.server.slots.release()
         output = {
             'by': self.server.name,
             'step': self.call.step,
@@ -125,9 +125,9 @@
     def on_disconnect(self, failure):
         """Stop a call whose caller disconnected."""
         self.is_disconnected = True
-        if self.server.slots.drop(self.work):
+        if self.server.slots.remove_waiting(self.work):
             return
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        self.server.slots.free()
+        self.server.slots.release()
--- a/pollenstile/standin/virtual.py
+++ b/pollenstile/standin/virtual.py
@@ -136,7 +136,7 @@
                 ),
             )
             return
-        self.upstream.slots.take(self.work)
+        self.upstream.slots.acquire(self.work)
 
     def work(self):
         """Start to run."""
@@ -212,7 +212,7 @@
         if self.started is None:
             return
         self.upstream.busy += self.upstream.clock.seconds() - self.started
-        self.upstream.slots.free()
+        self.upstream.slots.release()
 
     def stop(self):
         """Stop a call that the host cancelled."""
@@ -221,7 +221,7 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if self.upstream.slots.drop(self.work):
+        if self.upstream.slots.remove_waiting(self.work):
             self.ended = True
             return
         self.end()
@@ -322,7 +322,7 @@
             self.run.stop()
 
 
-def calm_network(clock, upstreams, latency=0.001):
+def healthy_network(clock, upstreams, latency=0.001):
     """Return a network whose links are all up.
 
     Parameters
