--- a/features/builders/entryhost.py
+++ b/features/builders/entryhost.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import reactor
 
-from pollenstile.entry import CallerFace, address_of, built_node
+from pollenstile.entry import CallerResource, address_of, build_node
 from pollenstile.manifest import manifest_from_text, text_from_manifest
 from pollenstile.ops.http import site_for
 from pollenstile.ops.settings import ENTRY, settings_from
@@ -30,7 +30,7 @@
             'POLLENSTILE_HOST': 'erie-hall-1',
             'POLLENSTILE_DOMAIN': 'erie-hall',
         }
-        self.node = built_node(
+        self.node = build_node(
             reactor,
             random.Random(_SEED),
             settings_from(None, ENTRY, environment),
@@ -38,7 +38,7 @@
         )
         text = text_from_manifest(self.manifest)
         self.node.in_force.offer(1, text, 'test')
-        site = site_for(CallerFace(self.node), reactor)
+        site = site_for(CallerResource(self.node), reactor)
         self.port = reactor.listenTCP(0, site, interface=_LOCAL)
         self.base = f'http://{address_of(self.port)}'
 
--- a/features/builders/placement.py
+++ b/features/builders/placement.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.internet.task import Clock
 
-from pollenstile.entry import built_node, place_engines
+from pollenstile.entry import build_node, add_placement
 from pollenstile.manifest import (
     Domain,
     Manifest,
@@ -311,7 +311,7 @@
         engines[name] = VirtualUpstream(clock, name, 'engine', slots, times)
     network = healthy_network(clock, engines)
     environment = {'POLLENSTILE_HOST': 'a', 'POLLENSTILE_DOMAIN': DOMAIN}
-    node = built_node(
+    node = build_node(
         clock,
         Random(1),
         settings_from(None, ENTRY, environment),
@@ -319,7 +319,7 @@
     )
     store = MemoryStore(clock)
     orders = MemoryOrders(clock, {})
-    place_engines(node, store, orders, succeed_at_once, clock.seconds)
+    add_placement(node, store, orders, succeed_at_once, clock.seconds)
     node.in_force.offer(1, text_from_manifest(_with_pipeline(manifest)), 'test')
     return node, engines
 
--- a/pollenstile/bench/fleetworld.py
+++ b/pollenstile/bench/fleetworld.py
@@ -13,7 +13,7 @@
 
 from twisted.internet.defer import Deferred, succeed
 
-from pollenstile.entry import built_fleet, built_node
+from pollenstile.entry import build_fleet, build_node
 from pollenstile.fleet import CONFIG_KIND, CONFIG_NAME
 from pollenstile.manifest import (
     Domain,
@@ -219,8 +219,8 @@
         random = Random(f'{name}/{self.starts}/{self.random.random()}')
         settings = self._settings(host, self.key if key is None else key)
         log = host.log if self.keep_events else silent_log
-        host.node = built_node(self.clock, random, settings, None, log=log)
-        host.fleet = built_fleet(
+        host.node = build_node(self.clock, random, settings, None, log=log)
+        host.fleet = build_fleet(
             host.node,
             settings,
             self.wires.connect_from(address),
--- a/pollenstile/claims/_log.py
+++ b/pollenstile/claims/_log.py
@@ -145,7 +145,7 @@
             self.submit(release_of(pending.record))
         pending.settle(Unreached(reason))
 
-    def flushed(self):
+    def flush_records(self):
         """Return a Deferred that fires after one try to write all."""
         self._work()
         if not self.working:
--- a/pollenstile/ops/_admin.py
+++ b/pollenstile/ops/_admin.py
@@ -8,7 +8,7 @@
 _OK = 200
 
 
-def admin_at(reactor, address):
+def admin_reader(reactor, address):
     """Return a function that reads a path of an admin face.
 
     Explanation
--- a/pollenstile/ops/_applycmd.py
+++ b/pollenstile/ops/_applycmd.py
@@ -21,8 +21,8 @@
     manifest_diff,
     manifest_from_text,
 )
-from pollenstile.ops._admin import admin_at, first_answer
-from pollenstile.ops._statuscmd import entries_from
+from pollenstile.ops._admin import admin_reader, first_answer
+from pollenstile.ops._statuscmd import parse_entries
 from pollenstile.ops._stores import store_at
 from pollenstile.ops._validatecmd import text_of_file
 from pollenstile.ops.exits import BAD_INPUT, BAD_RESULT, GOOD, UNREACHED
@@ -82,7 +82,7 @@
     store = store_at(reactor, platform)
     entries = ()
     if arguments.wait:
-        entries = entries_from(arguments.entry)
+        entries = parse_entries(arguments.entry)
     return result_of(
         reactor,
         lambda: _run(
@@ -105,7 +105,7 @@
     code = _told(outcome, arguments.reviewed_against)
     if code != GOOD or not arguments.wait:
         return code
-    readers = [admin_at(reactor, entry) for entry in entries]
+    readers = [admin_reader(reactor, entry) for entry in entries]
     return await _waited(reactor, readers, outcome.version, arguments.wait)
 
 
--- a/pollenstile/ops/_democmd.py
+++ b/pollenstile/ops/_democmd.py
@@ -11,7 +11,7 @@
 from pollenstile.manifest import manifest_from_text, text_from_manifest
 from pollenstile.ops._entrycmd import built_daemon
 from pollenstile.ops._validatecmd import text_of_file
-from pollenstile.ops.client import caller_for
+from pollenstile.ops.client import pipeline_client
 from pollenstile.ops.exits import BAD_INPUT, BAD_RESULT, GOOD
 from pollenstile.ops.logs import configure_logs
 from pollenstile.ops.running import result_of
@@ -68,7 +68,7 @@
         total=arguments.total,
     )
     rng = random.Random(_SEED)
-    await run_load(reactor, rng, caller_for(reactor), load)
+    await run_load(reactor, rng, pipeline_client(reactor), load)
     return load
 
 
--- a/pollenstile/ops/_quarantinecmd.py
+++ b/pollenstile/ops/_quarantinecmd.py
@@ -66,7 +66,9 @@
     store = store_at(reactor, parsed('--platform', address, arguments.platform))
     if arguments.lift:
         name = parsed('--lift', identifier, arguments.lift)
-        return _lifted(name, result_of(reactor, lambda: lifted(store, name)))
+        return _lifted(
+            name, result_of(reactor, lambda: lift_quarantine(store, name))
+        )
     listing = result_of(reactor, lambda: list_all(store, QUARANTINE_KIND))
     if not isinstance(listing, Listing):
         sys.stderr.write(f'{_NAME}: the store does not answer; try again\n')
@@ -125,7 +127,7 @@
     return lines
 
 
-async def lifted(store, name):
+async def lift_quarantine(store, name):
     """Delete an entry; return ``Absent`` where there is none.
 
     Returns
--- a/pollenstile/soak/_hosts.py
+++ b/pollenstile/soak/_hosts.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.defer import Deferred
 
-from pollenstile.entry import built_fleet, built_node
+from pollenstile.entry import build_fleet, build_node
 from pollenstile.ops.settings import ENTRY, settings_from
 from pollenstile.platform import Budget, PacedStore
 from pollenstile.soak._gates import GatedHub, GatedStore, gated_connect
@@ -88,7 +88,7 @@
         self.gates = []
         settings = _settings(name, domain)
         store = self._store()
-        self.node = built_node(
+        self.node = build_node(
             self.process,
             world.rng,
             settings,
@@ -97,7 +97,7 @@
             log=self._log,
         )
         self.node.in_force.listeners.append(self._in_force)
-        self.fleet = built_fleet(
+        self.fleet = build_fleet(
             self.node,
             settings,
             gated_connect(
--- a/pollenstile/standin/fleet.py
+++ b/pollenstile/standin/fleet.py
@@ -90,6 +90,6 @@
         work = _WORK_SECONDS[pool.kind] * scale
         server = PlainServer(reactor, name, work, slots)
         resource = PlainResource(server)
-    site = site_for(resource, reactor, most_body=_MAX_BODY_BYTES)
+    site = site_for(resource, reactor, max_body_bytes=_MAX_BODY_BYTES)
     port = reactor.listenTCP(port_number, site, interface=_LOOPBACK)
     return Standin(name, server, port)
