--- a/features/builders/livemutant.py
+++ b/features/builders/livemutant.py
@@ -22,7 +22,7 @@
 _MOST_SEEDS = 6
 
 
-def _repeats_all(route, outcome, sends, runs, *, resumed, may_repeat):
+def _retry_all(route, outcome, sends, runs, *, resumed, may_repeat):
     return (
         RetryDecision.RETRY
         if sends < 3 and not resumed
@@ -32,7 +32,7 @@
 
 def without_once():
     """Send a request again that may run once only."""
-    _run.decide_retry = _repeats_all
+    _run.decide_retry = _retry_all
 
 
 def without_new_configuration():
@@ -85,7 +85,7 @@
     return (sys.executable, '-m', 'features.builders.livemutant', guard)
 
 
-async def noticed(reactor, guard, seeds, seconds=8.0):
+async def find_violating_run(reactor, guard, seeds, seconds=8.0):
     """Return the first result that has broken promises, or None."""
     for seed in seeds:
         result = await run_live(
@@ -99,12 +99,14 @@
     return None
 
 
-def _hunt(guard):
+def _run_seeds(guard):
     from twisted.internet import reactor
 
     run_steadily(reactor)
     seeds = range(1, _MOST_SEEDS + 1)
-    result = result_of(reactor, lambda: noticed(reactor, guard, seeds))
+    result = result_of(
+        reactor, lambda: find_violating_run(reactor, guard, seeds)
+    )
     if result is None:
         sys.stdout.write(f'{guard}: not noticed in {_MOST_SEEDS} seeds\n')
         return 1
@@ -116,7 +118,7 @@
 if __name__ == '__main__':
     name, *rest = sys.argv[1:]
     if not rest:
-        sys.exit(_hunt(name))
+        sys.exit(_run_seeds(name))
     GUARDS[name]()
     sys.argv = ['pollenstile', *rest]
     sys.exit(main())
--- a/features/steps/soak_live_steps.py
+++ b/features/steps/soak_live_steps.py
@@ -14,7 +14,7 @@
 from behave import then, when
 
 
-def _ran(*words):
+def _run_module(*words):
     return subprocess.run(
         (sys.executable, '-m', *words),
         stdout=subprocess.PIPE,
@@ -27,12 +27,12 @@
 @when('live hosts are harmed for {seconds:d} seconds by seed {seed:d}')
 def when_harmed(context, seconds, seed):
     words = ('soak', '--live', '--seed', str(seed), '--seconds', str(seconds))
-    context.ran = _ran('pollenstile.ops', *words)
+    context.ran = _run_module('pollenstile.ops', *words)
 
 
 @when('live hosts without the guard "{guard}" are harmed')
 def when_unguarded(context, guard):
-    context.ran = _ran('features.builders.livemutant', guard)
+    context.ran = _run_module('features.builders.livemutant', guard)
 
 
 @then('no promise of the live hosts was broken')
--- a/pollenstile/soak/__init__.py
+++ b/pollenstile/soak/__init__.py
@@ -1,3 +1,3 @@
-"""Randomised runs of the real code in virtual time, with invariants."""
+"""Randomised fault tests of the real code in virtual time."""
 
 from pollenstile.soak._run import SoakResult, run_soak
--- a/pollenstile/soak/_callers.py
+++ b/pollenstile/soak/_callers.py
@@ -1,32 +1,38 @@
-"""Callers: they send, wait, give up and ask again elsewhere."""
+"""Simulated callers: they send requests, time out and retry at other hosts."""
 
 from twisted.internet.defer import Deferred
 
 from pollenstile import pipeline
 from pollenstile.soak._manifest import NON_IDEMPOTENT, TEAM
 
-_LATENCY = 0.001
-_MS = 1000
-# Longer than any deadline, and than most callers wait.
-_PATIENT = 2.8
-_IMPATIENT = 0.2
-_PATIENT_SHARE = 0.8
-_REPEAT_SHARE = 0.7
-_MOST_TRIES = 4
+_LATENCY_SECONDS = 0.001
+_MS_PER_SECOND = 1000
+# Longer than the deadline of any pipeline; most callers wait this long.
+_FULL_WAIT_SECONDS = 2.8
+_SHORTEST_WAIT_SECONDS = 0.2
+_FULL_WAIT_SHARE = 0.8
+_RETRY_SHARE = 0.7
+_MAX_ATTEMPTS = 4
 
 
-class Ask:
-    """What one caller wants: a request and its repeats.
+class CallerRequest:
+    """One request of a caller with all its attempts.
 
     Parameters
     ==========
 
     number : int
-        Unique in the run.
+        Number of the request, unique in the run.
     name : str
-        The pipeline.
+        Name of the pipeline.
     key : str
         Idempotency key; empty for none.
+
+    Attributes
+    ==========
+
+    exchanges : list of Exchange
+        Attempts that were sent so far, in order.
     """
 
     __slots__ = ('exchanges', 'key', 'name', 'number')
@@ -39,12 +45,12 @@
 
     @property
     def content(self):
-        """The input, another one for each ask."""
+        """The input, which differs between requests."""
         return {'ask': self.number}
 
-    def may_repeat(self):
-        """Return whether asking again can do no harm."""
-        if len(self.exchanges) >= _MOST_TRIES:
+    def may_retry(self):
+        """Return whether the request may be sent again safely."""
+        if len(self.exchanges) >= _MAX_ATTEMPTS:
             return False
         if self.name not in NON_IDEMPOTENT:
             return True
@@ -52,27 +58,29 @@
 
 
 class Exchange:
-    """One try of an ask at one host.
+    """One attempt of a caller's request at one host.
 
     Attributes
     ==========
 
     request : Request or None
-        As accepted; None when the host refused or was not reached.
+        The accepted request; None when the host refused or was not reached.
+    running : Deferred or None
+        Execution of the request; None while the host has not accepted it.
     tokens : list of str
-        Passed on to the caller.
+        Tokens that were streamed to the caller.
     outcomes : list
-        Final outcomes that the host gave; there must be one.
-    ended : float
-        When the outcome was there, in seconds.
+        Final outcomes from the host; there must be exactly one.
+    ended_at : float
+        Time of the outcome, in seconds.
     closed : bool
-        Whether the caller has hung up or has its outcome.
+        Whether the caller has disconnected or received its outcome.
     """
 
     __slots__ = (
-        'ask',
+        'caller_request',
         'closed',
-        'ended',
+        'ended_at',
         'host',
         'outcomes',
         'request',
@@ -81,29 +89,38 @@
         'tokens',
     )
 
-    def __init__(self, ask, host):
-        self.ask = ask
+    def __init__(self, caller_request, host):
+        self.caller_request = caller_request
         self.host = host
         self.request = None
         self.running = None
         self.timer = None
         self.tokens = []
         self.outcomes = []
-        self.ended = 0.0
+        self.ended_at = 0.0
         self.closed = False
 
 
-def send(world, ask, host):
-    """Send an ask to a host."""
-    exchange = Exchange(ask, host)
-    ask.exchanges.append(exchange)
-    world.trace.note('ask', number=ask.number, name=ask.name, host=host.name)
-    patience = _PATIENT
-    if not world.chance(_PATIENT_SHARE):
-        patience = world.rng.uniform(_IMPATIENT, _PATIENT)
-    exchange.timer = world.clock.callLater(patience, _give_up, world, exchange)
+def send(world, caller_request, host):
+    """Send a caller's request to a host."""
+    exchange = Exchange(caller_request, host)
+    caller_request.exchanges.append(exchange)
+    world.trace.note(
+        'ask',
+        number=caller_request.number,
+        name=caller_request.name,
+        host=host.name,
+    )
+    wait_seconds = _FULL_WAIT_SECONDS
+    if not world.chance(_FULL_WAIT_SHARE):
+        wait_seconds = world.rng.uniform(
+            _SHORTEST_WAIT_SECONDS, _FULL_WAIT_SECONDS
+        )
+    exchange.timer = world.clock.callLater(
+        wait_seconds, _give_up, world, exchange
+    )
     world.clock.callLater(
-        _LATENCY,
+        _LATENCY_SECONDS,
         host.process.deliver,
         _accept,
         world,
@@ -118,17 +135,20 @@
         _respond(refusal, world, exchange)
         return
     exchange.host.exchanges.append(exchange)
-    ask = exchange.ask
+    caller_request = exchange.caller_request
     snapshot = node.in_force.snapshot
-    budget = snapshot.manifest.pipelines[ask.name].deadline_ms / _MS
+    budget = (
+        snapshot.manifest.pipelines[caller_request.name].deadline_ms
+        / _MS_PER_SECOND
+    )
     exchange.request = pipeline.Request(
         ident=node.next_ident(),
-        name=ask.name,
+        name=caller_request.name,
         snapshot=snapshot,
         team=TEAM,
-        content=ask.content,
+        content=caller_request.content,
         deadline=node.core.clock.seconds() + budget,
-        key=ask.key,
+        key=caller_request.key,
     )
     running = Deferred.fromCoroutine(
         pipeline.outcome_of(
@@ -140,20 +160,20 @@
     exchange.running = running
     node.track(running)
     running.addCallback(_respond, world, exchange)
-    running.addErrback(_crash, world, exchange)
+    running.addErrback(_record_crash, world, exchange)
 
 
 def _respond(outcome, world, exchange):
     if not exchange.host.process.alive:
         return
     exchange.outcomes.append(outcome)
-    exchange.ended = world.clock.seconds()
-    world.clock.callLater(_LATENCY, _arrive, world, exchange)
+    exchange.ended_at = world.clock.seconds()
+    world.clock.callLater(_LATENCY_SECONDS, _receive_outcome, world, exchange)
 
 
-def _crash(failure, world, exchange):
-    # The collector of unused objects closes the coroutines of a dead process
-    # in any order; what is left of them says nothing of the program.
+def _record_crash(failure, world, exchange):
+    # The garbage collector closes the coroutines of a dead process in any
+    # order, so errors from them don't indicate a fault of the program.
     if not exchange.host.process.alive:
         return
     world.records.violate(
@@ -164,26 +184,26 @@
     )
 
 
-def _arrive(world, exchange):
+def _receive_outcome(world, exchange):
     if exchange.closed:
         return
     exchange.closed = True
     exchange.timer.cancel()
     tag = exchange.outcomes[-1].tag
-    world.trace.note('outcome', number=exchange.ask.number, tag=tag)
+    world.trace.note('outcome', number=exchange.caller_request.number, tag=tag)
     if tag != 'answered':
-        _repeat(world, exchange.ask)
+        _retry(world, exchange.caller_request)
 
 
 def _give_up(world, exchange):
     exchange.closed = True
-    world.trace.note('gave-up', number=exchange.ask.number)
-    exchange.host.process.deliver(_hang_up, exchange)
-    _repeat(world, exchange.ask)
+    world.trace.note('gave-up', number=exchange.caller_request.number)
+    exchange.host.process.deliver(_cancel_request, exchange)
+    _retry(world, exchange.caller_request)
 
 
-def _hang_up(exchange):
-    # As the caller's face does: only idempotent work is stopped.
+def _cancel_request(exchange):
+    # Like the callers' frontend: only idempotent work is cancelled.
     running = exchange.running
     if running is None or exchange.outcomes:
         return
@@ -191,20 +211,20 @@
         running.cancel()
 
 
-def broken(world, exchange):
-    """Tell a caller that its connection broke."""
+def connection_lost(world, exchange):
+    """Close an exchange whose connection broke; the caller may retry."""
     if exchange.closed:
         return
     exchange.closed = True
     exchange.timer.cancel()
-    _repeat(world, exchange.ask)
+    _retry(world, exchange.caller_request)
 
 
-def _repeat(world, ask):
-    if ask.may_repeat() and world.chance(_REPEAT_SHARE):
+def _retry(world, caller_request):
+    if caller_request.may_retry() and world.chance(_RETRY_SHARE):
         delay = world.rng.uniform(0, 0.5)
-        world.clock.callLater(delay, _again, world, ask)
+        world.clock.callLater(delay, _resend, world, caller_request)
 
 
-def _again(world, ask):
-    send(world, ask, world.rng.choice(world.living()))
+def _resend(world, caller_request):
+    send(world, caller_request, world.rng.choice(world.balancer_targets()))
--- a/pollenstile/soak/_checks.py
+++ b/pollenstile/soak/_checks.py
@@ -1,4 +1,10 @@
-"""What must hold at the end of a run, over the records of its fakes."""
+"""Invariants that are checked at the end of a run.
+
+Explanation
+===========
+
+The checks use the records of the simulated callers, upstreams and store.
+"""
 
 from collections import Counter
 
@@ -6,18 +12,18 @@
 from pollenstile.standin.engine import token
 from pollenstile.upstream import wire
 
-# An outcome may be this late: the last timer of a request runs at its
-# deadline, give or take rounding.
-_LATE_SECONDS = 0.01
-_ONCE = 'book'
+# Tolerated lateness of an outcome: the last timer of a request runs at its
+# deadline, up to rounding.
+_DEADLINE_TOLERANCE_SECONDS = 0.01
+_NON_IDEMPOTENT_STAGE = 'book'
 
 
 def check_all(world):
-    """Look for violations of every invariant."""
+    """Check every invariant and record the violations."""
     runs = _runs_by_request(world)
     for exchange in world.exchanges():
         _check_exchange(world, exchange, runs)
-    _check_once(world, runs)
+    _check_single_runs(world, runs)
     _check_hosts(world)
 
 
@@ -34,7 +40,7 @@
     request = exchange.request
     if request is None:
         return
-    _check_count(world, exchange)
+    _check_outcome_count(world, exchange)
     if not exchange.outcomes:
         return
     outcome = exchange.outcomes[0]
@@ -46,9 +52,9 @@
     _check_deadline(world, exchange)
 
 
-def _check_count(world, exchange):
+def _check_outcome_count(world, exchange):
     count = len(exchange.outcomes)
-    # A host that died gives no outcome; a living one gives one.
+    # A killed host may give no outcome; a running one gives exactly one.
     least = 1 if exchange.host.process.alive else 0
     if not least <= count <= 1:
         ident = exchange.request.ident
@@ -56,7 +62,7 @@
 
 
 def _check_answer(world, exchange, outcome):
-    if outcome.output not in _right_outputs(exchange):
+    if outcome.output not in _expected_outputs(exchange):
         world.records.violate(
             'wrong-answer',
             exchange.request.ident,
@@ -64,12 +70,19 @@
         )
 
 
-def _right_outputs(exchange):
-    if exchange.ask.name in {'draft', 'answer'}:
-        return [_text(prompt) for prompt in _prompts(exchange)]
-    pool = 'desk' if exchange.ask.name in NON_IDEMPOTENT else 'encoders'
-    # A repeat gets the answer of the run that an earlier try has started.
-    idents = _idents(exchange.ask) if exchange.ask.key else ()
+def _expected_outputs(exchange):
+    if exchange.caller_request.name in {'draft', 'answer'}:
+        return [_generated_text(prompt) for prompt in _prompts(exchange)]
+    pool = (
+        'desk' if exchange.caller_request.name in NON_IDEMPOTENT else 'encoders'
+    )
+    # A retry with the same key may get the answer of the run that an earlier
+    # attempt started.
+    idents = (
+        _request_idents(exchange.caller_request)
+        if exchange.caller_request.key
+        else ()
+    )
     return [
         {'by': f'{pool}-{domain}', 'for': ident}
         for domain in DOMAINS
@@ -77,15 +90,17 @@
     ]
 
 
-def _idents(ask):
+def _request_idents(caller_request):
     return [
-        one.request.ident for one in ask.exchanges if one.request is not None
+        one.request.ident
+        for one in caller_request.exchanges
+        if one.request is not None
     ]
 
 
 def _prompts(exchange):
-    content = exchange.ask.content
-    if exchange.ask.name == 'draft':
+    content = exchange.caller_request.content
+    if exchange.caller_request.name == 'draft':
         return [wire.encode_json({'input': content, 'results': {}})]
     ident = exchange.request.ident
     prompts = []
@@ -96,64 +111,70 @@
     return prompts
 
 
-def _text(prompt, length=TOKENS):
+def _generated_text(prompt, length=TOKENS):
     return ''.join(token(prompt, offset) for offset in range(length))
 
 
 def _check_tokens(world, exchange):
-    passed = ''.join(exchange.tokens)
+    streamed_text = ''.join(exchange.tokens)
     outcome = exchange.outcomes[0]
     if outcome.tag == 'answered' and exchange.tokens:
-        whole = passed == outcome.output
+        is_consistent = streamed_text == outcome.output
     else:
-        texts = [_text(prompt) for prompt in _prompts(exchange)]
-        whole = any(text.startswith(passed) for text in texts)
-    if not whole:
-        world.records.violate('stream', exchange.request.ident, text=passed)
+        texts = [_generated_text(prompt) for prompt in _prompts(exchange)]
+        is_consistent = any(text.startswith(streamed_text) for text in texts)
+    if not is_consistent:
+        world.records.violate(
+            'stream', exchange.request.ident, text=streamed_text
+        )
 
 
 def _check_deadline(world, exchange):
-    late = exchange.ended - exchange.request.deadline
-    if late <= _LATE_SECONDS:
+    overrun_seconds = exchange.ended_at - exchange.request.deadline
+    if overrun_seconds <= _DEADLINE_TOLERANCE_SECONDS:
         return
-    # A frozen process can't answer; it must do so when it goes on.
-    for moment in exchange.host.process.froze:
-        if abs(exchange.ended - moment) <= _LATE_SECONDS:
+    # A frozen process can't answer; it must answer when it is resumed.
+    for moment in exchange.host.process.freeze_times:
+        if abs(exchange.ended_at - moment) <= _DEADLINE_TOLERANCE_SECONDS:
             return
-    world.records.violate('late', exchange.request.ident, seconds=late)
+    world.records.violate(
+        'late', exchange.request.ident, seconds=overrun_seconds
+    )
 
 
-def _check_once(world, runs):
+def _check_single_runs(world, runs):
     for ident, steps in runs.items():
-        if steps[_ONCE] > 1:
-            world.records.violate('ran-twice', ident, count=steps[_ONCE])
+        if steps[_NON_IDEMPOTENT_STAGE] > 1:
+            world.records.violate(
+                'ran-twice', ident, count=steps[_NON_IDEMPOTENT_STAGE]
+            )
     keys = Counter()
     for upstream in world.all_upstreams():
         keys.update(upstream.keys)
     for (key, step), count in keys.items():
-        if step == _ONCE and count > 1:
+        if step == _NON_IDEMPOTENT_STAGE and count > 1:
             world.records.violate('key-ran-twice', key, count=count)
 
 
 def _check_hosts(world):
-    newest = world.store.objects.found('config', 'manifest').version
+    newest_version = world.store.objects.found('config', 'manifest').version
     for host in world.all_hosts():
         if host.versions != sorted(set(host.versions)):
             world.records.violate('version-went-back', host.name)
     for host in world.hosts.values():
-        if host.node.in_force.version != newest:
+        if host.node.in_force.version != newest_version:
             world.records.violate('version-old', host.name)
         _check_idle(world, host)
 
 
 def _check_idle(world, host):
-    left = {
+    open_counts = {
         'ledger': len(host.core.ledger.open),
         'node': host.node.in_flight,
         'admission': host.core.admission.running,
     }
     for name, state in host.core.tracker.states.items():
-        left[name] = state.in_flight
-    for name, count in left.items():
+        open_counts[name] = state.in_flight
+    for name, count in open_counts.items():
         if count:
             world.records.violate('left-open', host.name, what=name)
--- a/pollenstile/soak/_clock.py
+++ b/pollenstile/soak/_clock.py
@@ -1,14 +1,15 @@
-"""Virtual time that stops at each event."""
+"""Virtual time that advances from timer to timer."""
 
 
 def advance_exactly(clock, seconds):
-    """Advance a clock so that each timer runs at its own time.
+    """Advance a clock so that each timer runs at its due time.
 
     Explanation
     ===========
 
-    ``Clock.advance`` moves to the end first and then runs all that is due,
-    so that what a timer starts would be late by the rest of the step.
+    ``Clock.advance`` first moves to the end and then runs all due timers, so
+    a timer that is started by another one would be late by the rest of the
+    step.
 
     Examples
     ========
--- a/pollenstile/soak/_faults.py
+++ b/pollenstile/soak/_faults.py
@@ -1,21 +1,21 @@
-"""The faults that a run throws in, each with its end."""
+"""Faults that a run injects; each schedules its own end."""
 
 from functools import partial
 
 from twisted.internet.defer import Deferred
 
-from pollenstile.soak._callers import broken
+from pollenstile.soak._callers import connection_lost
 from pollenstile.soak._hosts import address_of
-from pollenstile.soak._world import STORE_LATENCY
+from pollenstile.soak._world import STORE_LATENCY_SECONDS
 from pollenstile.standin.virtual import REFUSED, SILENT
 
-_MOST_SECONDS = 4.0
+_MAX_FAULT_SECONDS = 4.0
 _RESET_SHARE = 0.7
 _CUT_SHARE = 0.4
 _NO_PLATFORM_SHARE = 0.6
 
 
-def _later(world, least, most, function, *arguments):
+def _schedule(world, least, most, function, *arguments):
     world.clock.callLater(
         world.rng.uniform(least, most),
         function,
@@ -23,17 +23,17 @@
     )
 
 
-def _host(world):
+def _random_host(world):
     return world.hosts[world.rng.choice(list(world.hosts))]
 
 
-def _upstream(world):
+def _random_upstream(world):
     return world.upstreams[world.rng.choice(list(world.upstreams))]
 
 
 def kill_host(world):
-    """End a host's process; it starts again with a new boot identifier."""
-    host = _host(world)
+    """Kill a host's process; it restarts later with a new boot identifier."""
+    host = _random_host(world)
     if not host.process.alive:
         return
     reset = world.chance(_RESET_SHARE)
@@ -41,8 +41,8 @@
     host.kill(reset=reset)
     if reset:
         for exchange in host.exchanges:
-            broken(world, exchange)
-    _later(world, 0.3, _MOST_SECONDS, restart, world, host.name)
+            connection_lost(world, exchange)
+    _schedule(world, 0.3, _MAX_FAULT_SECONDS, restart, world, host.name)
 
 
 def restart(world, name):
@@ -53,23 +53,23 @@
 
 
 def drain_host(world):
-    """Let a host leave: it finishes what is in flight, then ends."""
-    host = _host(world)
+    """Shut a host down gracefully: requests in flight finish first."""
+    host = _random_host(world)
     if host.node.leaving or host.process.frozen or not host.process.alive:
         return
     world.trace.note('drain', host=host.name)
     host.node.leaving = True
     host.fleet.leave()
-    _later(world, 0, 0.1, host.process.deliver, _end_when_idle, world, host)
+    _schedule(world, 0, 0.1, host.process.deliver, _end_when_idle, world, host)
 
 
 def _end_when_idle(world, host):
     host.node.idle().addCallback(
-        lambda _: world.clock.callLater(0, _drained, world, host),
+        lambda _: world.clock.callLater(0, _end_drained_host, world, host),
     )
 
 
-def _drained(world, host):
+def _end_drained_host(world, host):
     if not host.process.alive:
         return
     for exchange in host.exchanges:
@@ -77,113 +77,113 @@
             world.records.violate('cut-by-shutdown', exchange.request.ident)
     world.trace.note('drained', host=host.name)
     host.kill(reset=True)
-    _later(world, 0.3, _MOST_SECONDS, restart, world, host.name)
+    _schedule(world, 0.3, _MAX_FAULT_SECONDS, restart, world, host.name)
 
 
 def freeze_host(world):
-    """Stop a host's process for a while."""
-    host = _host(world)
+    """Suspend a host's process for a random time."""
+    host = _random_host(world)
     if host.process.frozen or not host.process.alive:
         return
     world.trace.note('freeze', host=host.name)
     host.process.freeze()
-    _later(world, 0.1, _MOST_SECONDS, thaw, world, host)
+    _schedule(world, 0.1, _MAX_FAULT_SECONDS, thaw, world, host)
 
 
 def thaw(world, host):
-    """Let a frozen process go on."""
+    """Resume a frozen process."""
     if host.process.alive and host.process.frozen:
         world.trace.note('thaw', host=host.name)
         host.process.thaw()
 
 
 def cut_links(world):
-    """Cut a host off from some upstreams, silently or with refusals."""
+    """Cut a host off from some upstreams: calls time out or are refused."""
     host = world.rng.choice(list(world.hosts))
     state = world.rng.choice((SILENT, SILENT, REFUSED))
     for name in world.upstreams:
         if world.chance(_CUT_SHARE):
             world.links.cut[host, name] = state
     world.trace.note('cut', host=host, state=state)
-    _later(world, 0.2, _MOST_SECONDS, heal_links, world, host)
+    _schedule(world, 0.2, _MAX_FAULT_SECONDS, heal_links, world, host)
 
 
 def heal_links(world, host):
-    """Make a host's links work again."""
+    """Restore a host's links to all upstreams."""
     world.trace.note('heal', host=host)
     for name in world.upstreams:
         world.links.cut.pop((host, name), None)
 
 
-def part_hosts(world):
-    """Cut the links between hosts, and those of one to the platform."""
+def partition_host(world):
+    """Cut a host off from the other hosts and perhaps from the platform."""
     one = world.rng.choice(list(world.hosts))
     for other in world.hosts:
         if other != one:
             pair = frozenset((address_of(one), address_of(other)))
-            world.links.parted.add(pair)
+            world.links.partitioned.add(pair)
     if world.chance(_NO_PLATFORM_SHARE):
         world.links.no_platform.add(one)
     world.trace.note('part', host=one)
-    _later(world, 0.5, 2 * _MOST_SECONDS, join_hosts, world)
+    _schedule(world, 0.5, 2 * _MAX_FAULT_SECONDS, heal_partitions, world)
 
 
-def join_hosts(world):
-    """Let hosts reach each other and the platform again."""
+def heal_partitions(world):
+    """Restore all links between hosts and to the platform."""
     world.trace.note('join')
-    world.links.parted.clear()
+    world.links.partitioned.clear()
     world.links.no_platform.clear()
 
 
-def send_astray(world):
-    """Let messages get lost, doubled, late, swapped for a while."""
+def disturb_messages(world):
+    """Lose, duplicate, delay or reorder messages for a random time."""
     world.trace.note('astray-on')
-    world.links.astray = world.rng.uniform(0.05, 0.3)
-    _later(world, 0.5, 3.0, setattr, world.links, 'astray', 0.0)
+    world.links.disturbed_share = world.rng.uniform(0.05, 0.3)
+    _schedule(world, 0.5, 3.0, setattr, world.links, 'disturbed_share', 0.0)
 
 
 def _set_fault(name, value, neutral):
     def fault(world):
-        upstream = _upstream(world)
+        upstream = _random_upstream(world)
         world.trace.note('fault', upstream=upstream.name, fault=name)
         setattr(upstream.faults, name, value)
-        _later(world, 0.2, 3.0, setattr, upstream.faults, name, neutral)
+        _schedule(world, 0.2, 3.0, setattr, upstream.faults, name, neutral)
 
     return fault
 
 
 def replace_upstream(world):
-    """End an upstream in the middle of its work; a new one starts."""
-    upstream = _upstream(world)
+    """Kill an upstream with calls in progress; a new incarnation follows."""
+    upstream = _random_upstream(world)
     world.trace.note('upstream-dies', upstream=upstream.name)
-    _vanish(world, upstream)
-    _later(world, 0.2, 3.0, _come_back, world, upstream)
+    _cut_off_upstream(world, upstream)
+    _schedule(world, 0.2, 3.0, _start_replacement, world, upstream)
 
 
 def leave_upstream(world):
-    """Let an upstream say that it leaves, then go."""
-    upstream = _upstream(world)
+    """Let an upstream report that it is leaving, and end it later."""
+    upstream = _random_upstream(world)
     if upstream.faults.leaving:
         return
     world.trace.note('leaving', upstream=upstream.name)
     upstream.faults.leaving = True
-    world.records.leaving[upstream.name] = world.clock.seconds()
-    _later(world, 5, 8, _gone, world, upstream)
+    world.records.leaving_since[upstream.name] = world.clock.seconds()
+    _schedule(world, 5, 8, _end_left_upstream, world, upstream)
 
 
-def _gone(world, upstream):
+def _end_left_upstream(world, upstream):
     if world.upstreams[upstream.name] is upstream:
-        _vanish(world, upstream)
-        _later(world, 0.2, 3.0, _come_back, world, upstream)
+        _cut_off_upstream(world, upstream)
+        _schedule(world, 0.2, 3.0, _start_replacement, world, upstream)
 
 
-def _vanish(world, upstream):
+def _cut_off_upstream(world, upstream):
     upstream.faults.frozen = True
     for host in world.hosts:
         world.links.cut[host, upstream.name] = REFUSED
 
 
-def _come_back(world, upstream):
+def _start_replacement(world, upstream):
     for host in world.hosts:
         world.links.cut.pop((host, upstream.name), None)
     if world.upstreams[upstream.name] is upstream:
@@ -192,52 +192,54 @@
 
 
 def store_down(world):
-    """Take the platform's store away for a while."""
+    """Make the platform's store unavailable for a random time."""
     world.trace.note('store-down')
     world.store.down = True
-    _later(world, 0.2, _MOST_SECONDS, setattr, world.store, 'down', False)
+    _schedule(
+        world, 0.2, _MAX_FAULT_SECONDS, setattr, world.store, 'down', False
+    )
 
 
 def store_slow(world):
-    """Slow the store down for a while."""
+    """Increase the store's latency for a random time."""
     world.trace.note('store-slow')
     world.store.latency = world.rng.uniform(0.2, 3.0)
-    _later(
+    _schedule(
         world,
         0.2,
         2.0,
         setattr,
         world.store,
         'latency',
-        STORE_LATENCY,
+        STORE_LATENCY_SECONDS,
     )
 
 
 def lose_answers(world):
-    """Lose the answers of some writes, or the writes."""
+    """Lose the next few answers and requests of store calls."""
     world.trace.note('store-loses')
     world.store.lose_answers += world.rng.randint(0, 3)
     world.store.lose_requests += world.rng.randint(0, 2)
 
 
 def change_configuration(world):
-    """Let an operator apply another configuration."""
+    """Apply the next revision of the configuration, as an operator does."""
     world.trace.note('apply', revision=world.revision + 1)
-    Deferred.fromCoroutine(world.apply())
+    Deferred.fromCoroutine(world.apply_configuration())
 
 
-def tell_old_news(world):
-    """Offer a host a configuration that another one had, maybe long ago."""
-    source = _host(world)
+def offer_old_configuration(world):
+    """Offer a host another host's configuration, possibly an outdated one."""
+    source = _random_host(world)
     force = source.node.in_force
-    host = _host(world)
+    host = _random_host(world)
     world.trace.note('old-news', source=source.name, host=host.name)
     if force.snapshot is None:
         return
-    _later(
+    _schedule(
         world,
         0,
-        _MOST_SECONDS,
+        _MAX_FAULT_SECONDS,
         host.process.deliver,
         partial(host.node.in_force.offer, force.version, force.text, 'peer'),
     )
@@ -248,9 +250,9 @@
     drain_host,
     freeze_host,
     cut_links,
-    part_hosts,
-    send_astray,
-    send_astray,
+    partition_host,
+    disturb_messages,
+    disturb_messages,
     _set_fault('slow', 10.0, 1.0),
     _set_fault('slow', 3.0, 1.0),
     _set_fault('frozen', True, False),
@@ -264,18 +266,18 @@
     lose_answers,
     change_configuration,
     change_configuration,
-    tell_old_news,
+    offer_old_configuration,
 )
 
 
 def heal_all(world):
-    """End every fault, so that what is open can end."""
+    """End every fault, so that open requests can complete."""
     world.trace.note('heal-all')
     world.links.cut.clear()
-    join_hosts(world)
-    world.links.astray = 0.0
+    heal_partitions(world)
+    world.links.disturbed_share = 0.0
     world.store.down = False
-    world.store.latency = STORE_LATENCY
+    world.store.latency = STORE_LATENCY_SECONDS
     world.store.lose_answers = 0
     world.store.lose_requests = 0
     for name in list(world.upstreams):
--- a/pollenstile/soak/_gates.py
+++ b/pollenstile/soak/_gates.py
@@ -1,18 +1,24 @@
-"""What reaches a process from outside: store answers and peers' bytes."""
+"""Delivery of store answers and peer messages to a simulated process."""
 
 from twisted.internet.defer import Deferred
 
 
 class GatedStore:
-    """The store as one process reaches it.
+    """Store client of one process.
+
+    Explanation
+    ===========
+
+    Answers are delivered through the process, so they wait while it is frozen
+    and are dropped when it was killed.
 
     Parameters
     ==========
 
     store : Store
-        The platform's.
+        The platform's store.
     process : Process
-        Whose calls these are; answers reach it only while it runs.
+        The process that makes the calls.
     """
 
     __slots__ = ('process', 'store')
@@ -56,15 +62,15 @@
 
 
 class PeerGate:
-    """One connection to a peer, as a process hears it.
+    """One connection to a peer, whose events are delivered to a process.
 
     Parameters
     ==========
 
     process : Process
-        Takes what arrives.
+        The process that receives the events.
     receiver : object or None
-        The hub's end; made later for a connection that a peer opens.
+        The hub's receiver; set later for a connection that a peer opens.
     """
 
     __slots__ = ('process', 'receiver', 'wire')
@@ -75,20 +81,20 @@
         self.wire = None
 
     def opened(self, wire):
-        """Hand over that the connection is open."""
+        """Deliver the event that the connection is open."""
         self.wire = wire
         self.process.deliver(self.receiver.opened, wire)
 
     def received(self, content):
-        """Hand over bytes."""
+        """Deliver received bytes."""
         self.process.deliver(self._received, content)
 
     def lost(self):
-        """Hand over that the connection is gone."""
+        """Deliver the event that the connection is lost."""
         self.process.deliver(self._lost)
 
     def accept(self, hub, origin):
-        """Let the hub take a connection that a peer opened."""
+        """Pass a connection that a peer opened to the hub."""
         self.receiver = hub.accept(self.wire, origin)
 
     def _received(self, content):
@@ -99,17 +105,17 @@
 
 
 class GatedHub:
-    """A hub as the virtual connections see it.
+    """A hub as a target of virtual connections.
 
     Parameters
     ==========
 
     process : Process
-        The hub's.
+        The process that the hub runs in.
     hub : Hub
-        Real.
+        The real hub.
     gates : list of PeerGate
-        Gets each connection.
+        Receives the gate of each connection.
     """
 
     __slots__ = ('gates', 'hub', 'process')
@@ -121,7 +127,7 @@
 
     @property
     def stopped(self):
-        """Whether nobody listens there."""
+        """Whether the hub accepts no connections."""
         return not self.process.alive or self.hub.stopped
 
     def accept(self, wire, origin):
@@ -134,11 +140,11 @@
 
 
 def gated_connect(connect, process, gates):
-    """Return a hub's ``connect`` whose connections go through gates."""
+    """Return a ``connect`` function whose connections use peer gates."""
 
-    def connect_gated(address, receiver):
+    def connect_through_gate(address, receiver):
         gate = PeerGate(process, receiver)
         gates.append(gate)
         connect(address, gate)
 
-    return connect_gated
+    return connect_through_gate
--- a/pollenstile/soak/_hosts.py
+++ b/pollenstile/soak/_hosts.py
@@ -1,4 +1,4 @@
-"""Entry hosts of a soak: the real node in a process that can die."""
+"""Entry hosts of a soak: real nodes in simulated processes."""
 
 from functools import partial
 
@@ -9,17 +9,17 @@
 from pollenstile.platform import Budget, PacedStore
 from pollenstile.soak._gates import GatedHub, GatedStore, gated_connect
 from pollenstile.soak._process import Process
-from pollenstile.soak._wire import Wire
+from pollenstile.soak._channel import FaultyChannel
 from pollenstile.standin.reach import ReachedStore
 from pollenstile.standin.virtual import UP
 from pollenstile.upstream import Chunk, Reply
 
 
-_STORE_RATE = 200.0
-_POLL = 0.002
-_POLL_TIMEOUT = 1.0
+_STORE_CALLS_PER_SECOND = 200.0
+_POLL_SECONDS = 0.002
+_POLL_TIMEOUT_SECONDS = 1.0
 _PEER_KEY = 'shared'
-# Peer addresses by host; seeds are known from the start.
+# Peer addresses by host; every host is configured with all of them.
 _ADDRESSES = {
     'n1': '10.0.0.1:82',
     'n2': '10.0.0.2:82',
@@ -29,7 +29,7 @@
 
 
 def address_of(name):
-    """Return a host's address for peers."""
+    """Return a host's peer address."""
     return _ADDRESSES[name]
 
 
@@ -48,20 +48,21 @@
 
 
 class Host:
-    """One start of an entry host.
+    """One run of an entry host, from its start to its end.
 
     Attributes
     ==========
 
     exchanges : list of Exchange
-        What callers sent to it. They are kept after its death, so that the
-        collector of unused objects does not wake its coroutines.
+        Exchanges with callers. They are kept after the host is killed, so
+        that the garbage collector does not resume its coroutines.
     calls : dict
-        Attempt to the cancel function of each call it has open.
-    told_leaving : dict
-        Upstream to the incarnation that told this host it leaves.
+        Cancel function of each open call, by attempt.
+    leaving_incarnations : dict
+        Incarnation that reported to this host that it is leaving, by
+        upstream.
     versions : list of int
-        Configurations that were in force, in order.
+        Versions of the configurations that were in force, in order.
     """
 
     __slots__ = (
@@ -72,7 +73,7 @@
         'name',
         'node',
         'process',
-        'told_leaving',
+        'leaving_incarnations',
         'versions',
         'world',
     )
@@ -80,10 +81,10 @@
     def __init__(self, world, name, domain):
         self.world = world
         self.name = name
-        self.process = Process(world.clock, self._crashed)
+        self.process = Process(world.clock, self._on_crash)
         self.exchanges = []
         self.calls = {}
-        self.told_leaving = {}
+        self.leaving_incarnations = {}
         self.versions = []
         self.gates = []
         settings = _settings(name, domain)
@@ -96,7 +97,7 @@
             store=store,
             log=self._log,
         )
-        self.node.in_force.listeners.append(self._in_force)
+        self.node.in_force.listeners.append(self._on_configuration)
         self.fleet = built_fleet(
             self.node,
             settings,
@@ -117,30 +118,30 @@
 
     @property
     def core(self):
-        """What the host's requests share."""
+        """State that the host's requests share."""
         return self.node.core
 
     def kill(self, *, reset):
-        """Die.
+        """Kill the process.
 
         Parameters
         ==========
 
         reset : bool
-            Whether the other ends see their connections break; a machine
-            that loses power tells nobody.
+            Whether the connections are closed; when a machine loses power,
+            the other ends are not notified.
         """
         self.process.kill()
         if reset:
-            self._reset()
+            self._reset_connections()
         self.calls.clear()
 
-    def knows_leaving(self, upstream):
-        """Return whether the host was told that an upstream leaves."""
+    def has_leaving_report(self, upstream):
+        """Return whether an upstream reported to this host that it leaves."""
         now = self.world.upstreams[upstream].load().incarnation
-        return self.told_leaving.get(upstream) == now
+        return self.leaving_incarnations.get(upstream) == now
 
-    def _heard(self, name, call, sink, event):
+    def _on_event(self, name, call, sink, event):
         sink(event)
         if isinstance(event, Chunk):
             return
@@ -148,13 +149,13 @@
         if not waited or not isinstance(event, Reply):
             return
         if event.attempt == call.attempt and event.load.leaving:
-            self.told_leaving[name] = event.load.incarnation
+            self.leaving_incarnations[name] = event.load.incarnation
 
-    def _cut(self, attempt, cancel):
+    def _cancel_call(self, attempt, cancel):
         self.calls.pop(attempt, None)
         cancel()
 
-    def _reset(self):
+    def _reset_connections(self):
         for cancel in list(self.calls.values()):
             cancel()
         for gate in self.gates:
@@ -166,7 +167,11 @@
             self.world.store,
             lambda: self.name in self.world.links.no_platform,
         )
-        budget = Budget(_STORE_RATE, _STORE_RATE, self.process.seconds())
+        budget = Budget(
+            _STORE_CALLS_PER_SECOND,
+            _STORE_CALLS_PER_SECOND,
+            self.process.seconds(),
+        )
         return PacedStore(
             GatedStore(reached, self.process),
             self.process,
@@ -180,25 +185,27 @@
         upstream = self.world.upstreams[name]
         is_up = self.world.links.state(self.name, name) == UP
         if is_up and not upstream.faults.frozen:
-            self.process.callLater(_POLL, answer.callback, upstream.load())
+            self.process.callLater(
+                _POLL_SECONDS, answer.callback, upstream.load()
+            )
         else:
-            self.process.callLater(_POLL_TIMEOUT, answer.callback, None)
+            self.process.callLater(_POLL_TIMEOUT_SECONDS, answer.callback, None)
         return answer
 
     def _log(self, event, level='info', **fields):
         if self.process.alive:
             self.world.trace.note(event.name, host=self.name, **fields)
-            self.world.records.logged(self, event, fields)
+            self.world.records.check_event(self, event, fields)
 
-    def _crashed(self, error):
+    def _on_crash(self, error):
         self.world.records.violate('crashed', self.name, error=repr(error))
 
-    def _in_force(self, snapshot):
+    def _on_configuration(self, snapshot):
         self.versions.append(snapshot.version)
 
     def _transport(self):
-        raw = self.world.network.transport_from(self.name)
-        wire = Wire(
+        start_call = self.world.network.transport_from(self.name)
+        channel = FaultyChannel(
             self.world.links,
             self.world.rng,
             self.process,
@@ -208,15 +215,15 @@
         def start(name, upstream, call, sink):
             if not self.process.alive:
                 return _cancel_nothing
-            self.world.records.sent(self, name, call)
-            heard = partial(self._heard, name, call, sink)
-            through = wire.sink_for(call.attempt, heard)
-            cancel = raw(name, upstream, call, through)
+            self.world.records.check_call(self, name, call)
+            observe = partial(self._on_event, name, call, sink)
+            channel_sink = channel.sink_for(call.attempt, observe)
+            cancel = start_call(name, upstream, call, channel_sink)
             self.calls[call.attempt] = cancel
-            return partial(self._cut, call.attempt, cancel)
+            return partial(self._cancel_call, call.attempt, cancel)
 
         return start
 
 
 def _cancel_nothing():
-    """Cancel a call that was never sent."""
+    """Do nothing; cancel function of a call that was never sent."""
--- a/pollenstile/soak/_manifest.py
+++ b/pollenstile/soak/_manifest.py
@@ -1,4 +1,4 @@
-"""The small deployment that soaks run."""
+"""Manifest of the small deployment that soaks run."""
 
 from dataclasses import replace
 
@@ -16,23 +16,23 @@
 
 DOMAINS = ('north', 'south', 'west')
 TEAM = 'callers'
-# Last stages of these have side effects.
+# Pipelines whose last stage has side effects.
 NON_IDEMPOTENT = ('book', 'order')
 TOKENS = 8
 
 _TEAM_DIGEST = 'ab' * 32
-_SLOTS = 4
-_PORT = 9000
+_UPSTREAM_SLOTS = 4
+_FIRST_PORT = 9000
 
 
-def _pool(name, kind, place, **fields):
+def _pool(name, kind, position, **fields):
     upstreams = {}
     for number, domain in enumerate(DOMAINS):
-        port = _PORT + place * len(DOMAINS) + number
+        port = _FIRST_PORT + position * len(DOMAINS) + number
         upstreams[f'{name}-{domain}'] = Upstream(
             domain,
             f'127.0.0.1:{port}',
-            _SLOTS,
+            _UPSTREAM_SLOTS,
         )
     return Pool(kind, upstreams, **fields)
 
@@ -48,7 +48,7 @@
     )
 
 
-def _once():
+def _non_idempotent():
     return Stage('book', 'desk', idempotent=False, attempts=1, expect_ms=40)
 
 
@@ -60,13 +60,17 @@
         'draft': Pipeline(1500, teams, [_generate(attempts=3)]),
         'answer': Pipeline(2000, teams, [encode, lookup, _generate()]),
         'find': Pipeline(800, teams, [encode], urgency='urgent'),
-        'book': Pipeline(1000, teams, [_once()], 'urgent', idempotent=False),
-        'order': Pipeline(2500, teams, [encode, _once()], idempotent=False),
+        'book': Pipeline(
+            1000, teams, [_non_idempotent()], 'urgent', idempotent=False
+        ),
+        'order': Pipeline(
+            2500, teams, [encode, _non_idempotent()], idempotent=False
+        ),
     }
 
 
 def soak_manifest(revision=0):
-    """Return the manifest; each revision differs a little.
+    """Return the manifest; the deadline of one pipeline varies by revision.
 
     Examples
     ========
--- a/pollenstile/soak/_process.py
+++ b/pollenstile/soak/_process.py
@@ -1,74 +1,80 @@
-"""One operating system process in virtual time: it can freeze and die."""
+"""Simulated operating system process that can be suspended and killed."""
 
 
 class Timer:
-    """A delayed call of one process, as the reactor would return it."""
+    """A delayed call of one process, like the reactor's ``IDelayedCall``."""
 
-    __slots__ = ('base', 'due', 'process', 'work')
+    __slots__ = ('delayed_call', 'is_overdue', 'process', 'callback')
 
-    def __init__(self, process, delay, work):
+    def __init__(self, process, delay, callback):
         self.process = process
-        self.work = work
-        self.due = False
-        self.base = process.clock.callLater(delay, self.fire)
+        self.callback = callback
+        self.is_overdue = False
+        self.delayed_call = process.clock.callLater(delay, self.fire)
 
     def active(self):
         """Return whether it has neither run nor been cancelled."""
-        return self.due or self.base.active()
+        return self.is_overdue or self.delayed_call.active()
 
     def cancel(self):
-        """Call it off."""
-        # The collector of unused objects closes coroutines of dead
-        # processes, and their last blocks cancel timers that are gone.
-        if self.due or not self.process.alive:
-            self.due = False
+        """Cancel the call."""
+        # The garbage collector closes the coroutines of dead processes, and
+        # their ``finally`` blocks cancel timers that no longer exist.
+        if self.is_overdue or not self.process.alive:
+            self.is_overdue = False
             return
-        self.base.cancel()
+        self.delayed_call.cancel()
 
     def reset(self, delay):
-        """Run it so many seconds from now instead."""
+        """Reschedule the call to a number of seconds from now."""
         self.cancel()
-        self.base = self.process.clock.callLater(delay, self.fire)
+        self.delayed_call = self.process.clock.callLater(delay, self.fire)
 
     def getTime(self):
-        """Return when it runs, in seconds."""
-        return self.base.getTime()
+        """Return the time of the call, in seconds."""
+        return self.delayed_call.getTime()
 
     def fire(self):
-        """Run, or wait for the end of a freeze."""
+        """Run the call, or queue it while the process is frozen."""
         if not self.process.alive:
             return
         if self.process.frozen:
-            self.due = True
+            self.is_overdue = True
             self.process.timers.append(self)
             return
-        self.process.run(self.work)
+        self.process.run(self.callback)
 
-    def overdue(self):
-        """Run after a freeze, unless cancelled meanwhile."""
-        if self.due:
-            self.due = False
-            self.process.run(self.work)
+    def run_if_overdue(self):
+        """Run the call after a freeze, unless it was cancelled meanwhile."""
+        if self.is_overdue:
+            self.is_overdue = False
+            self.process.run(self.callback)
 
 
 class Process:
-    """What runs in one process: its timers, and messages to it.
+    """A process: runs timers and messages while it is alive and not frozen.
 
     Explanation
     ===========
 
-    A frozen process runs nothing. When it goes on, its overdue timers run
-    before it reads what arrived meanwhile, as in the reactor's loop. A dead
-    one never runs anything again.
+    A frozen process runs nothing. When it is resumed, its overdue timers run
+    before the messages that arrived meanwhile, as in the reactor's loop. A
+    killed process never runs anything again.
 
     Parameters
     ==========
 
     clock : twisted.internet.task.Clock
-        Virtual.
-    crashed : function or None
-        Takes an exception that a timer or a message raised; the process goes
-        on, as the reactor does. None raises it.
+        Virtual clock.
+    on_crash : function or None
+        Called with an exception that a timer or a message raised; the process
+        continues, as the reactor does. With None, the exception propagates.
+
+    Attributes
+    ==========
+
+    freeze_times : list of float
+        Times at which the process was frozen or resumed, in seconds.
 
     Examples
     ========
@@ -92,32 +98,32 @@
     __slots__ = (
         'alive',
         'clock',
-        'crashed',
-        'froze',
+        'on_crash',
+        'freeze_times',
         'frozen',
         'messages',
         'timers',
     )
 
-    def __init__(self, clock, crashed=None):
+    def __init__(self, clock, on_crash=None):
         self.clock = clock
-        self.crashed = crashed
+        self.on_crash = on_crash
         self.alive = True
         self.frozen = False
-        self.froze = []
+        self.freeze_times = []
         self.timers = []
         self.messages = []
 
     def seconds(self):
-        """Return the time; the same for all processes."""
+        """Return the current time, which all processes share."""
         return self.clock.seconds()
 
     def callLater(self, delay, function, *arguments, **keywords):
-        """Return a timer; as of ``IReactorTime``."""
+        """Schedule a call and return its timer, as ``IReactorTime`` does."""
         return Timer(self, delay, lambda: function(*arguments, **keywords))
 
     def deliver(self, function, *arguments):
-        """Hand a message to the process."""
+        """Handle a message now, after a freeze, or never once killed."""
         if not self.alive:
             return
         if self.frozen:
@@ -126,35 +132,35 @@
         self.run(function, *arguments)
 
     def run(self, function, *arguments):
-        """Call a function, and go on if it raises."""
-        if self.crashed is None:
+        """Call a function; pass an exception to ``on_crash`` if it is set."""
+        if self.on_crash is None:
             function(*arguments)
             return
         try:
             function(*arguments)
         except Exception as error:
-            self.crashed(error)
+            self.on_crash(error)
 
     def freeze(self):
-        """Stop running."""
+        """Suspend the process."""
         self.frozen = True
-        self.froze.append(self.seconds())
+        self.freeze_times.append(self.seconds())
 
     def thaw(self):
-        """Go on, late."""
+        """Resume the process: run overdue timers, then queued messages."""
         self.frozen = False
-        self.froze.append(self.seconds())
+        self.freeze_times.append(self.seconds())
         timers = self.timers
         self.timers = []
         for timer in timers:
-            timer.overdue()
+            timer.run_if_overdue()
         messages = self.messages
         self.messages = []
         for function, arguments in messages:
             self.deliver(function, *arguments)
 
     def kill(self):
-        """Never run again."""
+        """End the process; queued timers and messages are dropped."""
         self.alive = False
         self.timers.clear()
         self.messages.clear()
--- a/pollenstile/soak/_records.py
+++ b/pollenstile/soak/_records.py
@@ -1,14 +1,14 @@
-"""What a run saw, and the violations found while it goes on."""
+"""Records of a run, and violations detected while it is in progress."""
 
 from pollenstile.pipeline import events as pipeline_events
 from pollenstile.soak import events
 
-# An upstream that says it is leaving gets nothing new after this time.
-LEAVING_SECONDS = 3.0
+# Seconds after which an upstream that reports leaving gets no new calls.
+LEAVING_GRACE_SECONDS = 3.0
 
 
 class Violation:
-    """One thing that must never happen."""
+    """One violated invariant."""
 
     __slots__ = ('fields', 'name', 'subject')
 
@@ -22,41 +22,49 @@
 
 
 class Records:
-    """Notes of a run.
+    """Records of a run.
 
     Parameters
     ==========
 
     trace : Trace
-        Takes violations too.
+        Trace of the run, which also records violations.
     log : function
-        Writes events.
+        Log function for events.
 
     Attributes
     ==========
 
     finished : dict
-        Request identifier to how often it was finished.
-    leaving : dict
-        Upstream to when it began to say that it leaves.
+        How often each request was finished, by identifier.
+    leaving_since : dict
+        Time at which each leaving upstream began to report it.
     calm : bool
-        Whether nothing but leaving goes on, so that every host must know.
+        Whether there are no other faults, so that every host must have
+        detected that an upstream is leaving.
     violations : list of Violation
-        Found so far.
+        Violations found so far.
     """
 
-    __slots__ = ('calm', 'finished', 'leaving', 'log', 'trace', 'violations')
+    __slots__ = (
+        'calm',
+        'finished',
+        'leaving_since',
+        'log',
+        'trace',
+        'violations',
+    )
 
     def __init__(self, trace, log):
         self.trace = trace
         self.log = log
         self.finished = {}
-        self.leaving = {}
+        self.leaving_since = {}
         self.calm = False
         self.violations = []
 
     def violate(self, name, subject, /, **fields):
-        """Note a violation."""
+        """Record and log a violation."""
         self.violations.append(Violation(name, subject, fields))
         self.trace.note('VIOLATION', invariant=name, subject=subject, **fields)
         self.trace.mark()
@@ -68,8 +76,8 @@
             **fields,
         )
 
-    def logged(self, host, event, fields):
-        """Look at an event of a host."""
+    def check_event(self, host, event, fields):
+        """Check a log event of a host for violations."""
         if event is pipeline_events.INVARIANT_BROKEN:
             self.violate(fields['invariant'], fields['request'])
         if event is not pipeline_events.FINISHED:
@@ -79,16 +87,16 @@
         if self.finished[ident] > 1:
             self.violate('finished-twice', ident)
 
-    def sent(self, host, upstream, call):
-        """Look at a call that a host sends."""
-        since = self.leaving.get(upstream)
+    def check_call(self, host, upstream, call):
+        """Check that a call is not sent to a leaving upstream."""
+        since = self.leaving_since.get(upstream)
         if since is None:
             return
         now = host.process.seconds()
-        # A host that has just gone on after a freeze hears of it late.
-        if host.process.froze:
-            since = max(since, host.process.froze[-1])
-        if now - since <= LEAVING_SECONDS:
+        # A host that was frozen receives the report only after it resumes.
+        if host.process.freeze_times:
+            since = max(since, host.process.freeze_times[-1])
+        if now - since <= LEAVING_GRACE_SECONDS:
             return
-        if self.calm or host.knows_leaving(upstream):
+        if self.calm or host.has_leaving_report(upstream):
             self.violate('sent-to-leaving', call.attempt, peer=upstream)
--- a/pollenstile/soak/_run.py
+++ b/pollenstile/soak/_run.py
@@ -1,4 +1,4 @@
-"""One randomised run."""
+"""One randomised run in virtual time."""
 
 from dataclasses import dataclass
 
@@ -6,41 +6,41 @@
 
 from pollenstile.ops.logs import silent_log
 from pollenstile.soak import events
-from pollenstile.soak._callers import Ask, send
+from pollenstile.soak._callers import CallerRequest, send
 from pollenstile.soak._checks import check_all
 from pollenstile.soak._clock import advance_exactly
 from pollenstile.soak._faults import FAULTS, heal_all, leave_upstream
-from pollenstile.soak._records import LEAVING_SECONDS
+from pollenstile.soak._records import LEAVING_GRACE_SECONDS
 from pollenstile.soak._world import World
 
 _SETTLE_SECONDS = 2.0
 _DRAIN_SECONDS = 20.0
 _CALM_SECONDS = 1.5
-_LONGEST_STEP = 0.05
-_ASK_SHARE = 0.75
+_MAX_STEP_SECONDS = 0.05
+_REQUEST_SHARE = 0.75
 _FAULT_SHARE = 0.1
 _KEYED_SHARE = 0.7
-_TWIN_SHARE = 0.1
-_NAMES = ('draft', 'answer', 'find', 'book', 'order')
+_DUPLICATE_SHARE = 0.1
+_PIPELINES = ('draft', 'answer', 'find', 'book', 'order')
 
 
 @dataclass(slots=True, frozen=True)
 class SoakResult:
-    """What a run came to.
+    """Result of a run.
 
     Parameters
     ==========
 
     seed : int
-        Gives the same run again.
+        Seed of the run; the same seed reproduces it.
     digest : str
-        Of the whole trace.
+        Digest of the complete trace.
     events : int
-        Lines of the trace.
+        Number of lines of the trace.
     outcomes : dict
-        Tag to how many exchanges ended so.
+        Number of exchanges by the tag of their outcome.
     violations : tuple of str
-        Empty when every invariant held.
+        Violated invariants; empty when every invariant held.
     tail : tuple of str
         Last lines of the trace up to the first violation.
     """
@@ -60,11 +60,11 @@
     ==========
 
     seed : int
-        Of everything that is random.
+        Seed of the only random generator.
     steps : int
-        How many times something happens.
+        Number of steps; each may send a request or inject a fault.
     log : function
-        Writes events.
+        Log function for events.
 
     Returns
     =======
@@ -72,17 +72,17 @@
     SoakResult
     """
     world = World(seed, log)
-    Deferred.fromCoroutine(world.apply())
+    Deferred.fromCoroutine(world.apply_configuration())
     advance_exactly(world.clock, _SETTLE_SECONDS)
     for _ in range(steps):
         _step(world)
-        advance_exactly(world.clock, world.rng.uniform(0, _LONGEST_STEP))
+        advance_exactly(world.clock, world.rng.uniform(0, _MAX_STEP_SECONDS))
         if world.records.violations:
             break
-    _drain(world)
+    _finish_open_work(world)
     if not world.records.violations:
-        _leave_calmly(world)
-    _drain(world)
+        _leave_without_faults(world)
+    _finish_open_work(world)
     check_all(world)
     result = _result(world, seed)
     _end_processes(world)
@@ -90,27 +90,29 @@
 
 
 def _end_processes(world):
-    # What is left of a world is collected during the next one's run.
+    # The garbage collector frees this world during the next run; its
+    # processes must not do anything then.
     for host in world.hosts.values():
         host.process.kill()
 
 
-def _drain(world):
-    # Faults that were on their way when the first ended begin meanwhile.
+def _finish_open_work(world):
+    # Faults that were already scheduled may begin after the first pass.
     for _ in range(2):
         heal_all(world)
         advance_exactly(world.clock, _DRAIN_SECONDS)
 
 
-def _leave_calmly(world):
-    # No request goes out meanwhile, so that no reply can tell the hosts.
+def _leave_without_faults(world):
+    # No request is sent meanwhile, so no reply can report to the hosts that
+    # the upstream is leaving.
     world.records.calm = True
     leave_upstream(world)
-    advance_exactly(world.clock, LEAVING_SECONDS)
-    ends = world.clock.seconds() + _CALM_SECONDS
-    while world.clock.seconds() < ends:
-        _ask(world)
-        advance_exactly(world.clock, world.rng.uniform(0, _LONGEST_STEP))
+    advance_exactly(world.clock, LEAVING_GRACE_SECONDS)
+    end = world.clock.seconds() + _CALM_SECONDS
+    while world.clock.seconds() < end:
+        _send_new(world)
+        advance_exactly(world.clock, world.rng.uniform(0, _MAX_STEP_SECONDS))
     world.records.calm = False
 
 
@@ -119,23 +121,23 @@
     if chance < _FAULT_SHARE:
         world.rng.choice(FAULTS)(world)
         return
-    if chance < _FAULT_SHARE + _ASK_SHARE:
-        _ask(world)
+    if chance < _FAULT_SHARE + _REQUEST_SHARE:
+        _send_new(world)
 
 
-def _ask(world):
-    ask = _new_ask(world)
-    world.asks.append(ask)
-    send(world, ask, world.rng.choice(world.living()))
-    if ask.key and world.chance(_TWIN_SHARE):
-        # The caller's own client repeats at once, at any host.
-        send(world, ask, world.rng.choice(world.living()))
+def _send_new(world):
+    caller_request = _new_request(world)
+    world.caller_requests.append(caller_request)
+    send(world, caller_request, world.rng.choice(world.balancer_targets()))
+    if caller_request.key and world.chance(_DUPLICATE_SHARE):
+        # The caller's client library sends a duplicate at once, to any host.
+        send(world, caller_request, world.rng.choice(world.balancer_targets()))
 
 
-def _new_ask(world):
-    number = len(world.asks) + 1
+def _new_request(world):
+    number = len(world.caller_requests) + 1
     key = f'key-{number}' if world.chance(_KEYED_SHARE) else ''
-    return Ask(number, world.rng.choice(_NAMES), key)
+    return CallerRequest(number, world.rng.choice(_PIPELINES), key)
 
 
 def _result(world, seed):
@@ -152,5 +154,5 @@
         world.trace.lines,
         outcomes,
         violations,
-        world.trace.marked,
+        world.trace.marked_tail,
     )
--- a/pollenstile/soak/_trace.py
+++ b/pollenstile/soak/_trace.py
@@ -1,26 +1,28 @@
-"""The trace of a run: everything that happened, as a digest and a tail."""
+"""Trace of a run: a digest of all events and the last lines."""
 
 from collections import deque
 from hashlib import blake2b
 
-_TAIL = 60
+_TAIL_LINES = 60
 _DIGEST_BYTES = 8
 
 
 class Trace:
-    """Lines of a run, of which the last are kept.
+    """Digest of all lines of a run; only the last lines are kept.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        Stamps each line, in seconds.
+        Clock for the time stamp of each line.
 
     Attributes
     ==========
 
-    marked : tuple of str
-        The tail when it was marked.
+    marked_tail : tuple of str
+        Copy of the tail at the first call of :meth:`mark`.
+    tail : collections.deque
+        The last lines.
 
     Examples
     ========
@@ -36,14 +38,14 @@
     ['0.000000 call peer=a']
     """
 
-    __slots__ = ('clock', 'hashed', 'lines', 'marked', 'tail')
+    __slots__ = ('clock', 'hasher', 'lines', 'marked_tail', 'tail')
 
     def __init__(self, clock):
         self.clock = clock
-        self.hashed = blake2b(digest_size=_DIGEST_BYTES)
+        self.hasher = blake2b(digest_size=_DIGEST_BYTES)
         self.lines = 0
-        self.tail = deque(maxlen=_TAIL)
-        self.marked = ()
+        self.tail = deque(maxlen=_TAIL_LINES)
+        self.marked_tail = ()
 
     def note(self, kind, /, **fields):
         """Add a line."""
@@ -51,14 +53,14 @@
         for name, value in fields.items():
             parts.append(f'{name}={value}')
         line = ' '.join(parts)
-        self.hashed.update(line.encode())
+        self.hasher.update(line.encode())
         self.lines += 1
         self.tail.append(line)
 
     def mark(self):
-        """Keep the tail as it is now, unless one is kept already."""
-        self.marked = self.marked or tuple(self.tail)
+        """Keep a copy of the tail, unless one is kept already."""
+        self.marked_tail = self.marked_tail or tuple(self.tail)
 
     def digest(self):
         """Return the digest of all lines so far."""
-        return self.hashed.hexdigest()
+        return self.hasher.hexdigest()
--- a/pollenstile/soak/_world.py
+++ b/pollenstile/soak/_world.py
@@ -1,4 +1,4 @@
-"""Hosts, upstreams, store, links and callers of one run."""
+"""Simulated deployment of one run: hosts, upstreams, store and links."""
 
 import random
 
@@ -11,46 +11,46 @@
 from pollenstile.soak._manifest import soak_manifest
 from pollenstile.soak._records import Records
 from pollenstile.soak._trace import Trace
-from pollenstile.soak._wire import Links
+from pollenstile.soak._channel import Links
 from pollenstile.standin.objectapi import MemoryStore
 from pollenstile.standin.virtual import Times, VirtualNetwork, VirtualUpstream
 
-_HOSTS = {'n1': 'north', 'n2': 'north', 's1': 'south', 'w1': 'west'}
-_NEAR = 0.0005
-_FAR = 0.0015
-STORE_LATENCY = 0.004
-_WORK = {'stage': 0.02, 'service': 0.03, 'engine': 0.05}
-_GAP = 0.01
-_FIRST_BOOT = 1000.0
+_HOST_DOMAINS = {'n1': 'north', 'n2': 'north', 's1': 'south', 'w1': 'west'}
+_SAME_DOMAIN_LATENCY = 0.0005
+_OTHER_DOMAIN_LATENCY = 0.0015
+STORE_LATENCY_SECONDS = 0.004
+_CALL_SECONDS = {'stage': 0.02, 'service': 0.03, 'engine': 0.05}
+_TOKEN_GAP_SECONDS = 0.01
+_START_SECONDS = 1000.0
 
 
 class World:
-    """Everything in one run.
+    """State of one run.
 
     Parameters
     ==========
 
     seed : int
-        Of the run's only random generator.
+        Seed of the run's only random generator.
     log : function
-        Writes events.
+        Log function for events.
 
     Attributes
     ==========
 
     hosts : dict
-        Name to the :class:`Host` that runs, or ran last.
-    dead : list of Host
-        Earlier starts.
-    former : list of VirtualUpstream
+        The running or last :class:`Host` by name.
+    former_hosts : list of Host
+        Earlier runs of the hosts.
+    former_upstreams : list of VirtualUpstream
         Upstreams that were replaced.
     """
 
     __slots__ = (
-        'asks',
+        'caller_requests',
         'clock',
-        'dead',
-        'former',
+        'former_hosts',
+        'former_upstreams',
         'hosts',
         'links',
         'manifest',
@@ -66,25 +66,25 @@
 
     def __init__(self, seed, log):
         self.clock = Clock()
-        # Boot numbers come from the time of the start; 0 is none.
-        self.clock.advance(_FIRST_BOOT)
+        # Boot numbers are derived from the start time; 0 means none.
+        self.clock.advance(_START_SECONDS)
         self.rng = random.Random(seed)
         self.trace = Trace(self.clock)
         self.records = Records(self.trace, log)
         self.links = Links()
-        self.asks = []
-        self.dead = []
-        self.former = []
+        self.caller_requests = []
+        self.former_hosts = []
+        self.former_upstreams = []
         self.revision = 0
         self.manifest = soak_manifest()
         self.store = MemoryStore(self.clock)
-        self.store.latency = STORE_LATENCY
+        self.store.latency = STORE_LATENCY_SECONDS
         self.wires = VirtualWires(
             self.clock,
-            lambda one, other: _FAR,
-            self.links.is_parted,
+            lambda one, other: _OTHER_DOMAIN_LATENCY,
+            self.links.is_partitioned,
         )
-        self.upstreams = self._built_upstreams()
+        self.upstreams = self._build_upstreams()
         self.network = VirtualNetwork(
             self.clock,
             self.upstreams,
@@ -92,77 +92,85 @@
             self.links.state,
         )
         self.hosts = {}
-        for name in _HOSTS:
+        for name in _HOST_DOMAINS:
             self.start(name)
 
     def chance(self, share):
-        """Return whether something of a probability happens."""
+        """Return True with a given probability."""
         return self.rng.random() < share
 
     def exchanges(self):
-        """Return all that callers sent."""
-        return [one for ask in self.asks for one in ask.exchanges]
+        """Return the exchanges of all callers."""
+        return [
+            one
+            for caller_request in self.caller_requests
+            for one in caller_request.exchanges
+        ]
 
     def all_hosts(self):
-        """Return every start of every host."""
-        return [*self.dead, *self.hosts.values()]
+        """Return every run of every host."""
+        return [*self.former_hosts, *self.hosts.values()]
 
     def start(self, name):
         """Start a host that is not running."""
-        former = self.hosts.get(name)
-        if former is not None:
-            self.dead.append(former)
-        self.hosts[name] = Host(self, name, _HOSTS[name])
+        previous = self.hosts.get(name)
+        if previous is not None:
+            self.former_hosts.append(previous)
+        self.hosts[name] = Host(self, name, _HOST_DOMAINS[name])
 
-    def living(self):
-        """Return the hosts that a caller may be sent to.
+    def balancer_targets(self):
+        """Return the hosts that the load balancer may choose.
 
         Explanation
         ===========
 
-        The balancer learns late, so dead hosts are among them.
+        The balancer detects failures late, so killed hosts are included.
         """
         return list(self.hosts.values())
 
     def replace(self, name):
-        """Start an upstream anew: a new incarnation at the same address."""
+        """Start a new incarnation of an upstream at the same address."""
         old = self.upstreams[name]
-        self.former.append(old)
-        new = self._built_upstream(name, old.kind, old.slots.most)
-        number = sum(one.name == name for one in self.former)
+        self.former_upstreams.append(old)
+        new = self._build_upstream(name, old.kind, old.slots.most)
+        number = sum(one.name == name for one in self.former_upstreams)
         new.slots.incarnation = f'{name}-{number + 1}'
         self.upstreams[name] = new
-        self.records.leaving.pop(name, None)
+        self.records.leaving_since.pop(name, None)
 
     def all_upstreams(self):
-        """Return every upstream that ever was."""
-        return [*self.former, *self.upstreams.values()]
+        """Return all upstreams, including those that were replaced."""
+        return [*self.former_upstreams, *self.upstreams.values()]
 
-    def apply(self):
-        """Let an operator put another configuration."""
+    def apply_configuration(self):
+        """Write the next revision of the configuration to the store."""
         self.revision += 1
         text = text_from_manifest(soak_manifest(self.revision))
         return self.store.put(CONFIG_KIND, CONFIG_NAME, {'text': text})
 
-    def _built_upstreams(self):
+    def _build_upstreams(self):
         upstreams = {}
         for pool in self.manifest.pools.values():
             for name, upstream in pool.upstreams.items():
-                upstreams[name] = self._built_upstream(
+                upstreams[name] = self._build_upstream(
                     name,
                     pool.kind,
                     upstream.slots,
                 )
         return upstreams
 
-    def _built_upstream(self, name, kind, slots):
-        usual = _WORK[kind]
+    def _build_upstream(self, name, kind, slots):
+        usual = _CALL_SECONDS[kind]
         times = Times(
             lambda: usual * self.rng.uniform(0.5, 2.0),
-            lambda: _GAP * self.rng.uniform(0.5, 2.0),
+            lambda: _TOKEN_GAP_SECONDS * self.rng.uniform(0.5, 2.0),
         )
         return VirtualUpstream(self.clock, name, kind, slots, times)
 
     def _latency(self, host, upstream):
-        usual = _NEAR if upstream.endswith(_HOSTS[host]) else _FAR
+        usual = (
+            _SAME_DOMAIN_LATENCY
+            if upstream.endswith(_HOST_DOMAINS[host])
+            else _OTHER_DOMAIN_LATENCY
+        )
         return usual * self.rng.uniform(0.9, 1.5)
--- a/pollenstile/soak/live/_balancer.py
+++ b/pollenstile/soak/live/_balancer.py
@@ -4,11 +4,11 @@
 from twisted.internet.task import deferLater
 
 # Seconds between two questions to a host.
-_PERIOD = 0.25
+_POLL_SECONDS = 0.25
 _READY = b'HTTP/1.1 200'
 
 
-class _Question(Protocol):
+class _ReadinessProbe(Protocol):
     def connectionMade(self):
         """Ask; called by twisted."""
         self.answer = b''
@@ -22,9 +22,9 @@
             self.transport.abortConnection()
 
 
-class _Asking(ClientFactory):
+class _ProbeFactory(ClientFactory):
     noisy = False
-    protocol = _Question
+    protocol = _ReadinessProbe
 
     def __init__(self, host):
         self.host = host
@@ -34,14 +34,14 @@
         self.host.ready = False
 
 
-async def watch_ready(world):
+async def poll_readiness(world):
     """Ask all hosts until the run is over."""
-    while world.asking:
+    while world.is_sending:
         for host in world.hosts:
             if host.ready_address is None:
                 host.ready = False
                 continue
             world.reactor.connectTCP(
-                *host.ready_address, _Asking(host), timeout=1
+                *host.ready_address, _ProbeFactory(host), timeout=1
             )
-        await deferLater(world.reactor, _PERIOD)
+        await deferLater(world.reactor, _POLL_SECONDS)
--- a/pollenstile/soak/live/_callers.py
+++ b/pollenstile/soak/live/_callers.py
@@ -14,28 +14,33 @@
 from twisted.web.http_headers import Headers
 
 from pollenstile.ops.body import BytesProducer
-from pollenstile.soak.live._records import Asked
-from pollenstile.soak.live._servers import DEADLY, NAMES
+from pollenstile.soak.live._records import RequestRecord
+from pollenstile.soak.live._servers import CRASHING_PREFIX, NAMES
 
 # Seconds that callers wait, stated in the request.
-DEADLINES = {'find': 2.0, 'book': 2.0, 'draft': 4.0, 'digest': 4.0}
+DEADLINE_SECONDS = {'find': 2.0, 'book': 2.0, 'draft': 4.0, 'digest': 4.0}
 # Seconds beyond the deadline after which a caller gives its connection up.
-_MARGIN = 4.0
+_GIVE_UP_MARGIN_SECONDS = 4.0
 # Kinds of requests of which one ends each upstream that runs it, and seconds
 # between its repeats.
-DEADLY_KINDS = ('find', 'draft')
-_DEADLY_PAUSE = 0.25
+CRASHING_KINDS = ('find', 'draft')
+_CRASHING_PAUSE_SECONDS = 0.25
 # Seconds between a caller's requests, on average.
-_PAUSE = 0.06
+_MEAN_PAUSE_SECONDS = 0.06
 # Share of the requests that carry any key there ever was.
-_OLD_KEYS = 0.2
-_MS = 1000
-_LARGE = 3000
+_OLD_KEY_SHARE = 0.2
+_MS_PER_SECOND = 1000
+_BODY_BYTES = 3000
 # How a request ends whose connection brings no answer.
-_LOST = (TimeoutError, CancelledError, ResponseFailed, RequestNotSent)
+_CONNECTION_ERRORS = (
+    TimeoutError,
+    CancelledError,
+    ResponseFailed,
+    RequestNotSent,
+)
 
 
-class _Connecting(ClientFactory):
+class _ConnectionFactory(ClientFactory):
     noisy = False
 
     def __init__(self):
@@ -43,7 +48,7 @@
 
     def buildProtocol(self, address):
         """Return the connection; called by twisted."""
-        return _Kept(self.done)
+        return _PersistentConnection(self.done)
 
     def clientConnectionFailed(self, connector, reason):
         """Note that nobody listens; called by twisted."""
@@ -51,13 +56,13 @@
             self.done.callback(None)
 
 
-class _Kept(HTTP11ClientProtocol):
+class _PersistentConnection(HTTP11ClientProtocol):
     """A connection for one request after another."""
 
     def __init__(self, done):
         super().__init__()
         self.done = done
-        self.over = False
+        self.is_lost = False
 
     def connectionMade(self):
         """Begin; called by twisted."""
@@ -67,22 +72,22 @@
 
     def connectionLost(self, reason):
         """End; called by twisted."""
-        self.over = True
+        self.is_lost = True
         super().connectionLost(reason)
 
 
-class _Body(Protocol):
-    def __init__(self, asked):
-        self.asked = asked
+class _BodyCollector(Protocol):
+    def __init__(self, record):
+        self.record = record
         self.ended = Deferred()
 
     def dataReceived(self, data):
         """Keep bytes; called by twisted."""
-        self.asked.body += data
+        self.record.body += data
 
     def connectionLost(self, reason):
         """Note how the body ended; called by twisted."""
-        self.asked.whole = reason.check(ResponseDone) is not None
+        self.record.complete = reason.check(ResponseDone) is not None
         if not self.ended.called:
             self.ended.callback(None)
 
@@ -109,90 +114,98 @@
         """Ask until the run is over."""
         world = self.world
         count = 0
-        while world.asking:
-            pause = self.rng.expovariate(1 / _PAUSE)
+        while world.is_sending:
+            pause = self.rng.expovariate(1 / _MEAN_PAUSE_SECONDS)
             await deferLater(world.reactor, pause)
             count += 1
             ident = f'c{self.number}-{count}'
-            kind = self.rng.choice(tuple(DEADLINES))
-            await self._ask(ident, kind, ident, self._key())
+            kind = self.rng.choice(tuple(DEADLINE_SECONDS))
+            await self._send(ident, kind, ident, self._key())
         if self.connection is not None:
             self.connection.transport.abortConnection()
 
-    async def repeat_deadly(self, kind, seconds):
+    async def repeat_crashing(self, kind, seconds):
         """Ask all hosts again and again for what ends its upstream."""
         world = self.world
         ends = world.reactor.seconds() + seconds
-        content = f'{DEADLY}-{kind}'
+        content = f'{CRASHING_PREFIX}-{kind}'
         while world.reactor.seconds() < ends:
-            await deferLater(world.reactor, _DEADLY_PAUSE)
+            await deferLater(world.reactor, _CRASHING_PAUSE_SECONDS)
             self.number += 1
             ident = f'{content}-{self.number}'
-            await self._ask(ident, kind, content, world.keys[0])
+            await self._send(ident, kind, content, world.keys[0])
             if self.connection is not None:
                 self.connection.transport.abortConnection()
             self.connection = None
 
-    async def _ask(self, ident, kind, content, key):
+    async def _send(self, ident, kind, content, key):
         world = self.world
-        if self.connection is None or self.connection.over:
+        if self.connection is None or self.connection.is_lost:
             await self._connect()
         if self.connection is None:
             return
         now = world.reactor.seconds()
-        asked = Asked(
-            ident, kind, self.host.name, key, now, DEADLINES[kind], content
+        record = RequestRecord(
+            ident,
+            kind,
+            self.host.name,
+            key,
+            now,
+            DEADLINE_SECONDS[kind],
+            content,
         )
-        world.records.asked.append(asked)
-        await self._answered(asked)
-        asked.ended_at = world.reactor.seconds()
+        world.records.requests.append(record)
+        await self._await_answer(record)
+        record.ended_at = world.reactor.seconds()
 
     def _key(self):
         """Return a key; some go on with one that was taken away."""
         keys = self.world.keys
-        if self.rng.random() < _OLD_KEYS:
+        if self.rng.random() < _OLD_KEY_SHARE:
             keys = self.world.all_keys
         return self.rng.choice(keys)
 
     async def _connect(self):
         world = self.world
-        self.host = self.rng.choice(world.taking_hosts())
-        connecting = _Connecting()
+        self.host = self.rng.choice(world.accepting_hosts())
+        connecting = _ConnectionFactory()
         world.reactor.connectTCP(
             *self.host.callers.address, connecting, timeout=1
         )
         self.connection = await connecting.done
 
-    async def _answered(self, asked):
+    async def _await_answer(self, record):
         connection = self.connection
-        work = Deferred.fromCoroutine(self._exchange(connection, asked))
-        work.addTimeout(asked.deadline + _MARGIN, self.world.reactor)
+        work = Deferred.fromCoroutine(self._exchange(connection, record))
+        work.addTimeout(
+            record.deadline + _GIVE_UP_MARGIN_SECONDS, self.world.reactor
+        )
         try:
             await work
-        except _LOST:
+        except _CONNECTION_ERRORS:
             connection.transport.abortConnection()
             self.connection = None
 
-    async def _exchange(self, connection, asked):
-        response = await connection.request(_request(asked))
-        asked.status = response.code
-        body = _Body(asked)
+    async def _exchange(self, connection, record):
+        response = await connection.request(_request(record))
+        record.status = response.code
+        body = _BodyCollector(record)
         response.deliverBody(body)
         await body.ended
         if response.headers.getRawHeaders(b'connection') == [b'close']:
             self.connection = None
 
 
-def _request(asked):
+def _request(record):
     lines = Headers()
     lines.addRawHeader(b'host', b'shop')
-    lines.addRawHeader(NAMES.attempt, asked.ident.encode())
-    deadline = b'%d' % (asked.deadline * _MS)
+    lines.addRawHeader(NAMES.attempt, record.ident.encode())
+    deadline = b'%d' % (record.deadline * _MS_PER_SECOND)
     lines.addRawHeader(NAMES.deadline, deadline)
-    lines.addRawHeader(b'authorization', f'Bearer {asked.key}'.encode())
-    if asked.kind in {'draft', 'digest'}:
+    lines.addRawHeader(b'authorization', f'Bearer {record.key}'.encode())
+    if record.kind in {'draft', 'digest'}:
         lines.addRawHeader(NAMES.counts, b'2,3')
-        lines.addRawHeader(NAMES.stage_key, asked.ident.encode())
-    body = BytesProducer(b'x' * _LARGE)
-    target = f'/{asked.kind}/of/{asked.content}?q'.encode()
+        lines.addRawHeader(NAMES.stage_key, record.ident.encode())
+    body = BytesProducer(b'x' * _BODY_BYTES)
+    target = f'/{record.kind}/of/{record.content}?q'.encode()
     return Request(b'POST', target, lines, body, persistent=True)
--- a/pollenstile/soak/live/_hosts.py
+++ b/pollenstile/soak/live/_hosts.py
@@ -16,7 +16,7 @@
 GRACE_SECONDS = 5.0
 REVOKE_SECONDS = 3.0
 DRAIN_SECONDS = 2.0
-_MORE = 1.0
+_KILL_MARGIN_SECONDS = 1.0
 
 
 class LiveHost(ProcessProtocol):
@@ -57,10 +57,10 @@
         self.ready_address = None
         self.paused = False
         self.leaving = False
-        self.wanted = True
-        self.rest = b''
+        self.should_run = True
+        self.partial_line = b''
         self.ended = Deferred()
-        self.tail = []
+        self.output_tail = []
 
     def start(self):
         """Start the process."""
@@ -76,16 +76,16 @@
             'drain-seconds': str(DRAIN_SECONDS),
             'grace-seconds': str(GRACE_SECONDS),
         }
-        words = [*self.command, 'forward']
+        arguments = [*self.command, 'forward']
         for name, content in flags.items():
-            words.extend((f'--{name}', content))
+            arguments.extend((f'--{name}', content))
         self.ended = Deferred()
         self.ready = False
         self.paused = False
         self.leaving = False
-        self.rest = b''
+        self.partial_line = b''
         self.world.reactor.spawnProcess(
-            self, words[0], words, env=dict(os.environ)
+            self, arguments[0], arguments, env=dict(os.environ)
         )
 
     def kill(self):
@@ -97,7 +97,7 @@
         self._signal(signal.SIGSTOP)
         self.paused = True
 
-    def go_on(self):
+    def resume(self):
         """Let it go on."""
         self._signal(signal.SIGCONT)
         self.paused = False
@@ -110,16 +110,16 @@
         self.transport.signalProcess(signal.SIGTERM)
         pid = self.transport.pid
         self.world.reactor.callLater(
-            GRACE_SECONDS + _MORE, self._kill_late, pid
+            GRACE_SECONDS + _KILL_MARGIN_SECONDS, self._kill_if_running, pid
         )
 
     def is_running(self):
         """Return whether the process lives."""
         return self.transport is not None and self.transport.pid is not None
 
-    def end_for_good(self):
+    def end_permanently(self):
         """Kill it and start it no more; return a Deferred of its end."""
-        self.wanted = False
+        self.should_run = False
         if self.is_running():
             self.kill()
             return self.ended
@@ -129,20 +129,20 @@
 
     def outReceived(self, data):
         """Read its log; called by twisted."""
-        *lines, rest = (self.rest + data).split(b'\n')
-        self.rest = rest
+        *lines, partial_line = (self.partial_line + data).split(b'\n')
+        self.partial_line = partial_line
         for line in lines:
-            self._logged(line)
+            self._handle_log_line(line)
 
     def errReceived(self, data):
         """Keep what it says last; called by twisted."""
-        self.tail.append(data.decode(errors='replace'))
+        self.output_tail.append(data.decode(errors='replace'))
 
     def processEnded(self, reason):
         """Start it again; called by twisted."""
         expected = self.leaving or reason.value.signal == signal.SIGKILL
         if not expected:
-            last = ''.join(self.tail)[-600:]
+            last = ''.join(self.output_tail)[-600:]
             self.world.records.broken.append(
                 f'ended by itself: {self.name}: {reason.value}: {last}'
             )
@@ -152,28 +152,28 @@
         self.callers.reset()
         self.peers.reset()
         self.ended.callback(None)
-        if self.wanted:
+        if self.should_run:
             self.world.reactor.callLater(0.2, self._start_again)
 
     def _start_again(self):
-        if self.wanted:
+        if self.should_run:
             self.start()
 
     def _signal(self, number):
         if self.is_running():
             self.transport.signalProcess(number)
 
-    def _kill_late(self, pid):
+    def _kill_if_running(self, pid):
         if self.is_running() and self.transport.pid == pid:
             self.world.records.broken.append(f'not stopped: {self.name}')
             self.kill()
 
-    def _logged(self, line):
-        self.world.keep(line)
+    def _handle_log_line(self, line):
+        self.world.write_log_line(line)
         try:
             document = msgspec.json.decode(line)
         except msgspec.DecodeError:
-            self.tail.append(line.decode(errors='replace'))
+            self.output_tail.append(line.decode(errors='replace'))
             return
         event = document.get('event')
         if event == 'forward-started':
--- a/pollenstile/soak/live/_proxy.py
+++ b/pollenstile/soak/live/_proxy.py
@@ -7,27 +7,27 @@
 LOOPBACK = '127.0.0.1'
 
 
-class _Side(Protocol):
+class _ProxyEnd(Protocol):
     """One end of a proxied connection; hands its bytes to the other end."""
 
-    def __init__(self, pair, towards):
-        self.pair = pair
-        self.towards = towards
+    def __init__(self, connection, direction):
+        self.connection = connection
+        self.direction = direction
 
     def connectionMade(self):
         """Begin; called by twisted."""
-        self.pair.opened(self)
+        self.connection.opened(self)
 
     def dataReceived(self, data):
         """Take bytes; called by twisted."""
-        self.pair.carry(self.towards, data)
+        self.connection.forward(self.direction, data)
 
     def connectionLost(self, reason):
         """End; called by twisted."""
-        self.pair.ended(self)
+        self.connection.ended(self)
 
 
-class _Pair:
+class _ProxiedConnection:
     """One proxied connection.
 
     Attributes
@@ -46,13 +46,13 @@
 
     def __init__(self, proxy):
         self.proxy = proxy
-        self.caller = _Side(self, 'server')
+        self.caller = _ProxyEnd(self, 'server')
         self.server = None
         self.silent = False
-        self.over = False
-        self.early = []
+        self.is_closed = False
+        self.unsent = []
         self.held = []
-        self.late = {'server': deque(), 'caller': deque()}
+        self.delayed = {'server': deque(), 'caller': deque()}
         self.closing = False
 
     def opened(self, side):
@@ -60,54 +60,54 @@
         if side is self.caller:
             self.proxy.connect(self)
             return
-        early = self.early
-        self.early = []
-        for data in early:
+        unsent = self.unsent
+        self.unsent = []
+        for data in unsent:
             side.transport.write(data)
 
-    def carry(self, towards, data):
+    def forward(self, direction, data):
         """Carry bytes, as far as the faults of the link let them."""
-        if self.silent or self.over:
+        if self.silent or self.is_closed:
             return
-        if towards in self.proxy.cut:
-            self.held.append((towards, data))
+        if direction in self.proxy.blocked:
+            self.held.append((direction, data))
             return
-        if not (self.proxy.delay or self.late[towards]):
-            self._write(towards, data)
+        if not (self.proxy.delay or self.delayed[direction]):
+            self._write(direction, data)
             return
         # One queue a direction: bytes never overtake each other, also when
         # the delay ends.
-        self.late[towards].append(data)
+        self.delayed[direction].append(data)
         self.proxy.reactor.callLater(
-            self.proxy.delay, self._write_late, towards
+            self.proxy.delay, self._write_delayed, direction
         )
 
-    def _write_late(self, towards):
-        self._write(towards, self.late[towards].popleft())
-        if self.closing and not any(self.late.values()):
+    def _write_delayed(self, direction):
+        self._write(direction, self.delayed[direction].popleft())
+        if self.closing and not any(self.delayed.values()):
             self.close()
 
     def heal(self):
         """Deliver what a cut held back."""
         held = self.held
         self.held = []
-        for towards, data in held:
-            self.carry(towards, data)
+        for direction, data in held:
+            self.forward(direction, data)
 
     def ended(self, side):
         """Close the other end too, once its bytes are through."""
-        if self.over or self.silent or self.held:
+        if self.is_closed or self.silent or self.held:
             return
         self.closing = True
-        if not any(self.late.values()):
+        if not any(self.delayed.values()):
             self.close()
 
     def close(self, *, reset=False):
         """End both sides."""
-        if self.over:
+        if self.is_closed:
             return
-        self.over = True
-        self.proxy.pairs.discard(self)
+        self.is_closed = True
+        self.proxy.connections.discard(self)
         for side in (self.caller, self.server):
             if side is None or side.transport is None:
                 continue
@@ -116,12 +116,12 @@
             else:
                 side.transport.loseConnection()
 
-    def _write(self, towards, data):
-        if self.over or self.silent:
+    def _write(self, direction, data):
+        if self.is_closed or self.silent:
             return
-        side = self.server if towards == 'server' else self.caller
+        side = self.server if direction == 'server' else self.caller
         if side is None or side.transport is None:
-            self.early.append(data)
+            self.unsent.append(data)
             return
         side.transport.write(data)
 
@@ -129,17 +129,17 @@
 class _Connector(ClientFactory):
     noisy = False
 
-    def __init__(self, pair):
-        self.pair = pair
+    def __init__(self, connection):
+        self.connection = connection
 
     def buildProtocol(self, address):
         """Return the server's side; called by twisted."""
-        self.pair.server = _Side(self.pair, 'caller')
-        return self.pair.server
+        self.connection.server = _ProxyEnd(self.connection, 'caller')
+        return self.connection.server
 
     def clientConnectionFailed(self, connector, reason):
         """Refuse the caller as well; called by twisted."""
-        self.pair.close(reset=True)
+        self.connection.close(reset=True)
 
 
 class Proxy(Factory):
@@ -168,37 +168,37 @@
         self.reactor = reactor
         self.target = None
         self.delay = 0.0
-        self.cut = set()
-        self.pairs = set()
+        self.blocked = set()
+        self.connections = set()
         self.port = reactor.listenTCP(0, self, 512, LOOPBACK)
         self.address = (LOOPBACK, self.port.getHost().port)
 
     def buildProtocol(self, address):
         """Return the caller's side; called by twisted."""
-        pair = _Pair(self)
-        self.pairs.add(pair)
-        return pair.caller
+        connection = _ProxiedConnection(self)
+        self.connections.add(connection)
+        return connection.caller
 
-    def connect(self, pair):
+    def connect(self, connection):
         """Connect a new connection on."""
         if self.target is None:
-            pair.close(reset=True)
+            connection.close(reset=True)
             return
-        self.reactor.connectTCP(*self.target, _Connector(pair), timeout=2)
+        self.reactor.connectTCP(*self.target, _Connector(connection), timeout=2)
 
     def reset(self):
         """Reset all connections."""
-        for pair in list(self.pairs):
-            pair.close(reset=True)
+        for connection in list(self.connections):
+            connection.close(reset=True)
 
     def silence(self):
         """Let all connections there are go silent for good."""
-        for pair in list(self.pairs):
-            pair.silent = True
+        for connection in list(self.connections):
+            connection.silent = True
 
-    def hold(self, *directions):
+    def block(self, *directions):
         """Let nothing pass in some directions until healed."""
-        self.cut.update(directions)
+        self.blocked.update(directions)
 
     def slow(self, seconds):
         """Delay bytes from now on."""
@@ -207,12 +207,12 @@
     def heal(self):
         """End delay and cut; connections that went silent stay so."""
         self.delay = 0.0
-        self.cut.clear()
-        for pair in list(self.pairs):
-            pair.heal()
+        self.blocked.clear()
+        for connection in list(self.connections):
+            connection.heal()
 
     def close(self):
         """End all; return a Deferred."""
-        for pair in list(self.pairs):
-            pair.close(reset=True)
+        for connection in list(self.connections):
+            connection.close(reset=True)
         return self.port.stopListening()
--- a/pollenstile/soak/live/_records.py
+++ b/pollenstile/soak/live/_records.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class RequestRecord:
     """One request of a caller.
 
     Parameters
@@ -47,12 +47,12 @@
     content: str = ''
     status: int = 0
     body: bytes = b''
-    whole: bool = False
+    complete: bool = False
     ended_at: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
-class Ran:
+class RunRecord:
     """One run of a request, or of a piece, at an upstream."""
 
     ident: str
@@ -116,20 +116,20 @@
         What was seen that must not be.
     """
 
-    asked: list = field(default_factory=list)
-    ran: list = field(default_factory=list)
+    requests: list = field(default_factory=list)
+    runs: list = field(default_factory=list)
     left_at: dict = field(default_factory=dict)
     revoked_at: dict = field(default_factory=dict)
     drains: list = field(default_factory=list)
     upstreams: dict = field(default_factory=dict)
     faults: list = field(default_factory=list)
-    ended_by: list = field(default_factory=list)
+    crashes: list = field(default_factory=list)
     broken: list = field(default_factory=list)
     calm_from: float = 0.0
 
     def runs_by_ident(self):
         """Return runs by the request that they belong to."""
         found = {}
-        for one in self.ran:
+        for one in self.runs:
             found.setdefault(one.ident, []).append(one)
         return found
--- a/pollenstile/soak/live/_run.py
+++ b/pollenstile/soak/live/_run.py
@@ -6,9 +6,9 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import deferLater
 
-from pollenstile.soak.live._balancer import watch_ready
-from pollenstile.soak.live._callers import DEADLY_KINDS, Caller
-from pollenstile.soak.live._checks import broken_promises
+from pollenstile.soak.live._balancer import poll_readiness
+from pollenstile.soak.live._callers import CRASHING_KINDS, Caller
+from pollenstile.soak.live._checks import find_violations
 from pollenstile.soak.live._faults import FAULTS
 from pollenstile.soak.live._hosts import COMMAND
 from pollenstile.soak.live._records import Fault
@@ -18,21 +18,21 @@
 # Seconds in which hosts must be ready at first.
 _START_SECONDS = 20.0
 # Seconds between two faults, on average; they last up to four times as long.
-_FAULT_PAUSE = 0.35
+_MEAN_FAULT_PAUSE_SECONDS = 0.35
 # Seconds after the last fault until all is in order again: the longest fault,
 # the grace time of a host that was told to stop, its start and links, and the
 # three seconds for which a host that lost its reader reads for itself.
-_SETTLE = 9.0
+_SETTLE_SECONDS = 9.0
 # Seconds of requests without faults before and after a host is told to stop;
 # an upstream leaves at their beginning.
-_CALM = 3.0
+_CALM_SECONDS = 3.0
 # Seconds beyond them for which a failure domain stays drained meanwhile.
-_DRAINED_MORE = 1.5
+_EXTRA_DRAINED_SECONDS = 1.5
 # Seconds for which a request that ends its upstreams comes again: it may reach
 # them freely for three seconds after the third.
-_DEADLY_REPEATED = 5.5
-_CALLERS = 14
-_LOOK = 0.05
+_CRASHING_SECONDS = 5.5
+_CALLER_COUNT = 14
+_READY_POLL_SECONDS = 0.05
 
 
 @dataclass(slots=True, frozen=True)
@@ -84,69 +84,69 @@
     # A soak that is itself told to stop leaves no hosts behind.
     trigger = reactor.addSystemEventTrigger('before', 'shutdown', world.kill)
     try:
-        await _played(world, seconds)
+        await _run_phases(world, seconds)
     finally:
         reactor.removeSystemEventTrigger(trigger)
         await world.close()
     records = world.records
     return LiveResult(
         seed,
-        dict(Counter(one.status for one in records.asked)),
+        dict(Counter(one.status for one in records.requests)),
         tuple(records.faults),
-        tuple(broken_promises(records)),
+        tuple(find_violations(records)),
     )
 
 
-async def _played(world, seconds):
+async def _run_phases(world, seconds):
     reactor = world.reactor
     await world.begin()
-    Deferred.fromCoroutine(watch_ready(world))
+    Deferred.fromCoroutine(poll_readiness(world))
     latest = reactor.seconds() + _START_SECONDS
     while not all(host.ready for host in world.hosts):
         if reactor.seconds() > latest:
             world.records.broken.append('not ready in time')
             return
-        await deferLater(reactor, _LOOK)
+        await deferLater(reactor, _READY_POLL_SECONDS)
     callers = [
         Deferred.fromCoroutine(Caller(world, number).run())
-        for number in range(_CALLERS)
+        for number in range(_CALLER_COUNT)
     ]
-    await _harmed(world, seconds)
-    await _deadly(world)
-    await _calm(world)
-    world.asking = False
+    await _inject_faults(world, seconds)
+    await _send_crashing_requests(world)
+    await _run_planned_changes(world)
+    world.is_sending = False
     for caller in callers:
         await caller
 
 
-async def _harmed(world, seconds):
+async def _inject_faults(world, seconds):
     reactor = world.reactor
     ends = reactor.seconds() + seconds
     under_way = []
     while reactor.seconds() < ends:
         fault = world.rng.choice(FAULTS)
         under_way.append(Deferred.fromCoroutine(fault(world)))
-        pause = world.rng.expovariate(1 / _FAULT_PAUSE)
+        pause = world.rng.expovariate(1 / _MEAN_FAULT_PAUSE_SECONDS)
         await deferLater(reactor, pause)
     for one in under_way:
         await one
-    await deferLater(reactor, _SETTLE)
+    await deferLater(reactor, _SETTLE_SECONDS)
 
 
-async def _deadly(world):
+async def _send_crashing_requests(world):
     """Let requests come again and again that end their upstreams."""
-    for kind in DEADLY_KINDS:
-        await Caller(world, 0).repeat_deadly(kind, _DEADLY_REPEATED)
+    for kind in CRASHING_KINDS:
+        await Caller(world, 0).repeat_crashing(kind, _CRASHING_SECONDS)
     await deferLater(world.reactor, COLD_SECONDS)
 
 
-async def _drained(world):
+async def _drain_random_domain(world):
     drain = await world.drain(world.rng.choice(DOMAINS))
-    await deferLater(world.reactor, _CALM + _DRAINED_MORE)
+    await deferLater(world.reactor, _CALM_SECONDS + _EXTRA_DRAINED_SECONDS)
     await world.end_drain(drain)
 
 
-async def _calm(world):
+async def _run_planned_changes(world):
     """Let an upstream leave, a key go and a domain drain, and a host stop."""
     reactor = world.reactor
     world.records.calm_from = reactor.seconds()
@@ -156,8 +156,8 @@
     await world.leave_server(server)
     if len(world.keys) > 1:
         await world.revoke(world.keys[-1])
-    await _drained(world)
-    host = world.rng.choice(world.taking_hosts())
+    await _drain_random_domain(world)
+    host = world.rng.choice(world.accepting_hosts())
     world.records.faults.append(Fault(reactor.seconds(), host.name, 'stop'))
     host.stop()
-    await deferLater(reactor, _CALM)
+    await deferLater(reactor, _CALM_SECONDS)
--- a/pollenstile/soak/live/_servers.py
+++ b/pollenstile/soak/live/_servers.py
@@ -8,7 +8,7 @@
 from pollenstile.forward import FREE_TARGET, RUN_TARGET, HeaderNames
 from pollenstile.ops.http import quiet
 from pollenstile.soak.live._proxy import LOOPBACK, Proxy
-from pollenstile.soak.live._records import Fault, Ran
+from pollenstile.soak.live._records import Fault, RunRecord
 
 NAMES = HeaderNames()
 PLAIN = 'lookup'
@@ -16,29 +16,29 @@
 STAGES = ('encode', 'rerank')
 # Events of a stream, and seconds between them.
 EVENTS = 12
-_GAP = 0.04
+_EVENT_GAP_SECONDS = 0.04
 # Seconds for which an upstream is cold, counted by a host from when it reads
 # so, and the requests a second that it bears.
 COLD_SECONDS = 1.0
 COLD_RATE = 6.0
 # Of the target of requests that end the upstream that runs them, and seconds
 # until then.
-DEADLY = 'deadly'
-_DEADLY_SECONDS = 0.03
+CRASHING_PREFIX = 'deadly'
+_CRASH_DELAY_SECONDS = 0.03
 # Seconds that a lookup and a stage call take.
-_WORK = 0.08
-_SLOW_WORK = 0.6
+_WORK_SECONDS = 0.08
+_SLOW_WORK_SECONDS = 0.6
 _MISDIRECTED = 421
 _CONFLICT = 409
 _FAILED = 500
 
 
-def plain_body(ident):
+def lookup_body(ident):
     """Return the whole answer of a lookup."""
     return f'answer of {ident};'.encode() * 9
 
 
-def event_of(ident, number):
+def stream_event(ident, number):
     """Return one event of a stream."""
     return f'id: {number}\ndata: {ident}/{number}\n\n'.encode()
 
@@ -69,7 +69,7 @@
         self.domain = domain
         self.fault = ''
         self.proxy = Proxy(world.reactor)
-        site = quiet(Site(_RESOURCES.get(service, _Stage)(self)))
+        site = quiet(Site(_RESOURCES.get(service, _StageResource)(self)))
         self.port = world.reactor.listenTCP(0, site, 512, LOOPBACK)
         self.proxy.target = (LOOPBACK, self.port.getHost().port)
 
@@ -90,14 +90,14 @@
             'cold_seconds': 0.0 if leaving else COLD_SECONDS,
         }
 
-    def ran(self, ident, team=''):
+    def record_run(self, ident, team=''):
         """Note a run."""
         now = self.world.reactor.seconds()
-        self.world.records.ran.append(Ran(ident, self.ident, now, team))
+        self.world.records.runs.append(RunRecord(ident, self.ident, now, team))
 
-    def work(self):
+    def work_seconds(self):
         """Return seconds that a call takes."""
-        return _SLOW_WORK if self.fault == 'slow' else _WORK
+        return _SLOW_WORK_SECONDS if self.fault == 'slow' else _WORK_SECONDS
 
     def crash(self):
         """End with all connections; nobody listens at the address then."""
@@ -109,7 +109,7 @@
         return gatherResults(ended)
 
 
-class _Served(Resource):
+class _FaultyResource(Resource):
     """A resource that checks whom a request is meant for, and has faults."""
 
     isLeaf = True
@@ -130,35 +130,37 @@
         if self.server.fault == 'hang':
             self.note(request, attempt.decode())
             return NOT_DONE_YET
-        if DEADLY.encode() in request.uri:
+        if CRASHING_PREFIX.encode() in request.uri:
             self.note(request, attempt.decode())
             content = attempt.decode().rpartition('-')[0]
-            self.clock.callLater(_DEADLY_SECONDS, self._end, content)
+            self.clock.callLater(
+                _CRASH_DELAY_SECONDS, self._crash_server, content
+            )
             return NOT_DONE_YET
         if attempt:
             request.setHeader(NAMES.attempt, attempt)
             request.setHeader(NAMES.stamp, f'proof of {self.server.ident}')
         return self.serve(request, attempt.decode())
 
-    def _end(self, content):
+    def _crash_server(self, content):
         world = self.server.world
         if self.server.ident in world.servers:
             now = self.clock.seconds()
-            world.records.ended_by.append((now, content))
+            world.records.crashes.append((now, content))
             world.records.faults.append(Fault(now, self.server.ident, 'ended'))
             Deferred.fromCoroutine(world.replace_server(self.server))
 
     def note(self, request, ident):
         """Note a run, and whether its answer is lost."""
         team = request.getHeader(NAMES.team) or b''
-        self.server.ran(ident, team.decode())
+        self.server.record_run(ident, team.decode())
         if self.server.fault != 'lose':
             return False
-        self.clock.callLater(_WORK, _abort, request)
+        self.clock.callLater(_WORK_SECONDS, _abort, request)
         return True
 
 
-class _Plain(_Served):
+class _LookupResource(_FaultyResource):
     """Lookups."""
 
     def serve(self, request, ident):
@@ -168,23 +170,25 @@
         if self.server.fault == 'fail':
             request.setResponseCode(_FAILED)
             return b'failed'
-        self.clock.callLater(self.server.work(), self._answer, request, ident)
+        self.clock.callLater(
+            self.server.work_seconds(), self._answer, request, ident
+        )
         return NOT_DONE_YET
 
     def _answer(self, request, ident):
-        body = plain_body(ident)
+        body = lookup_body(ident)
         if _is_over(request):
             return
         if self.server.fault == 'cut':
             request.setHeader(b'content-length', b'%d' % len(body))
             request.write(body[: len(body) // 2])
-            self.clock.callLater(_WORK, _abort, request)
+            self.clock.callLater(_WORK_SECONDS, _abort, request)
             return
         request.write(body)
         request.finish()
 
 
-class _Engine(_Served):
+class _StreamResource(_FaultyResource):
     """Streams."""
 
     def serve(self, request, ident):
@@ -205,25 +209,27 @@
             return NOT_DONE_YET
         last = request.getHeader(NAMES.last_event) or b'0'
         request.setHeader(b'content-type', b'text/event-stream')
-        self._event(request, ident, int(last) + 1)
+        self._write_event(request, ident, int(last) + 1)
         return NOT_DONE_YET
 
-    def _event(self, request, ident, number):
+    def _write_event(self, request, ident, number):
         if _is_over(request):
             return
         if self.server.fault == 'cut' and number > EVENTS // 2:
-            request.write(event_of(ident, number)[:7])
-            self.clock.callLater(_WORK, _abort, request)
+            request.write(stream_event(ident, number)[:7])
+            self.clock.callLater(_WORK_SECONDS, _abort, request)
             return
         if number <= EVENTS:
-            request.write(event_of(ident, number))
+            request.write(stream_event(ident, number))
         if number >= EVENTS:
             request.finish()
             return
-        self.clock.callLater(_GAP, self._event, request, ident, number + 1)
+        self.clock.callLater(
+            _EVENT_GAP_SECONDS, self._write_event, request, ident, number + 1
+        )
 
 
-class _Stage(_Served):
+class _StageResource(_FaultyResource):
     """Pieces of requests."""
 
     def serve(self, request, ident):
@@ -239,11 +245,13 @@
             request.setResponseCode(_FAILED)
             return b''
         pieces = msgspec.json.decode(content)
-        self.clock.callLater(self.server.work(), self._made, request, pieces)
+        self.clock.callLater(
+            self.server.work_seconds(), self._finish_batch, request, pieces
+        )
         return NOT_DONE_YET
 
-    def _made(self, request, pieces):
-        made = [self._piece(piece) for piece in pieces]
+    def _finish_batch(self, request, pieces):
+        made = [self._run_piece(piece) for piece in pieces]
         if self.server.fault == 'lose':
             _abort(request)
             return
@@ -252,20 +260,20 @@
         request.write(msgspec.json.encode(made))
         request.finish()
 
-    def _piece(self, piece):
+    def _run_piece(self, piece):
         world = self.server.world
         if any(one not in world.results for one in piece['inputs']):
             return ''
         for one in piece['inputs']:
             if world.results[one] != piece['request']:
                 world.records.broken.append(f'mixed piece: {piece}')
-        world.made += 1
-        handle = f'{self.server.address}/{world.made}'
+        world.result_count += 1
+        handle = f'{self.server.address}/{world.result_count}'
         world.results[handle] = piece['request']
         return handle
 
 
-_RESOURCES = {PLAIN: _Plain, ENGINES: _Engine}
+_RESOURCES = {PLAIN: _LookupResource, ENGINES: _StreamResource}
 
 
 def _is_over(request):
--- a/pollenstile/soak/live/_world.py
+++ b/pollenstile/soak/live/_world.py
@@ -22,19 +22,19 @@
 )
 from pollenstile.standin.objectapi import MemoryStore, platform_site
 
-_COUNTS = ((PLAIN, 3), (ENGINES, 3), (STAGES[0], 2), (STAGES[1], 2))
+_UPSTREAM_COUNTS = ((PLAIN, 3), (ENGINES, 3), (STAGES[0], 2), (STAGES[1], 2))
 # Hosts are in the first one.
 DOMAINS = ('here', 'there')
 # Seconds until the entry of an upstream that has ended is gone.
-_LAPSE = 1.0
+_ENTRY_LAPSE_SECONDS = 1.0
 # Seconds between tries of a write.
-_RETRY = 0.1
+_RETRY_SECONDS = 0.1
 _KEYS = ('key-a', 'key-b', 'key-c')
-_CHAIN = [
+_STAGE_STEPS = [
     {'service': STAGES[0], 'after': [], 'result_bytes': 100},
     {'service': STAGES[1], 'after': [0], 'result_bytes': 100},
 ]
-_STAGE = {
+_STAGE_SETTINGS = {
     'batch': 8,
     'call_seconds': 0.03,
     'piece_seconds': 0.001,
@@ -81,9 +81,9 @@
         self.rng = Random(seed)
         self.records = Records()
         self.results = {}
-        self.made = 0
+        self.result_count = 0
         self.started = 0
-        self.asking = True
+        self.is_sending = True
         self.version = 0
         self.keys = list(_KEYS)
         self.all_keys = _KEYS
@@ -101,7 +101,7 @@
     async def begin(self):
         """Write the configuration, start upstreams and hosts."""
         await self.configure()
-        for service, count in _COUNTS:
+        for service, count in _UPSTREAM_COUNTS:
             for _ in range(count):
                 await self.add_server(service)
         for host in self.hosts:
@@ -123,7 +123,7 @@
             in one domain could not be served while that is drained.
         """
         self.started += 1
-        domain = domain or _emptiest_domain(self.servers_of(service))
+        domain = domain or _least_used_domain(self.servers_of(service))
         ident = f'{service}-{self.started}'
         server = Server(self, service, ident, domain)
         self.servers[ident] = server
@@ -147,7 +147,7 @@
     async def end_drain(self, drain):
         """Let a failure domain have work again."""
         delete = partial(self.store.delete, DRAINED, drain.domain)
-        await self._until_written(delete)
+        await self._retry_until_written(delete)
         drain.ended = self.reactor.seconds()
 
     async def crash_server(self, server):
@@ -156,11 +156,11 @@
         await server.crash()
         delete = partial(self.store.delete, 'upstreams', server.ident)
 
-        def lapse():
+        def delete_entry():
             # As heartbeats no longer come.
-            Deferred.fromCoroutine(self._until_written(delete))
+            Deferred.fromCoroutine(self._retry_until_written(delete))
 
-        self.reactor.callLater(_LAPSE, lapse)
+        self.reactor.callLater(_ENTRY_LAPSE_SECONDS, delete_entry)
 
     async def replace_server(self, server):
         """End an upstream at once, and start another one."""
@@ -173,14 +173,14 @@
         await self.configure()
         self.records.revoked_at[key] = self.reactor.seconds()
 
-    def taking_hosts(self):
+    def accepting_hosts(self):
         """Return hosts that callers connect to."""
-        taking = [
+        accepting = [
             host
             for host in self.hosts
             if host.ready and not host.leaving and host.is_running()
         ]
-        return taking or self.hosts
+        return accepting or self.hosts
 
     def servers_of(self, service):
         """Return the upstreams of a service that run."""
@@ -190,7 +190,7 @@
             if server.service == service
         ]
 
-    def keep(self, line):
+    def write_log_line(self, line):
         """Keep a line of a host's log."""
         if self.logs is not None:
             self.logs.writelines((line, b'\n'))
@@ -198,39 +198,41 @@
     def kill(self):
         """End the processes that the run started, at once."""
         for host in self.hosts:
-            host.end_for_good()
+            host.end_permanently()
 
     async def close(self):
         """End all processes and ports that the run started."""
-        self.asking = False
+        self.is_sending = False
         for host in self.hosts:
-            await host.end_for_good()
+            await host.end_permanently()
             for proxy in (host.callers, host.peers, host.store):
-                await _closed(proxy.close())
+                await _settled(proxy.close())
         for server in list(self.servers.values()):
-            await _closed(server.crash())
-        await _closed(self.store_port.stopListening())
+            await _settled(server.crash())
+        await _settled(self.store_port.stopListening())
 
     async def _write(self, kind, name, value):
-        await self._until_written(partial(self.store.put, kind, name, value))
+        await self._retry_until_written(
+            partial(self.store.put, kind, name, value)
+        )
 
-    async def _until_written(self, call):
+    async def _retry_until_written(self, call):
         """Repeat a call until the store has said that it was done."""
         while not isinstance(await call(), Written):
-            await deferLater(self.reactor, _RETRY)
+            await deferLater(self.reactor, _RETRY_SECONDS)
 
     def _document(self):
         routes = [
             _route('find', 'idempotent', PLAIN, attempts=2),
             _route('book', 'once', PLAIN),
-            _route('draft', 'stream', ENGINES, _CHAIN, 2, resumable=True),
-            _route('digest', 'stream', ENGINES, _CHAIN),
+            _route('draft', 'stream', ENGINES, _STAGE_STEPS, 2, resumable=True),
+            _route('digest', 'stream', ENGINES, _STAGE_STEPS),
         ]
         return {
             'version': self.version,
             'routes': routes,
             'services': [
-                *({'name': name, 'stage': _STAGE} for name in STAGES),
+                *({'name': name, 'stage': _STAGE_SETTINGS} for name in STAGES),
                 {'name': ENGINES, 'cold_rate': COLD_RATE},
             ],
             'teams': [
@@ -239,7 +241,7 @@
         }
 
 
-def _emptiest_domain(servers):
+def _least_used_domain(servers):
     """Return where fewest of a service's first upstreams are."""
     places = [server.domain for server in servers]
     return min(DOMAINS, key=places.count)
@@ -260,7 +262,7 @@
     }
 
 
-def _closed(deferred):
+def _settled(deferred):
     done = Deferred()
     if deferred is None:
         done.callback(None)
