--- a/features/builders/livemutant.py
+++ b/features/builders/livemutant.py
@@ -1,12 +1,12 @@
-"""The program with one guard taken out, for a live soak to notice.
+"""Runs the program without one guard, to test that live soaks detect this.
 
 Explanation
 ===========
 
 ``python -m features.builders.livemutant GUARD forward ...`` runs the command
 ``pollenstile`` without that guard;
-``python -m features.builders.livemutant GUARD`` runs live soaks of it, seeds
-from 1 on, until one notices, and prints what it noticed.
+``python -m features.builders.livemutant GUARD`` runs live soaks of it with the
+seeds from 1 on until one finds violations, and prints these.
 """
 
 import sys
@@ -31,12 +31,12 @@
 
 
 def without_once():
-    """Send a request again that may run once only."""
+    """Retry also requests that must not run twice."""
     _run.decide_retry = _retry_all
 
 
 def without_new_configuration():
-    """Keep the first configuration for good."""
+    """Never replace the first configuration."""
     replaced = _configuration.Configuration._replace_table
 
     def keep(reader, found):
@@ -50,23 +50,23 @@
 
 
 def without_drain():
-    """End a host at once when it is told to stop."""
+    """End a host at once on shutdown, without a lame duck period."""
     _daemon._LAME_DUCK_SECONDS = 0.0
     _daemon.ForwardDaemon._is_busy = _is_never_busy
 
 
 def without_truth():
-    """Say of a request that ran that it has not."""
+    """Report a request as not run although it may have run."""
     _run.expired_refusal = lambda runs: Refusal(503, 'timeout', 'send')
 
 
 def without_drained_domains():
-    """Send to the upstreams of drained domains."""
+    """Keep sending to the upstreams of drained domains."""
     _registry.Registry.drain = lambda registry, domains: None
 
 
 def without_quarantine():
-    """Send on what has crashed three upstreams and more."""
+    """Keep sending requests that crashed three or more upstreams."""
     _run.quarantine_refusal = lambda core, exchange: None
 
 
@@ -81,12 +81,12 @@
 
 
 def mutant_command(guard):
-    """Return the words that run the program without a guard."""
+    """Return the command that runs the program without a guard."""
     return (sys.executable, '-m', 'features.builders.livemutant', guard)
 
 
 async def find_violating_run(reactor, guard, seeds, seconds=8.0):
-    """Return the first result that has broken promises, or None."""
+    """Return the first result with violations, or None."""
     for seed in seeds:
         result = await run_live(
             reactor,
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -1,13 +1,13 @@
-Feature: soak, randomised runs of real nodes
+Feature: soak: randomised fault tests of real nodes in virtual time
 
   Scenario: The same soak seed gives the same run
-    A seed found at night must show the same fault in the morning.
+    A fault that a seed has shown must be reproducible with this seed.
     Then soak seed 1 of 200 steps gives the same digest twice
     And soak seeds 1 and 2 of 200 steps give different digests
 
   Scenario Outline: Every invariant holds in a soak
-    Hosts die and freeze, links are cut, upstreams vanish, messages go astray,
-    the store fails; callers give up and ask again.
+    Hosts are killed and suspended, links are cut, upstreams crash, messages
+    are lost or reordered, the store fails; callers time out and retry.
     When soak seed <seed> of 400 steps is run
     Then the soak has no violation and answers of every kind
 
@@ -18,12 +18,12 @@
       | 76   |
 
   Scenario Outline: A soak catches a missing guard
-    Each invariant is broken by some seed when the guard that keeps it is
-    taken away; a soak that can't see this would prove nothing.
+    When the guard that ensures an invariant is removed, some seed must violate
+    this invariant. Otherwise the soak could not detect a fault of the guard.
     When soaks from seed <seed> of <steps> steps are run without "<guard>"
     Then one of the soaks reports "<invariant>" with a tail and exit code 1
 
-    Examples: the seed is the one that showed it when this was written
+    Examples: first seed that violated the invariant when this was written
       | guard                        | invariant              | seed | steps |
       | one outcome                  | finished-twice         | 2    | 200   |
       | timeouts                     | late                   | 3    | 200   |
@@ -48,18 +48,18 @@
       | membership                   | sent-to-leaving        | 1    | 200   |
       | rising versions              | version-went-back      | 2    | 200   |
 
-  Scenario: A killed soak process stays silent
-    A process dies with timers set and messages on the way. Anything that it
-    still did would be work of a host that is gone.
-    Given a soak process with a timer and a message on its way
+  Scenario: A killed soak process runs nothing
+    A process is killed while timers are scheduled and messages are in transit.
+    A killed process must not run either of them.
+    Given a soak process with a scheduled timer and a message in transit
     When the soak process is killed
     Then nothing of the soak process runs
 
   Scenario: A frozen soak process runs its overdue timers first
-    A process is stopped for a while. When it goes on, its timers are overdue,
-    its buffers hold answers, and a timer that another one cancels is off.
-    Given a soak process with a timer and a message on its way
-    When the soak process is frozen over both and goes on
+    A process is suspended. When it resumes, its timers are overdue and answers
+    are buffered; an overdue timer that another timer cancels must not run.
+    Given a soak process with a scheduled timer and a message in transit
+    When the soak process is frozen while both become due, then resumed
     Then the soak process ran the timer, then the message
 
   Scenario: Wrong soak flags are refused
--- a/features/soak_live.feature
+++ b/features/soak_live.feature
@@ -1,16 +1,17 @@
-Feature: a soak of real entry hosts
+Feature: live soak: fault tests of real entry host processes
 
-  Scenario: Real processes keep their promises under faults
-    Four entry hosts run as processes behind proxies that delay, hold back,
-    silence and reset; signals kill, pause and stop them; upstreams crash, hang,
-    leave; the store is down and forgets. No answer is another's or torn, no
-    refused request ran, nothing ran twice that may run once.
-    When live hosts are harmed for 5 seconds by seed 1
-    Then no promise of the live hosts was broken
-    And the live hosts served 50 requests or more, and 8 faults or more struck
+  Scenario: Every invariant holds for real processes under faults
+    Four entry hosts run as processes behind proxies that delay, block, drop and
+    reset connections. Signals kill, suspend and stop them; upstreams crash,
+    hang and leave; the store is unavailable and discards its history. No answer
+    is another request's or incomplete, no refused request ran, and no
+    non-idempotent request ran twice.
+    When a live soak injects faults for 5 seconds with seed 1
+    Then the live soak found no violation
+    And the live hosts served 50 requests or more under 8 faults or more
 
   Scenario: A guard that is taken out is noticed
-    Hosts keep the first configuration for good. A key that the operator took
-    away goes on working, on every host.
-    When live hosts without the guard "configuration" are harmed
-    Then it was noticed: "ran with a key"
+    Hosts never replace their first configuration, so a key that the operator
+    revoked keeps working on every host. The soak must report this.
+    When live soaks run without the guard "configuration"
+    Then a live soak reported: "ran with a key"
--- a/features/steps/soak_live_steps.py
+++ b/features/steps/soak_live_steps.py
@@ -1,10 +1,10 @@
-"""Steps of the soak of real entry hosts: the command, as operators run it.
+"""Steps of the live soak, which is run as the command line program.
 
 Explanation
 ===========
 
-The tests' own reactor is turned by hand and hears of no process that ends, so
-the soak runs as a process too.
+The tests drive their reactor manually, so it can't detect the end of a child
+process. Hence the soak itself runs as a separate process.
 """
 
 import re
@@ -24,26 +24,26 @@
     )
 
 
-@when('live hosts are harmed for {seconds:d} seconds by seed {seed:d}')
-def when_harmed(context, seconds, seed):
+@when('a live soak injects faults for {seconds:d} seconds with seed {seed:d}')
+def when_run(context, seconds, seed):
     words = ('soak', '--live', '--seed', str(seed), '--seconds', str(seconds))
     context.ran = _run_module('pollenstile.ops', *words)
 
 
-@when('live hosts without the guard "{guard}" are harmed')
-def when_unguarded(context, guard):
+@when('live soaks run without the guard "{guard}"')
+def when_run_without(context, guard):
     context.ran = _run_module('features.builders.livemutant', guard)
 
 
-@then('no promise of the live hosts was broken')
-def then_kept(context):
+@then('the live soak found no violation')
+def then_no_violation(context):
     assert context.ran.returncode == 0, context.ran.stdout[-3000:]
     assert '1 live seeds, 0 broken' in context.ran.stdout
 
 
 @then(
-    'the live hosts served {served:d} requests or more, and {faults:d} faults or'
-    ' more struck'
+    'the live hosts served {served:d} requests or more under {faults:d} faults'
+    ' or more'
 )
 def then_served(context, served, faults):
     found = re.search(
@@ -53,7 +53,7 @@
     assert int(found[2]) >= served, context.ran.stdout
 
 
-@then('it was noticed: "{text}"')
-def then_noticed(context, text):
+@then('a live soak reported: "{text}"')
+def then_reported(context, text):
     assert context.ran.returncode == 0, context.ran.stdout[-3000:]
     assert text in context.ran.stdout, context.ran.stdout[-3000:]
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps of soaks: randomised runs of real nodes."""
+"""Steps of the soak in virtual time."""
 
 import contextlib
 import io
@@ -37,14 +37,14 @@
 def step_holds(context):
     outcomes = context.result.outcomes
     assert not context.result.violations, context.result.violations
-    # A run in which little is answered, or little fails, would show little.
+    # A run with few answers or few kinds of outcomes would test too little.
     assert outcomes['answered'] > sum(outcomes.values()) / 3, outcomes
     assert len(outcomes) >= 3, outcomes
 
 
 @when('soaks from seed {seed:d} of {steps:d} steps are run without "{guard}"')
 def step_run_without(context, seed, steps, guard):
-    # Any change of the code moves the runs, so later seeds are tried as well.
+    # Any change of the code changes the runs, so later seeds are tried too.
     context.runs = (
         _run_without(guard, number, steps)
         for number in range(seed, seed + _MOST_SEEDS)
@@ -65,8 +65,8 @@
 )
 def step_reports(context, invariant, code):
     for seed, ended, printed in context.runs:
-        wanted = f'seed {seed} violation: {invariant} '
-        if wanted not in printed:
+        expected = f'seed {seed} violation: {invariant} '
+        if expected not in printed:
             continue
         assert ended == code, ended
         assert f'broken seeds: {seed}' in printed
@@ -76,7 +76,7 @@
     raise AssertionError(f'no soak has reported {invariant}')
 
 
-@given('a soak process with a timer and a message on its way')
+@given('a soak process with a scheduled timer and a message in transit')
 def step_process(context):
     context.clock = Clock()
     context.process = Process(context.clock)
@@ -101,7 +101,7 @@
     assert not context.ran, context.ran
 
 
-@when('the soak process is frozen over both and goes on')
+@when('the soak process is frozen while both become due, then resumed')
 def step_freeze(context):
     process = context.process
     cancelled = process.callLater(2.5, context.ran.append, 'cancelled')
@@ -125,4 +125,4 @@
         except SystemExit as ended:
             assert ended.code == code, ended.code
             return
-    raise AssertionError('the flags were taken')
+    raise AssertionError('the flags were accepted')
--- a/pollenstile/soak/_checks.py
+++ b/pollenstile/soak/_checks.py
@@ -92,9 +92,9 @@
 
 def _request_idents(caller_request):
     return [
-        one.request.ident
-        for one in caller_request.exchanges
-        if one.request is not None
+        exchange.request.ident
+        for exchange in caller_request.exchanges
+        if exchange.request is not None
     ]
 
 
--- a/pollenstile/soak/_hosts.py
+++ b/pollenstile/soak/_hosts.py
@@ -7,9 +7,9 @@
 from pollenstile.entry import built_fleet, built_node
 from pollenstile.ops.settings import ENTRY, settings_from
 from pollenstile.platform import Budget, PacedStore
+from pollenstile.soak._channel import FaultyChannel
 from pollenstile.soak._gates import GatedHub, GatedStore, gated_connect
 from pollenstile.soak._process import Process
-from pollenstile.soak._channel import FaultyChannel
 from pollenstile.standin.reach import ReachedStore
 from pollenstile.standin.virtual import UP
 from pollenstile.upstream import Chunk, Reply
--- a/pollenstile/soak/_run.py
+++ b/pollenstile/soak/_run.py
@@ -145,7 +145,7 @@
     for exchange in world.exchanges():
         tag = exchange.outcomes[0].tag if exchange.outcomes else 'none'
         outcomes[tag] = outcomes.get(tag, 0) + 1
-    violations = tuple(str(one) for one in world.records.violations)
+    violations = tuple(str(violation) for violation in world.records.violations)
     if not violations:
         world.records.log(events.SOAK_PASSED, seed=seed)
     return SoakResult(
--- a/pollenstile/soak/_world.py
+++ b/pollenstile/soak/_world.py
@@ -7,11 +7,11 @@
 from pollenstile.fleet import CONFIG_KIND, CONFIG_NAME
 from pollenstile.manifest import text_from_manifest
 from pollenstile.peer import VirtualWires
+from pollenstile.soak._channel import Links
 from pollenstile.soak._hosts import Host
 from pollenstile.soak._manifest import soak_manifest
 from pollenstile.soak._records import Records
 from pollenstile.soak._trace import Trace
-from pollenstile.soak._channel import Links
 from pollenstile.standin.objectapi import MemoryStore
 from pollenstile.standin.virtual import Times, VirtualNetwork, VirtualUpstream
 
@@ -102,9 +102,9 @@
     def exchanges(self):
         """Return the exchanges of all callers."""
         return [
-            one
+            exchange
             for caller_request in self.caller_requests
-            for one in caller_request.exchanges
+            for exchange in caller_request.exchanges
         ]
 
     def all_hosts(self):
@@ -133,7 +133,9 @@
         old = self.upstreams[name]
         self.former_upstreams.append(old)
         new = self._build_upstream(name, old.kind, old.slots.most)
-        number = sum(one.name == name for one in self.former_upstreams)
+        number = sum(
+            upstream.name == name for upstream in self.former_upstreams
+        )
         new.slots.incarnation = f'{name}-{number + 1}'
         self.upstreams[name] = new
         self.records.leaving_since.pop(name, None)
--- a/pollenstile/soak/live/__init__.py
+++ b/pollenstile/soak/live/__init__.py
@@ -1,3 +1,3 @@
-"""A soak of real entry hosts: processes, proxies, signals."""
+"""Fault tests of real entry hosts with processes, proxies and signals."""
 
 from pollenstile.soak.live._run import LiveResult, run_live
--- a/pollenstile/soak/live/_balancer.py
+++ b/pollenstile/soak/live/_balancer.py
@@ -1,21 +1,21 @@
-"""Asks hosts whether they are ready, as a balancer does."""
+"""Polls the hosts' readiness, as a load balancer does."""
 
 from twisted.internet.protocol import ClientFactory, Protocol
 from twisted.internet.task import deferLater
 
-# Seconds between two questions to a host.
+# Seconds between two readiness probes of a host.
 _POLL_SECONDS = 0.25
 _READY = b'HTTP/1.1 200'
 
 
 class _ReadinessProbe(Protocol):
     def connectionMade(self):
-        """Ask; called by twisted."""
+        """Send the probe; called by twisted."""
         self.answer = b''
         self.transport.write(b'GET / HTTP/1.1\r\nHost: ready\r\n\r\n')
 
     def dataReceived(self, data):
-        """Take the answer's head; called by twisted."""
+        """Read the status line of the answer; called by twisted."""
         self.answer += data
         if len(self.answer) >= len(_READY):
             self.factory.host.ready = self.answer.startswith(_READY)
@@ -30,12 +30,12 @@
         self.host = host
 
     def clientConnectionFailed(self, connector, reason):
-        """Note that nobody answers; called by twisted."""
+        """Mark the host as not ready; called by twisted."""
         self.host.ready = False
 
 
 async def poll_readiness(world):
-    """Ask all hosts until the run is over."""
+    """Probe all hosts until the run ends."""
     while world.is_sending:
         for host in world.hosts:
             if host.ready_address is None:
--- a/pollenstile/soak/live/_callers.py
+++ b/pollenstile/soak/live/_callers.py
@@ -1,4 +1,4 @@
-"""Callers of a live run, on connections that they keep."""
+"""Callers of a live run, which use persistent connections."""
 
 from random import Random
 
@@ -17,21 +17,22 @@
 from pollenstile.soak.live._records import RequestRecord
 from pollenstile.soak.live._servers import CRASHING_PREFIX, NAMES
 
-# Seconds that callers wait, stated in the request.
+# Deadline that callers send with each request, by route.
 DEADLINE_SECONDS = {'find': 2.0, 'book': 2.0, 'draft': 4.0, 'digest': 4.0}
-# Seconds beyond the deadline after which a caller gives its connection up.
+# Seconds beyond the deadline after which a caller closes its connection.
 _GIVE_UP_MARGIN_SECONDS = 4.0
-# Kinds of requests of which one ends each upstream that runs it, and seconds
-# between its repeats.
+# Routes for which requests that crash their upstream are sent, and seconds
+# between their repeats.
 CRASHING_KINDS = ('find', 'draft')
 _CRASHING_PAUSE_SECONDS = 0.25
-# Seconds between a caller's requests, on average.
+# Mean seconds between a caller's requests.
 _MEAN_PAUSE_SECONDS = 0.06
-# Share of the requests that carry any key there ever was.
+# Share of the requests whose key is chosen from all keys, including revoked
+# ones.
 _OLD_KEY_SHARE = 0.2
 _MS_PER_SECOND = 1000
 _BODY_BYTES = 3000
-# How a request ends whose connection brings no answer.
+# Errors of a request whose connection ended without an answer.
 _CONNECTION_ERRORS = (
     TimeoutError,
     CancelledError,
@@ -51,13 +52,13 @@
         return _PersistentConnection(self.done)
 
     def clientConnectionFailed(self, connector, reason):
-        """Note that nobody listens; called by twisted."""
+        """Report that the connection was refused; called by twisted."""
         if not self.done.called:
             self.done.callback(None)
 
 
 class _PersistentConnection(HTTP11ClientProtocol):
-    """A connection for one request after another."""
+    """A connection that is reused for consecutive requests."""
 
     def __init__(self, done):
         super().__init__()
@@ -65,13 +66,13 @@
         self.is_lost = False
 
     def connectionMade(self):
-        """Begin; called by twisted."""
+        """Report the open connection; called by twisted."""
         super().connectionMade()
         if not self.done.called:
             self.done.callback(self)
 
     def connectionLost(self, reason):
-        """End; called by twisted."""
+        """Mark the connection as lost; called by twisted."""
         self.is_lost = True
         super().connectionLost(reason)
 
@@ -82,36 +83,39 @@
         self.ended = Deferred()
 
     def dataReceived(self, data):
-        """Keep bytes; called by twisted."""
+        """Append received bytes; called by twisted."""
         self.record.body += data
 
     def connectionLost(self, reason):
-        """Note how the body ended; called by twisted."""
+        """Record whether the body is complete; called by twisted."""
         self.record.complete = reason.check(ResponseDone) is not None
         if not self.ended.called:
             self.ended.callback(None)
 
 
 class Caller:
-    """Sends one request after another, mostly to one host.
+    """Sends consecutive requests, to the same host while it is connected.
 
     Parameters
     ==========
 
     world : World
-        Reactor, hosts, random generator, records.
+        Reactor, hosts, random generator and records of the run.
+    number : int
+        Number of the caller; part of its random seed and request identifiers.
     """
 
     def __init__(self, world, number):
         self.world = world
         self.number = number
-        # Apart from the faults' generator, so that a seed gives its faults.
+        # Separate from the generator of the faults, so that a seed always
+        # gives the same faults.
         self.rng = Random(f'{world.seed}/{number}')
         self.connection = None
         self.host = None
 
     async def run(self):
-        """Ask until the run is over."""
+        """Send requests until the run ends."""
         world = self.world
         count = 0
         while world.is_sending:
@@ -125,11 +129,11 @@
             self.connection.transport.abortConnection()
 
     async def repeat_crashing(self, kind, seconds):
-        """Ask all hosts again and again for what ends its upstream."""
+        """Repeat a request that crashes its upstream, at random hosts."""
         world = self.world
-        ends = world.reactor.seconds() + seconds
+        end = world.reactor.seconds() + seconds
         content = f'{CRASHING_PREFIX}-{kind}'
-        while world.reactor.seconds() < ends:
+        while world.reactor.seconds() < end:
             await deferLater(world.reactor, _CRASHING_PAUSE_SECONDS)
             self.number += 1
             ident = f'{content}-{self.number}'
@@ -159,7 +163,7 @@
         record.ended_at = world.reactor.seconds()
 
     def _key(self):
-        """Return a key; some go on with one that was taken away."""
+        """Return a random key; a share of them may be revoked."""
         keys = self.world.keys
         if self.rng.random() < _OLD_KEY_SHARE:
             keys = self.world.all_keys
@@ -197,15 +201,15 @@
 
 
 def _request(record):
-    lines = Headers()
-    lines.addRawHeader(b'host', b'shop')
-    lines.addRawHeader(NAMES.attempt, record.ident.encode())
+    headers = Headers()
+    headers.addRawHeader(b'host', b'shop')
+    headers.addRawHeader(NAMES.attempt, record.ident.encode())
     deadline = b'%d' % (record.deadline * _MS_PER_SECOND)
-    lines.addRawHeader(NAMES.deadline, deadline)
-    lines.addRawHeader(b'authorization', f'Bearer {record.key}'.encode())
+    headers.addRawHeader(NAMES.deadline, deadline)
+    headers.addRawHeader(b'authorization', f'Bearer {record.key}'.encode())
     if record.kind in {'draft', 'digest'}:
-        lines.addRawHeader(NAMES.counts, b'2,3')
-        lines.addRawHeader(NAMES.stage_key, record.ident.encode())
+        headers.addRawHeader(NAMES.counts, b'2,3')
+        headers.addRawHeader(NAMES.stage_key, record.ident.encode())
     body = BytesProducer(b'x' * _BODY_BYTES)
     target = f'/{record.kind}/of/{record.content}?q'.encode()
-    return Request(b'POST', target, lines, body, persistent=True)
+    return Request(b'POST', target, headers, body, persistent=True)
--- a/pollenstile/soak/live/_checks.py
+++ b/pollenstile/soak/live/_checks.py
@@ -1,4 +1,4 @@
-"""What must hold of a live run, from what callers and upstreams saw."""
+"""Invariants of a live run, checked on the records of callers and upstreams."""
 
 from collections import Counter
 
@@ -8,36 +8,37 @@
     COLD_SECONDS,
     ENGINES,
     EVENTS,
-    stream_event,
     lookup_body,
+    stream_event,
 )
 
 _OK = 200
 _UNAUTHORIZED = 401
-# Statuses that promise that a request has not run and never will.
+# Statuses which guarantee that a request has not run and will not run.
 _NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 _NON_IDEMPOTENT_KINDS = frozenset(('book', 'digest'))
-# Seconds beyond the deadline within which a host in order gives its answer:
-# the machine is shared by a dozen processes, and may be busy with others.
+# Seconds beyond the deadline within which a host without faults must answer:
+# the machine is shared by a dozen processes and may be busy with others.
 _LATE_TOLERANCE_SECONDS = 3.0
-# Seconds from a fault until its host counts as in order again.
+# Seconds after a fault until its host counts as recovered.
 _RECOVERY_SECONDS = 3.0
-# Seconds after an upstream's leaving within which nothing new reaches it.
+# Seconds after which a leaving upstream must get no new requests, and the
+# tolerance of the check.
 _LEAVE_SECONDS = 2.0
 _LEAVE_MARGIN_SECONDS = 1.0
-# Upstreams that a request may end, seconds until all hosts know, and how often
-# it may reach upstreams from then on.
+# Upstreams that a request may crash, seconds until all hosts have the
+# quarantine verdict, and how often it may reach upstreams from then on.
 _ALLOWED_CRASHES = 3
 _VERDICT_SECONDS = 3.0
 _ALLOWED_LATE_RUNS = 3
-# Seconds of a request's way to its host, in which its key may have ended.
+# Seconds of a request's delivery to its host; its key may be revoked meanwhile.
 _DELIVERY_SECONDS = 0.3
-# Share of the last, calm requests that must be answered.
+# Share of the requests after the last fault that must succeed.
 _MIN_SERVED_SHARE = 0.9
 
 
 def find_violations(records):
-    """Return a line for each promise that was broken."""
+    """Return a line for each violated invariant."""
     runs = records.runs_by_ident()
     lines = list(records.broken)
     for record in records.requests:
@@ -56,21 +57,23 @@
 def _expected_body(record):
     if record.kind in {'find', 'book'}:
         return lookup_body(record.ident)
-    events = [stream_event(record.ident, one) for one in range(1, EVENTS + 1)]
+    events = [
+        stream_event(record.ident, number) for number in range(1, EVENTS + 1)
+    ]
     return b''.join(events)
 
 
 def _answer_violations(record):
-    """A success is the request's own answer and whole; no key is denied."""
+    """Check that a complete success is the request's answer, and no 404."""
     if record.status == _OK and record.complete:
         if record.body != _expected_body(record):
-            yield f'wrong answer: {record.ident}: {_summarise_body(record.body)}'
+            yield f'wrong answer: {record.ident}: {_summary_of(record.body)}'
     elif record.status == 404:
-        yield f'denied: {record.ident}: 404'
+        yield f'unexpected status 404: {record.ident}'
 
 
-def _summarise_body(body):
-    """Return a body in short: of a stream, the events' numbers."""
+def _summary_of(body):
+    """Return a short form of a body: event numbers and the last bytes."""
     numbers = [
         line.partition(b':')[2].strip().decode(errors='replace')
         for line in body.split(b'\n')
@@ -80,25 +83,35 @@
 
 
 def _run_violations(record, runs, revoked_at):
-    """A refusal has not run, what runs once ran once, and for its own team."""
+    """Check the runs of a request.
+
+    Explanation
+    ===========
+
+    A refused request never runs, a non-idempotent one runs at most once, and
+    every run belongs to the team of the request's key. Keys work until they
+    are revoked and, after the time limit for revocation, no more.
+    """
     if record.status in _NOT_RUN_STATUSES and runs:
         yield f'refused with {record.status} and ran: {record.ident}'
     if record.kind in _NON_IDEMPOTENT_KINDS and len(runs) > 1:
         yield f'ran {len(runs)} times: {record.ident}'
-    if any(one.team != f'team of {record.key}' for one in runs):
+    if any(run.team != f'team of {record.key}' for run in runs):
         yield f'ran for another team: {record.ident}'
     revoked = revoked_at.get(record.key)
     if revoked is None:
         if record.status == _UNAUTHORIZED:
-            yield f'denied: {record.ident}: its key is in force'
+            yield f'unexpected status 401: {record.ident}: its key is valid'
         return
     if runs and record.sent_at > revoked + REVOKE_SECONDS + _DELIVERY_SECONDS:
         late = record.sent_at - revoked
-        yield f'ran with a key {late:.2f} s after its end: {record.ident}'
+        yield (
+            f'ran with a key {late:.2f} s after its revocation: {record.ident}'
+        )
 
 
 def _time_violations(record, records):
-    """A host in order answers by the deadline, and cuts nobody off."""
+    """Check that a host without faults answers in time and cuts nothing off."""
     if not record.ended_at:
         return
     faults = [
@@ -112,10 +125,12 @@
     took = record.ended_at - record.sent_at
     if took > record.deadline + _LATE_TOLERANCE_SECONDS:
         yield f'no answer after {took:.2f} s: {record.ident} at {record.host}'
-    if _is_answered(record) or any(one.at < record.sent_at for one in faults):
+    if _is_answered(record) or any(
+        fault.at < record.sent_at for fault in faults
+    ):
         return
     if record.status and _has_upstream_fault(record, records):
-        # An upstream broke its stream off; callers must see that it did.
+        # An upstream aborted its stream; the caller must see it incomplete.
         return
     yield f'cut off without an answer: {record.ident} at {record.host}'
 
@@ -133,69 +148,72 @@
 
 
 def _leaving_violations(records):
-    """An upstream that left gets nothing new, once all is in order."""
-    for one in records.runs:
-        left = records.left_at.get(one.upstream)
+    """Check that, after the last fault, leaving upstreams get no requests."""
+    for run in records.runs:
+        left = records.left_at.get(run.upstream)
         if left is None or left < records.calm_from:
             continue
-        if one.at > left + _LEAVE_SECONDS + _LEAVE_MARGIN_SECONDS:
-            late = one.at - left
-            yield f'reached {one.upstream} {late:.2f} s after it left'
+        if run.at > left + _LEAVE_SECONDS + _LEAVE_MARGIN_SECONDS:
+            late = run.at - left
+            yield f'reached {run.upstream} {late:.2f} s after it left'
 
 
 def _drain_violations(records):
-    """Upstreams of a drained domain get nothing new, once all is in order."""
+    """Check that, after the last fault, drained domains get no requests."""
     if not records.calm_from:
         return
     for drain in records.drains:
         if drain.began < records.calm_from:
             continue
         latest = drain.began + DRAIN_SECONDS + _LEAVE_MARGIN_SECONDS
-        for one in _runs_in_domain(records, drain.domain, latest, drain.ended):
-            late = one.at - drain.began
-            yield f'reached {one.upstream} {late:.2f} s after its domain drained'
+        for run in _runs_in_domain(records, drain.domain, latest, drain.ended):
+            late = run.at - drain.began
+            yield f'reached {run.upstream} {late:.2f} s after its domain drained'
 
 
 def _runs_in_domain(records, domain, since, until):
-    """Return the runs at a domain's upstreams within a time."""
+    """Return the runs at a domain's upstreams within a time span."""
     return [
-        one
-        for one in records.runs
-        if since < one.at < until
-        and records.upstreams[one.upstream][0] == domain
+        run
+        for run in records.runs
+        if since < run.at < until
+        and records.upstreams[run.upstream][0] == domain
     ]
 
 
 def _quarantine_violations(records):
-    """What ends its upstreams is kept from them after the third."""
+    """Check that a request is quarantined after its third upstream crash."""
     for content in sorted({content for _, content in records.crashes}):
         crash_times = [at for at, one in records.crashes if one == content]
         if len(crash_times) < _ALLOWED_CRASHES:
             continue
         late = [
-            one
-            for one in records.runs
-            if one.ident.rpartition('-')[0] == content
-            and one.at > crash_times[_ALLOWED_CRASHES - 1] + _VERDICT_SECONDS
+            run
+            for run in records.runs
+            if run.ident.rpartition('-')[0] == content
+            and run.at > crash_times[_ALLOWED_CRASHES - 1] + _VERDICT_SECONDS
         ]
         if len(late) > _ALLOWED_LATE_RUNS:
-            yield f'{content} ran {len(late)} times after {len(crash_times)} ends'
+            yield (
+                f'{content} ran {len(late)} times after '
+                f'{len(crash_times)} crashes'
+            )
 
 
 def _cold_violations(records):
-    """A cold model engine gets no more in a second than it bears."""
+    """Check that a cold engine gets no more requests than its cold rate."""
     runs = {}
-    for one in records.runs:
-        _, cold_until = records.upstreams[one.upstream]
-        if one.upstream.startswith(ENGINES) and one.at < cold_until:
-            runs.setdefault(one.upstream, []).append(one.at)
+    for run in records.runs:
+        _, cold_until = records.upstreams[run.upstream]
+        if run.upstream.startswith(ENGINES) and run.at < cold_until:
+            runs.setdefault(run.upstream, []).append(run.at)
     for upstream, moments in runs.items():
         if len(moments) > COLD_RATE * COLD_SECONDS:
             yield f'{len(moments)} requests reached {upstream} while cold'
 
 
 def _service_violations(records):
-    """When all faults have ended, callers are served again."""
+    """Check that callers are served again after the last fault."""
     if not records.calm_from:
         return
     calm = [
@@ -205,12 +223,19 @@
         and record.ended_at
         and record.key not in records.revoked_at
     ]
-    served = [one for one in calm if one.status == _OK and one.complete]
+    served = [
+        record for record in calm if record.status == _OK and record.complete
+    ]
     if not calm or len(served) < _MIN_SERVED_SHARE * len(calm):
-        crash_times = Counter(
-            (one.kind, one.host, one.status, one.body[:40].decode('latin-1'))
-            if one.status != _OK
-            else one.kind
-            for one in calm
+        outcomes = Counter(
+            (
+                record.kind,
+                record.host,
+                record.status,
+                record.body[:40].decode('latin-1'),
+            )
+            if record.status != _OK
+            else record.kind
+            for record in calm
         )
-        yield f'calm: {len(served)} of {len(calm)} requests served: {crash_times}'
+        yield f'calm: {len(served)} of {len(calm)} requests served: {outcomes}'
--- a/pollenstile/soak/live/_faults.py
+++ b/pollenstile/soak/live/_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a live run, in series and overlapping."""
+"""Faults of a live run, which may overlap."""
 
 from twisted.internet.task import deferLater
 
@@ -6,14 +6,14 @@
 from pollenstile.soak.live._servers import ENGINES, PLAIN, STAGES
 from pollenstile.soak.live._world import DOMAINS
 
-# Seconds that a fault lasts, at least and at most.
+# Minimum and maximum duration of a fault, in seconds.
 _MIN_FAULT_SECONDS = 0.2
 _MAX_FAULT_SECONDS = 1.6
-# Share of the harmed links that lead to upstreams.
+# Share of the link faults that affect links to upstreams.
 _UPSTREAM_LINK_SHARE = 0.4
 _SERVICES = (PLAIN, ENGINES, *STAGES)
-# Upstreams that work wrongly are mostly those that run requests: what they
-# run must be neither doubled nor denied.
+# Faulty upstreams are mostly those that run requests: a request that they run
+# must be neither run twice nor reported as not run.
 _FAULTY_SERVICES = (PLAIN, PLAIN, ENGINES, ENGINES, *STAGES)
 _SERVER_FAULTS = ('hang', 'fail', 'lose', 'cut', 'slow')
 
@@ -29,14 +29,20 @@
 
 
 async def kill_host(world):
-    """Kill a process; it starts again."""
+    """Kill a host's process; it restarts."""
     host = world.rng.choice(world.hosts)
     _record_fault(world, host.name, 'kill')
     host.kill()
 
 
 async def stop_host(world):
-    """Tell a host to stop; it starts again. Planned: one at a time."""
+    """Shut a host down gracefully; it restarts.
+
+    Explanation
+    ===========
+
+    A shutdown is planned, so there is only one at a time.
+    """
     if any(host.leaving or not host.ready for host in world.hosts):
         return
     host = world.rng.choice(world.hosts)
@@ -45,7 +51,7 @@
 
 
 async def pause_host(world):
-    """Let a process stand still for a while."""
+    """Suspend a host's process for a random time."""
     host = world.rng.choice(world.hosts)
     if host.paused:
         return
@@ -73,14 +79,14 @@
 
 
 async def silence_link(world):
-    """Let the connections of a link go silent for good."""
+    """Drop all further bytes on the current connections of a link."""
     link, name = _random_link(world)
     _record_fault(world, name, 'silence')
     link.silence()
 
 
 async def cut_link(world):
-    """Cut a link, one way or both, for a while."""
+    """Block a link in one or both directions for a random time."""
     link, name = _random_link(world)
     directions = world.rng.choice(
         (('server',), ('caller',), ('server', 'caller')),
@@ -93,7 +99,7 @@
 
 
 async def slow_link(world):
-    """Delay a link for a while."""
+    """Delay the bytes on a link for a random time."""
     link, name = _random_link(world)
     _record_fault(world, name, 'slow')
     link.slow(world.rng.uniform(0.02, 0.3))
@@ -103,7 +109,7 @@
 
 
 async def inject_server_fault(world):
-    """Let an upstream work wrongly for a while."""
+    """Make an upstream faulty for a random time."""
     service = world.rng.choice(_FAULTY_SERVICES)
     server = world.rng.choice(world.servers_of(service))
     fault = world.rng.choice(_SERVER_FAULTS)
@@ -115,7 +121,7 @@
 
 
 async def crash_server(world):
-    """End an upstream; another one comes."""
+    """Crash an upstream; another one replaces it."""
     service = world.rng.choice(_SERVICES)
     server = world.rng.choice(world.servers_of(service))
     _record_fault(world, server.ident, 'crash')
@@ -123,7 +129,7 @@
 
 
 async def leave_server(world):
-    """Let an upstream tell that it leaves; it works on."""
+    """Let an upstream announce that it leaves; it keeps running."""
     service = world.rng.choice(_SERVICES)
     server = world.rng.choice(world.servers_of(service))
     _record_fault(world, server.ident, 'leave')
@@ -132,13 +138,19 @@
 
 
 async def change_configuration(world):
-    """Write a new version."""
+    """Write a new version of the configuration."""
     _record_fault(world, 'configuration', 'configure')
     await world.configure()
 
 
 async def drain_domain(world):
-    """Drain a failure domain for a while; planned: one at a time."""
+    """Drain a failure domain for a random time.
+
+    Explanation
+    ===========
+
+    A drain is planned, so there is only one at a time.
+    """
     if any(not drain.ended for drain in world.records.drains):
         return
     domain = world.rng.choice(DOMAINS)
@@ -150,7 +162,7 @@
 
 
 async def revoke_key(world):
-    """Take a key away, all but the last."""
+    """Revoke a random key, but never the last one."""
     if len(world.keys) < 2:
         return
     key = world.rng.choice(world.keys)
@@ -159,7 +171,7 @@
 
 
 async def inject_store_fault(world):
-    """Let the store be down, slow or lose answers for a while."""
+    """Make the store unavailable, slow or lose answers for a random time."""
     store = world.store
     fault = world.rng.choice(('down', 'slow', 'lost'))
     _record_fault(world, 'store', fault)
@@ -177,7 +189,7 @@
 
 
 async def compact_store(world):
-    """Let the store forget its history."""
+    """Compact the store, which discards its history of changes."""
     _record_fault(world, 'store', 'compact')
     world.store.objects.compact()
 
--- a/pollenstile/soak/live/_hosts.py
+++ b/pollenstile/soak/live/_hosts.py
@@ -1,4 +1,4 @@
-"""Entry hosts of a live run: processes that signals strike."""
+"""Entry hosts of a live run: processes that are controlled by signals."""
 
 import os
 import signal
@@ -12,7 +12,7 @@
 from pollenstile.soak.live._proxy import LOOPBACK, Proxy
 
 COMMAND = (sys.executable, '-m', 'pollenstile.ops')
-# Seconds that a host has to finish after SIGTERM until it is killed.
+# Seconds that a host has to shut down after SIGTERM before it is killed.
 GRACE_SECONDS = 5.0
 REVOKE_SECONDS = 3.0
 DRAIN_SECONDS = 2.0
@@ -20,29 +20,34 @@
 
 
 class LiveHost(ProcessProtocol):
-    """One entry host: a process, and proxies before its addresses.
+    """One entry host: a process, with proxies for its connections.
 
     Parameters
     ==========
 
     world : World
-        Reactor, records and store.
+        Reactor, records and store of the run.
     name : str
-        Of the host.
+        Name of the host.
     command : tuple of str
-        Runs the program; its flags follow.
+        Command that runs the program; the flags are appended.
 
     Attributes
     ==========
 
     callers, peers, store : Proxy
-        Before the callers' and the peers' address, and towards the store.
+        Proxies for connections from callers, from peers and to the store.
     ready : bool
-        Whether it said so when it was asked last.
+        Whether the last readiness probe succeeded.
     ready_address : tuple or None
-        Where it is asked; None while it does not run.
-    paused, leaving, wanted : bool
-        Whether it stands still, was told to stop, is to run at all.
+        Address for readiness probes; None while the process doesn't run.
+    paused, leaving, should_run : bool
+        Whether the process is suspended, is shutting down, and is restarted
+        when it ends.
+    ended : Deferred
+        Fires when the process has ended.
+    output_tail : list of str
+        Standard error, and lines of the log that are not JSON.
     """
 
     def __init__(self, world, name, command=COMMAND):
@@ -89,21 +94,21 @@
         )
 
     def kill(self):
-        """End it at once."""
+        """Kill the process."""
         self._signal(signal.SIGKILL)
 
     def pause(self):
-        """Let it stand still."""
+        """Suspend the process."""
         self._signal(signal.SIGSTOP)
         self.paused = True
 
     def resume(self):
-        """Let it go on."""
+        """Resume the process."""
         self._signal(signal.SIGCONT)
         self.paused = False
 
     def stop(self):
-        """Tell it to stop; it is killed when its grace time is over."""
+        """Shut the process down; kill it when its grace time has passed."""
         if self.leaving or not self.is_running():
             return
         self.leaving = True
@@ -114,11 +119,11 @@
         )
 
     def is_running(self):
-        """Return whether the process lives."""
+        """Return whether the process is running."""
         return self.transport is not None and self.transport.pid is not None
 
     def end_permanently(self):
-        """Kill it and start it no more; return a Deferred of its end."""
+        """Kill the process without a restart; return a Deferred of its end."""
         self.should_run = False
         if self.is_running():
             self.kill()
@@ -128,23 +133,23 @@
         return done
 
     def outReceived(self, data):
-        """Read its log; called by twisted."""
+        """Read lines of the log; called by twisted."""
         *lines, partial_line = (self.partial_line + data).split(b'\n')
         self.partial_line = partial_line
         for line in lines:
             self._handle_log_line(line)
 
     def errReceived(self, data):
-        """Keep what it says last; called by twisted."""
+        """Keep standard error; called by twisted."""
         self.output_tail.append(data.decode(errors='replace'))
 
     def processEnded(self, reason):
-        """Start it again; called by twisted."""
+        """Reset the proxies and schedule a restart; called by twisted."""
         expected = self.leaving or reason.value.signal == signal.SIGKILL
         if not expected:
             last = ''.join(self.output_tail)[-600:]
             self.world.records.broken.append(
-                f'ended by itself: {self.name}: {reason.value}: {last}'
+                f'ended unexpectedly: {self.name}: {reason.value}: {last}'
             )
         self.ready_address = None
         self.callers.target = None
@@ -165,7 +170,9 @@
 
     def _kill_if_running(self, pid):
         if self.is_running() and self.transport.pid == pid:
-            self.world.records.broken.append(f'not stopped: {self.name}')
+            self.world.records.broken.append(
+                f'not stopped in time: {self.name}'
+            )
             self.kill()
 
     def _handle_log_line(self, line):
--- a/pollenstile/soak/live/_proxy.py
+++ b/pollenstile/soak/live/_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, holds back, silences and resets."""
+"""Loopback TCP proxy that can delay, block, drop and reset connections."""
 
 from collections import deque
 
@@ -8,22 +8,22 @@
 
 
 class _ProxyEnd(Protocol):
-    """One end of a proxied connection; hands its bytes to the other end."""
+    """One end of a proxied connection, which forwards bytes to the other."""
 
     def __init__(self, connection, direction):
         self.connection = connection
         self.direction = direction
 
     def connectionMade(self):
-        """Begin; called by twisted."""
+        """Report that this end is open; called by twisted."""
         self.connection.opened(self)
 
     def dataReceived(self, data):
-        """Take bytes; called by twisted."""
+        """Forward received bytes; called by twisted."""
         self.connection.forward(self.direction, data)
 
     def connectionLost(self, reason):
-        """End; called by twisted."""
+        """Report that this end is closed; called by twisted."""
         self.connection.ended(self)
 
 
@@ -34,14 +34,19 @@
     ==========
 
     silent : bool
-        Whether it swallows all bytes for good, as a path does that has lost
-        track of a connection.
+        Whether all further bytes are dropped, as by a middlebox that lost the
+        state of a connection.
+    is_closed : bool
+        Whether both ends are closed.
+    unsent : list of bytes
+        Bytes that were received before the server's end was connected.
     held : list of tuple
-        Direction and bytes that a cut holds back.
-    late : dict
-        Bytes that are delayed, by direction.
+        Direction and bytes that are held back while a direction is blocked.
+    delayed : dict
+        Delayed bytes by direction.
     closing : bool
-        Whether one end has closed; the other follows when all is delivered.
+        Whether one end has closed; the other one closes when all delayed
+        bytes are delivered.
     """
 
     def __init__(self, proxy):
@@ -56,7 +61,7 @@
         self.closing = False
 
     def opened(self, side):
-        """Connect on, or hand over what came meanwhile."""
+        """Connect to the target, or send the bytes received meanwhile."""
         if side is self.caller:
             self.proxy.connect(self)
             return
@@ -66,7 +71,7 @@
             side.transport.write(data)
 
     def forward(self, direction, data):
-        """Carry bytes, as far as the faults of the link let them."""
+        """Forward bytes subject to the faults of the link."""
         if self.silent or self.is_closed:
             return
         if direction in self.proxy.blocked:
@@ -75,8 +80,8 @@
         if not (self.proxy.delay or self.delayed[direction]):
             self._write(direction, data)
             return
-        # One queue a direction: bytes never overtake each other, also when
-        # the delay ends.
+        # One queue per direction keeps the order of bytes, also when the
+        # delay ends.
         self.delayed[direction].append(data)
         self.proxy.reactor.callLater(
             self.proxy.delay, self._write_delayed, direction
@@ -88,14 +93,14 @@
             self.close()
 
     def heal(self):
-        """Deliver what a cut held back."""
+        """Forward the bytes that were held back."""
         held = self.held
         self.held = []
         for direction, data in held:
             self.forward(direction, data)
 
     def ended(self, side):
-        """Close the other end too, once its bytes are through."""
+        """Close the other end too, once delayed bytes are delivered."""
         if self.is_closed or self.silent or self.held:
             return
         self.closing = True
@@ -103,7 +108,7 @@
             self.close()
 
     def close(self, *, reset=False):
-        """End both sides."""
+        """Close or reset both ends."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -133,33 +138,33 @@
         self.connection = connection
 
     def buildProtocol(self, address):
-        """Return the server's side; called by twisted."""
+        """Return the server's end; called by twisted."""
         self.connection.server = _ProxyEnd(self.connection, 'caller')
         return self.connection.server
 
     def clientConnectionFailed(self, connector, reason):
-        """Refuse the caller as well; called by twisted."""
+        """Reset the caller's connection; called by twisted."""
         self.connection.close(reset=True)
 
 
 class Proxy(Factory):
-    """Listens, and passes connections on to a target that may change.
+    """Forwards connections to a target that may change.
 
     Parameters
     ==========
 
     reactor : IReactorTCP and IReactorTime
-        Of the soak.
+        Reactor of the run.
 
     Attributes
     ==========
 
     target : tuple or None
-        IP number and port; None refuses.
+        IP number and port; with None, connections are reset.
     delay : float
-        Seconds for which bytes are held, each way.
-    cut : set of str
-        Directions, ``'server'`` and ``'caller'``, in which nothing passes.
+        Delay of bytes in each direction, in seconds.
+    blocked : set of str
+        Blocked directions: ``'server'`` and ``'caller'``.
     """
 
     noisy = False
@@ -174,13 +179,13 @@
         self.address = (LOOPBACK, self.port.getHost().port)
 
     def buildProtocol(self, address):
-        """Return the caller's side; called by twisted."""
+        """Return the caller's end; called by twisted."""
         connection = _ProxiedConnection(self)
         self.connections.add(connection)
         return connection.caller
 
     def connect(self, connection):
-        """Connect a new connection on."""
+        """Connect a new connection to the target."""
         if self.target is None:
             connection.close(reset=True)
             return
@@ -192,27 +197,27 @@
             connection.close(reset=True)
 
     def silence(self):
-        """Let all connections there are go silent for good."""
+        """Drop all further bytes of the current connections."""
         for connection in list(self.connections):
             connection.silent = True
 
     def block(self, *directions):
-        """Let nothing pass in some directions until healed."""
+        """Hold bytes back in some directions until :meth:`heal`."""
         self.blocked.update(directions)
 
     def slow(self, seconds):
-        """Delay bytes from now on."""
+        """Delay bytes until :meth:`heal`."""
         self.delay = seconds
 
     def heal(self):
-        """End delay and cut; connections that went silent stay so."""
+        """End delays and blocks; silenced connections stay silent."""
         self.delay = 0.0
         self.blocked.clear()
         for connection in list(self.connections):
             connection.heal()
 
     def close(self):
-        """End all; return a Deferred."""
+        """Reset all connections and stop listening; return a Deferred."""
         for connection in list(self.connections):
             connection.close(reset=True)
         return self.port.stopListening()
--- a/pollenstile/soak/live/_records.py
+++ b/pollenstile/soak/live/_records.py
@@ -1,4 +1,4 @@
-"""What callers and upstreams have seen of a live run."""
+"""Records of callers and upstreams in a live run."""
 
 from dataclasses import dataclass, field
 
@@ -11,31 +11,31 @@
     ==========
 
     ident : str
-        The attempt that it names.
+        Attempt identifier that the request carries.
     kind : str
-        Name of its route.
+        Name of the route.
     host : str
-        Where it went.
+        Host that the request was sent to.
     key : str
-        That it carried.
+        Key that the request carries.
     sent_at : float
-        On the clock; 0 until it is sent whole.
+        Clock time at which it was sent.
     deadline : float
-        Seconds.
+        Deadline relative to ``sent_at``, in seconds.
     content : str
-        What is asked; requests that repeat one another share it.
+        Content of the request; repeats of a request share it.
 
     Attributes
     ==========
 
     status : int
-        Of its final answer; 0 when its connection ended without one.
+        Status of the final answer; 0 when the connection ended without one.
     body : bytes
-        As far as it came.
-    whole : bool
-        Whether the answer said of itself that it is whole.
+        Received part of the body.
+    complete : bool
+        Whether the answer was properly terminated.
     ended_at : float
-        On the clock; 0 while it is under way.
+        Clock time at which the request ended; 0 while it is in progress.
     """
 
     ident: str
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One thing that was done.
+    """One injected fault, planned change or end of a fault.
 
     Parameters
     ==========
@@ -80,7 +80,13 @@
 
 @dataclass(slots=True)
 class Drain:
-    """A failure domain was drained: when the store took it, and its end."""
+    """Drain of a failure domain: times at which the store stored both writes.
+
+    Explanation
+    ===========
+
+    ``ended`` is 0 while the domain is drained.
+    """
 
     domain: str
     began: float
@@ -89,31 +95,31 @@
 
 @dataclass(slots=True)
 class Records:
-    """All of a run.
+    """All records of a run.
 
     Attributes
     ==========
 
-    asked : list of Asked
-        In the order in which they were sent.
-    ran : list of Ran
-        In the order in which they arrived.
+    requests : list of RequestRecord
+        Requests in the order in which they were sent.
+    runs : list of RunRecord
+        Runs in the order in which they arrived.
     left_at : dict
-        When the store took an upstream's word that it leaves.
+        Time at which the store accepted that an upstream is leaving.
     revoked_at : dict
-        When the store took a configuration without a key.
+        Time at which the store accepted a configuration without a key.
     drains : list of Drain
-        In the order in which they began.
+        Drains in the order in which they began.
     upstreams : dict
-        Failure domain of each upstream, and until when it was cold.
+        Failure domain of each upstream, and end of its cold period.
     faults : list of Fault
-        What was done, in order.
-    ended_by : list of tuple
-        When a request has ended its upstream, and its content.
+        Faults and planned changes, in order.
+    crashes : list of tuple
+        Time at which a request crashed its upstream, and its content.
     calm_from : float
-        From then on there is no fault; 0 before.
+        Time from which on there are no more faults; 0 before.
     broken : list of str
-        What was seen that must not be.
+        Violated invariants.
     """
 
     requests: list = field(default_factory=list)
@@ -128,8 +134,8 @@
     calm_from: float = 0.0
 
     def runs_by_ident(self):
-        """Return runs by the request that they belong to."""
-        found = {}
-        for one in self.runs:
-            found.setdefault(one.ident, []).append(one)
-        return found
+        """Return lists of runs by the identifier of their request."""
+        runs = {}
+        for run in self.runs:
+            runs.setdefault(run.ident, []).append(run)
+        return runs
--- a/pollenstile/soak/live/_run.py
+++ b/pollenstile/soak/live/_run.py
@@ -1,4 +1,4 @@
-"""One live run, from the first process to the last."""
+"""One live run: start, faults, crashing requests and planned changes."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -15,21 +15,21 @@
 from pollenstile.soak.live._servers import COLD_SECONDS
 from pollenstile.soak.live._world import DOMAINS, World
 
-# Seconds in which hosts must be ready at first.
+# Seconds within which all hosts must be ready after the start.
 _START_SECONDS = 20.0
-# Seconds between two faults, on average; they last up to four times as long.
+# Mean seconds between two faults, which last up to four times as long.
 _MEAN_FAULT_PAUSE_SECONDS = 0.35
-# Seconds after the last fault until all is in order again: the longest fault,
-# the grace time of a host that was told to stop, its start and links, and the
-# three seconds for which a host that lost its reader reads for itself.
+# Seconds for recovery after the last fault: the longest fault, the grace time
+# of a host that is shutting down, its start and its connections, and the three
+# seconds for which a host that lost its reader reads the store itself.
 _SETTLE_SECONDS = 9.0
-# Seconds of requests without faults before and after a host is told to stop;
-# an upstream leaves at their beginning.
+# Seconds of requests without faults before and after a host is shut down; an
+# upstream leaves at their beginning.
 _CALM_SECONDS = 3.0
-# Seconds beyond them for which a failure domain stays drained meanwhile.
+# Seconds beyond these for which a failure domain stays drained.
 _EXTRA_DRAINED_SECONDS = 1.5
-# Seconds for which a request that ends its upstreams comes again: it may reach
-# them freely for three seconds after the third.
+# Seconds for which a request that crashes its upstreams is repeated: it may
+# reach them without limit for three seconds after the third crash.
 _CRASHING_SECONDS = 5.5
 _CALLER_COUNT = 14
 _READY_POLL_SECONDS = 0.05
@@ -37,19 +37,19 @@
 
 @dataclass(slots=True, frozen=True)
 class LiveResult:
-    """What a run came to.
+    """Result of a run.
 
     Parameters
     ==========
 
     seed : int
-        Decides the faults.
+        Seed of the faults.
     outcomes : dict
-        How many requests ended with each status; 0 is a lost connection.
+        Number of requests by status; 0 is a lost connection.
     faults : tuple of Fault
-        What was done.
+        Injected faults and planned changes.
     broken : tuple of str
-        Promises that did not hold.
+        Violated invariants.
     """
 
     seed: int
@@ -72,16 +72,20 @@
     ==========
 
     reactor : IReactorTCP, IReactorTime and IReactorProcess
-        Real.
+        The real reactor.
+    seed : int
+        Seed of the faults.
     seconds : float
-        For which faults go on.
+        Duration of the faults.
+    hosts : int
+        Number of entry hosts.
     command : tuple of str
-        Runs the program ``pollenstile``.
+        Command that runs the program ``pollenstile``.
     logs : file or None
-        Takes the hosts' log lines, as bytes.
+        Binary file that the hosts' log lines are written to.
     """
     world = World(reactor, seed, hosts, command, logs)
-    # A soak that is itself told to stop leaves no hosts behind.
+    # Kill the hosts when the soak itself is terminated.
     trigger = reactor.addSystemEventTrigger('before', 'shutdown', world.kill)
     try:
         await _run_phases(world, seconds)
@@ -91,7 +95,7 @@
     records = world.records
     return LiveResult(
         seed,
-        dict(Counter(one.status for one in records.requests)),
+        dict(Counter(record.status for record in records.requests)),
         tuple(records.faults),
         tuple(find_violations(records)),
     )
@@ -121,20 +125,20 @@
 
 async def _inject_faults(world, seconds):
     reactor = world.reactor
-    ends = reactor.seconds() + seconds
-    under_way = []
-    while reactor.seconds() < ends:
+    end = reactor.seconds() + seconds
+    running_faults = []
+    while reactor.seconds() < end:
         fault = world.rng.choice(FAULTS)
-        under_way.append(Deferred.fromCoroutine(fault(world)))
+        running_faults.append(Deferred.fromCoroutine(fault(world)))
         pause = world.rng.expovariate(1 / _MEAN_FAULT_PAUSE_SECONDS)
         await deferLater(reactor, pause)
-    for one in under_way:
-        await one
+    for running in running_faults:
+        await running
     await deferLater(reactor, _SETTLE_SECONDS)
 
 
 async def _send_crashing_requests(world):
-    """Let requests come again and again that end their upstreams."""
+    """Repeat requests that crash their upstreams."""
     for kind in CRASHING_KINDS:
         await Caller(world, 0).repeat_crashing(kind, _CRASHING_SECONDS)
     await deferLater(world.reactor, COLD_SECONDS)
@@ -147,7 +151,7 @@
 
 
 async def _run_planned_changes(world):
-    """Let an upstream leave, a key go and a domain drain, and a host stop."""
+    """Remove an upstream, revoke a key, drain a domain and stop a host."""
     reactor = world.reactor
     world.records.calm_from = reactor.seconds()
     service = world.rng.choice(('lookup', 'engines'))
--- a/pollenstile/soak/live/_servers.py
+++ b/pollenstile/soak/live/_servers.py
@@ -1,4 +1,4 @@
-"""Upstreams of a live run: one server each, behind a proxy, with faults."""
+"""Upstreams of a live run: HTTP servers with faults, each behind a proxy."""
 
 import msgspec
 from twisted.internet.defer import Deferred, gatherResults, maybeDeferred
@@ -14,15 +14,15 @@
 PLAIN = 'lookup'
 ENGINES = 'engines'
 STAGES = ('encode', 'rerank')
-# Events of a stream, and seconds between them.
+# Number of events of a stream, and seconds between them.
 EVENTS = 12
 _EVENT_GAP_SECONDS = 0.04
 # Seconds for which an upstream is cold, counted by a host from when it reads
-# so, and the requests a second that it bears.
+# the entry, and the requests a second that it may get meanwhile.
 COLD_SECONDS = 1.0
 COLD_RATE = 6.0
-# Of the target of requests that end the upstream that runs them, and seconds
-# until then.
+# Prefix in the target of requests that crash the upstream that runs them, and
+# seconds until the crash.
 CRASHING_PREFIX = 'deadly'
 _CRASH_DELAY_SECONDS = 0.03
 # Seconds that a lookup and a stage call take.
@@ -34,7 +34,7 @@
 
 
 def lookup_body(ident):
-    """Return the whole answer of a lookup."""
+    """Return the complete body of a lookup's answer."""
     return f'answer of {ident};'.encode() * 9
 
 
@@ -50,16 +50,16 @@
     ==========
 
     world : World
-        Clock, random generator, records and results.
+        Clock, random generator, records and results of the run.
     service, ident, domain : str
-        What it is, and where.
+        Service, incarnation and failure domain.
 
     Attributes
     ==========
 
     fault : str
-        ``''``, ``'hang'``, ``'fail'``, ``'lose'`` (runs and loses the answer),
-        ``'cut'`` (breaks answers off) or ``'slow'``.
+        ``''``, ``'hang'``, ``'fail'``, ``'lose'`` (runs the request and loses
+        the answer), ``'cut'`` (aborts answers) or ``'slow'``.
     """
 
     def __init__(self, world, service, ident, domain):
@@ -75,12 +75,12 @@
 
     @property
     def address(self):
-        """Where hosts reach it."""
+        """Address of the proxy, which hosts connect to."""
         host, port = self.proxy.address
         return f'{host}:{port}'
 
     def entry(self, *, leaving=False):
-        """Return what it writes of itself into the registry."""
+        """Return the upstream's entry for the registry."""
         return {
             'service': self.service,
             'address': self.address,
@@ -91,16 +91,16 @@
         }
 
     def record_run(self, ident, team=''):
-        """Note a run."""
+        """Record a run of a request."""
         now = self.world.reactor.seconds()
         self.world.records.runs.append(RunRecord(ident, self.ident, now, team))
 
     def work_seconds(self):
-        """Return seconds that a call takes."""
+        """Return the duration of a call in seconds."""
         return _SLOW_WORK_SECONDS if self.fault == 'slow' else _WORK_SECONDS
 
     def crash(self):
-        """End with all connections; nobody listens at the address then."""
+        """Reset all connections and stop listening; return a Deferred."""
         self.proxy.target = None
         ended = [
             maybeDeferred(self.proxy.close),
@@ -110,7 +110,7 @@
 
 
 class _FaultyResource(Resource):
-    """A resource that checks whom a request is meant for, and has faults."""
+    """A resource with faults, which checks a request's expected incarnation."""
 
     isLeaf = True
 
@@ -151,7 +151,7 @@
             Deferred.fromCoroutine(world.replace_server(self.server))
 
     def note(self, request, ident):
-        """Note a run, and whether its answer is lost."""
+        """Record a run; return whether its answer is lost."""
         team = request.getHeader(NAMES.team) or b''
         self.server.record_run(ident, team.decode())
         if self.server.fault != 'lose':
@@ -161,7 +161,7 @@
 
 
 class _LookupResource(_FaultyResource):
-    """Lookups."""
+    """Resource of the lookup service."""
 
     def serve(self, request, ident):
         """Run a lookup."""
@@ -189,21 +189,21 @@
 
 
 class _StreamResource(_FaultyResource):
-    """Streams."""
+    """Resource of the engines, which stream events."""
 
     def serve(self, request, ident):
-        """Run a request, or go on with one."""
-        stated = request.getHeader(NAMES.results) or b''
-        handles = [one for one in stated.decode().split(',') if one]
+        """Run a request, or resume one after its last event."""
+        header = request.getHeader(NAMES.results) or b''
+        handles = [handle for handle in header.decode().split(',') if handle]
         results = self.server.world.results
-        if not handles or any(one not in results for one in handles):
+        if not handles or any(handle not in results for handle in handles):
             request.setHeader(NAMES.not_run, b'1')
             request.setResponseCode(_CONFLICT)
             return b''
         for handle in handles:
             if results[handle] != ident:
                 self.server.world.records.broken.append(
-                    f'mixed: {ident} was given a result of {results[handle]}'
+                    f'mixed: {ident} received a result of {results[handle]}'
                 )
         if self.note(request, ident):
             return NOT_DONE_YET
@@ -230,10 +230,10 @@
 
 
 class _StageResource(_FaultyResource):
-    """Pieces of requests."""
+    """Resource of the stage services, which run batches of pieces."""
 
     def serve(self, request, ident):
-        """Make a batch, or release results."""
+        """Run a batch, or release results."""
         content = request.content.read()
         results = self.server.world.results
         if request.path == FREE_TARGET:
@@ -251,21 +251,21 @@
         return NOT_DONE_YET
 
     def _finish_batch(self, request, pieces):
-        made = [self._run_piece(piece) for piece in pieces]
+        handles = [self._run_piece(piece) for piece in pieces]
         if self.server.fault == 'lose':
             _abort(request)
             return
         if _is_over(request):
             return
-        request.write(msgspec.json.encode(made))
+        request.write(msgspec.json.encode(handles))
         request.finish()
 
     def _run_piece(self, piece):
         world = self.server.world
-        if any(one not in world.results for one in piece['inputs']):
+        if any(handle not in world.results for handle in piece['inputs']):
             return ''
-        for one in piece['inputs']:
-            if world.results[one] != piece['request']:
+        for handle in piece['inputs']:
+            if world.results[handle] != piece['request']:
                 world.records.broken.append(f'mixed piece: {piece}')
         world.result_count += 1
         handle = f'{self.server.address}/{world.result_count}'
--- a/pollenstile/soak/live/_world.py
+++ b/pollenstile/soak/live/_world.py
@@ -1,4 +1,4 @@
-"""A live run's store, upstreams, hosts and callers."""
+"""Deployment of a live run: store, upstreams and hosts."""
 
 from functools import partial
 from random import Random
@@ -23,11 +23,11 @@
 from pollenstile.standin.objectapi import MemoryStore, platform_site
 
 _UPSTREAM_COUNTS = ((PLAIN, 3), (ENGINES, 3), (STAGES[0], 2), (STAGES[1], 2))
-# Hosts are in the first one.
+# Failure domains of upstreams; all hosts are in the first one.
 DOMAINS = ('here', 'there')
-# Seconds until the entry of an upstream that has ended is gone.
+# Seconds until the entry of a crashed upstream lapses.
 _ENTRY_LAPSE_SECONDS = 1.0
-# Seconds between tries of a write.
+# Seconds between attempts of a write.
 _RETRY_SECONDS = 0.1
 _KEYS = ('key-a', 'key-b', 'key-c')
 _STAGE_STEPS = [
@@ -43,35 +43,39 @@
 
 
 class World:
-    """Everything around the hosts.
+    """State of one live run.
 
     Parameters
     ==========
 
     reactor : IReactorTCP, IReactorTime and IReactorProcess
-        Real.
+        The real reactor.
     seed : int
-        Decides the faults; what they meet is the machine's.
+        Seed of the faults; the timing of the processes varies between runs.
     hosts : int
-        How many entry hosts.
+        Number of entry hosts.
     command : tuple of str
-        Runs the program.
+        Command that runs the program.
     logs : file or None
-        Takes the hosts' log lines, as bytes.
+        Binary file that the hosts' log lines are written to.
 
     Attributes
     ==========
 
     results : dict
-        Requests by the handle of their stage results.
+        Identifier of the request by handle of a stage result.
+    result_count : int
+        Number of stage results so far.
+    started : int
+        Number of upstreams started so far.
     servers : dict
-        Upstreams that run, by incarnation.
-    asking : bool
-        Whether callers go on.
+        Running upstreams by incarnation.
+    is_sending : bool
+        Whether callers send requests.
     keys : list of str
-        In the newest configuration.
+        Keys of the newest configuration.
     all_keys : tuple of str
-        That there ever were.
+        All keys, including revoked ones.
     """
 
     def __init__(self, reactor, seed, hosts, command=COMMAND, logs=None):
@@ -119,8 +123,10 @@
         ==========
 
         domain : str
-            That of the one whose place it takes; a service with all upstreams
-            in one domain could not be served while that is drained.
+            Failure domain of the upstream that it replaces. When all upstreams
+            of a service were in one domain, the service would be unavailable
+            while that domain is drained. With ``''``, the domain with the
+            fewest upstreams of the service is chosen.
         """
         self.started += 1
         domain = domain or _least_used_domain(self.servers_of(service))
@@ -132,49 +138,49 @@
         await self._write('upstreams', server.ident, server.entry())
 
     async def leave_server(self, server):
-        """Let an upstream tell that it leaves."""
+        """Mark an upstream's entry as leaving."""
         entry = server.entry(leaving=True)
         await self._write('upstreams', server.ident, entry)
         self.records.left_at[server.ident] = self.reactor.seconds()
 
     async def drain(self, domain):
-        """Drain a failure domain; return the record of it."""
+        """Drain a failure domain; return the record of the drain."""
         await self._write(DRAINED, domain, {})
         drain = Drain(domain, self.reactor.seconds())
         self.records.drains.append(drain)
         return drain
 
     async def end_drain(self, drain):
-        """Let a failure domain have work again."""
+        """End the drain of a failure domain."""
         delete = partial(self.store.delete, DRAINED, drain.domain)
         await self._retry_until_written(delete)
         drain.ended = self.reactor.seconds()
 
     async def crash_server(self, server):
-        """End an upstream at once; its entry lapses later."""
+        """Crash an upstream; its entry lapses later."""
         self.servers.pop(server.ident, None)
         await server.crash()
         delete = partial(self.store.delete, 'upstreams', server.ident)
 
         def delete_entry():
-            # As heartbeats no longer come.
+            # The store would remove the entry for lack of heartbeats.
             Deferred.fromCoroutine(self._retry_until_written(delete))
 
         self.reactor.callLater(_ENTRY_LAPSE_SECONDS, delete_entry)
 
     async def replace_server(self, server):
-        """End an upstream at once, and start another one."""
+        """Crash an upstream and start another one."""
         await self.crash_server(server)
         await self.add_server(server.service, server.domain)
 
     async def revoke(self, key):
-        """Take a key away."""
+        """Revoke a key by a new configuration without it."""
         self.keys.remove(key)
         await self.configure()
         self.records.revoked_at[key] = self.reactor.seconds()
 
     def accepting_hosts(self):
-        """Return hosts that callers connect to."""
+        """Return the hosts that are ready, or all hosts when none is."""
         accepting = [
             host
             for host in self.hosts
@@ -183,7 +189,7 @@
         return accepting or self.hosts
 
     def servers_of(self, service):
-        """Return the upstreams of a service that run."""
+        """Return the running upstreams of a service."""
         return [
             server
             for server in self.servers.values()
@@ -191,17 +197,17 @@
         ]
 
     def write_log_line(self, line):
-        """Keep a line of a host's log."""
+        """Write a line of a host's log to the log file, if there is one."""
         if self.logs is not None:
             self.logs.writelines((line, b'\n'))
 
     def kill(self):
-        """End the processes that the run started, at once."""
+        """Kill the processes that the run started."""
         for host in self.hosts:
             host.end_permanently()
 
     async def close(self):
-        """End all processes and ports that the run started."""
+        """End all processes and close all ports that the run started."""
         self.is_sending = False
         for host in self.hosts:
             await host.end_permanently()
@@ -217,7 +223,7 @@
         )
 
     async def _retry_until_written(self, call):
-        """Repeat a call until the store has said that it was done."""
+        """Repeat a call until the store has confirmed the write."""
         while not isinstance(await call(), Written):
             await deferLater(self.reactor, _RETRY_SECONDS)
 
@@ -242,9 +248,9 @@
 
 
 def _least_used_domain(servers):
-    """Return where fewest of a service's first upstreams are."""
-    places = [server.domain for server in servers]
-    return min(DOMAINS, key=places.count)
+    """Return the domain with the fewest upstreams of a service."""
+    used_domains = [server.domain for server in servers]
+    return min(DOMAINS, key=used_domains.count)
 
 
 def _route(name, kind, service, steps=(), attempts=1, *, resumable=False):
