--- a/features/soak.feature
+++ b/features/soak.feature
@@ -18,8 +18,8 @@
       | 76   |
 
   Scenario Outline: A soak catches a missing guard
-    When the guard that ensures an invariant is removed, some seed must violate
-    this invariant. Otherwise the soak could not detect a fault of the guard.
+    Without the guard that ensures an invariant, some seed must violate this
+    invariant. Otherwise the soak could not detect a fault of the guard.
     When soaks from seed <seed> of <steps> steps are run without "<guard>"
     Then one of the soaks reports "<invariant>" with a tail and exit code 1
 
--- a/pollenstile/soak/_channel.py
+++ b/pollenstile/soak/_channel.py
@@ -17,14 +17,14 @@
         State of each cut link, by pair of host and upstream.
     no_platform : set of str
         Hosts that can't reach the platform.
-    parted : set of frozenset
+    partitioned : set of frozenset
         Pairs of hosts' addresses that can't exchange messages.
     disturbed_share : float
         Probability that a message to a host is lost, duplicated, delayed,
         reordered or misdelivered.
     """
 
-    __slots__ = ('disturbed_share', 'cut', 'no_platform', 'partitioned')
+    __slots__ = ('cut', 'disturbed_share', 'no_platform', 'partitioned')
 
     def __init__(self):
         self.cut = {}
--- a/pollenstile/soak/live/_checks.py
+++ b/pollenstile/soak/live/_checks.py
@@ -69,7 +69,7 @@
         if record.body != _expected_body(record):
             yield f'wrong answer: {record.ident}: {_summary_of(record.body)}'
     elif record.status == 404:
-        yield f'unexpected status 404: {record.ident}'
+        yield f'unexpected status: {record.ident}: 404'
 
 
 def _summary_of(body):
@@ -101,7 +101,7 @@
     revoked = revoked_at.get(record.key)
     if revoked is None:
         if record.status == _UNAUTHORIZED:
-            yield f'unexpected status 401: {record.ident}: its key is valid'
+            yield f'unexpected status: {record.ident}: 401, but its key is valid'
         return
     if runs and record.sent_at > revoked + REVOKE_SECONDS + _DELIVERY_SECONDS:
         late = record.sent_at - revoked
--- a/pollenstile/soak/live/_servers.py
+++ b/pollenstile/soak/live/_servers.py
@@ -194,9 +194,9 @@
     def serve(self, request, ident):
         """Run a request, or resume one after its last event."""
         header = request.getHeader(NAMES.results) or b''
-        handles = [handle for handle in header.decode().split(',') if handle]
+        handles = [item for item in header.decode().split(',') if item]
         results = self.server.world.results
-        if not handles or any(handle not in results for handle in handles):
+        if not handles or any(item not in results for item in handles):
             request.setHeader(NAMES.not_run, b'1')
             request.setResponseCode(_CONFLICT)
             return b''
@@ -262,10 +262,13 @@
 
     def _run_piece(self, piece):
         world = self.server.world
-        if any(handle not in world.results for handle in piece['inputs']):
+        if any(
+            input_handle not in world.results
+            for input_handle in piece['inputs']
+        ):
             return ''
-        for handle in piece['inputs']:
-            if world.results[handle] != piece['request']:
+        for input_handle in piece['inputs']:
+            if world.results[input_handle] != piece['request']:
                 world.records.broken.append(f'mixed piece: {piece}')
         world.result_count += 1
         handle = f'{self.server.address}/{world.result_count}'
