--- a/features/builders/livemutant.py
+++ b/features/builders/livemutant.py
@@ -19,7 +19,7 @@
 from pollenstile.ops.running import result_of
 from pollenstile.soak.live import run_live
 
-_MOST_SEEDS = 6
+_MAX_SEEDS = 6
 
 
 def _retry_all(route, outcome, sends, runs, *, resumed, may_repeat):
@@ -37,10 +37,10 @@
 
 def without_new_configuration():
     """Never replace the first configuration."""
-    replaced = _configuration.Configuration._replace_table
+    original = _configuration.Configuration._replace_table
 
     def keep(reader, found):
-        return reader.table is not None or replaced(reader, found)
+        return reader.table is not None or original(reader, found)
 
     _configuration.Configuration._replace_table = keep
 
@@ -103,14 +103,18 @@
     from twisted.internet import reactor
 
     run_steadily(reactor)
-    seeds = range(1, _MOST_SEEDS + 1)
+    seeds = range(1, _MAX_SEEDS + 1)
     result = result_of(
         reactor, lambda: find_violating_run(reactor, guard, seeds)
     )
     if result is None:
-        sys.stdout.write(f'{guard}: not noticed in {_MOST_SEEDS} seeds\n')
+        sys.stdout.write(f'{guard}: not detected in {_MAX_SEEDS} seeds\n')
         return 1
-    lines = (f'{guard}: seed {result.seed} noticed', *result.broken[:2], '')
+    lines = (
+        f'{guard}: seed {result.seed} found violations',
+        *result.broken[:2],
+        '',
+    )
     sys.stdout.write('\n  '.join(lines))
     return 0
 
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -12,7 +12,7 @@
 from pollenstile.soak import run_soak
 from pollenstile.soak._process import Process
 
-_MOST_SEEDS = 12
+_MAX_SEEDS = 12
 
 
 @then('soak seed {seed:d} of {steps:d} steps gives the same digest twice')
@@ -47,7 +47,7 @@
     # Any change of the code changes the runs, so later seeds are tried too.
     context.runs = (
         _run_without(guard, number, steps)
-        for number in range(seed, seed + _MOST_SEEDS)
+        for number in range(seed, seed + _MAX_SEEDS)
     )
 
 
--- a/pollenstile/soak/_faults.py
+++ b/pollenstile/soak/_faults.py
@@ -117,14 +117,14 @@
 
 def partition_host(world):
     """Cut a host off from the other hosts and perhaps from the platform."""
-    one = world.rng.choice(list(world.hosts))
+    isolated = world.rng.choice(list(world.hosts))
     for other in world.hosts:
-        if other != one:
-            pair = frozenset((address_of(one), address_of(other)))
+        if other != isolated:
+            pair = frozenset((address_of(isolated), address_of(other)))
             world.links.partitioned.add(pair)
     if world.chance(_NO_PLATFORM_SHARE):
-        world.links.no_platform.add(one)
-    world.trace.note('part', host=one)
+        world.links.no_platform.add(isolated)
+    world.trace.note('part', host=isolated)
     _schedule(world, 0.5, 2 * _MAX_FAULT_SECONDS, heal_partitions, world)
 
 
--- a/pollenstile/soak/_hosts.py
+++ b/pollenstile/soak/_hosts.py
@@ -70,10 +70,10 @@
         'exchanges',
         'fleet',
         'gates',
+        'leaving_incarnations',
         'name',
         'node',
         'process',
-        'leaving_incarnations',
         'versions',
         'world',
     )
--- a/pollenstile/soak/_process.py
+++ b/pollenstile/soak/_process.py
@@ -4,7 +4,7 @@
 class Timer:
     """A delayed call of one process, like the reactor's ``IDelayedCall``."""
 
-    __slots__ = ('delayed_call', 'is_overdue', 'process', 'callback')
+    __slots__ = ('callback', 'delayed_call', 'is_overdue', 'process')
 
     def __init__(self, process, delay, callback):
         self.process = process
@@ -98,10 +98,10 @@
     __slots__ = (
         'alive',
         'clock',
-        'on_crash',
         'freeze_times',
         'frozen',
         'messages',
+        'on_crash',
         'timers',
     )
 
--- a/pollenstile/soak/live/_checks.py
+++ b/pollenstile/soak/live/_checks.py
@@ -101,7 +101,7 @@
     revoked = revoked_at.get(record.key)
     if revoked is None:
         if record.status == _UNAUTHORIZED:
-            yield f'unexpected status: {record.ident}: 401, but its key is valid'
+            yield f'unexpected status: {record.ident}: 401 with a valid key'
         return
     if runs and record.sent_at > revoked + REVOKE_SECONDS + _DELIVERY_SECONDS:
         late = record.sent_at - revoked
@@ -168,7 +168,9 @@
         latest = drain.began + DRAIN_SECONDS + _LEAVE_MARGIN_SECONDS
         for run in _runs_in_domain(records, drain.domain, latest, drain.ended):
             late = run.at - drain.began
-            yield f'reached {run.upstream} {late:.2f} s after its domain drained'
+            yield (
+                f'reached {run.upstream} {late:.2f} s after its domain drained'
+            )
 
 
 def _runs_in_domain(records, domain, since, until):
@@ -216,7 +218,7 @@
     """Check that callers are served again after the last fault."""
     if not records.calm_from:
         return
-    calm = [
+    requests = [
         record
         for record in records.requests
         if record.sent_at > records.calm_from
@@ -224,9 +226,11 @@
         and record.key not in records.revoked_at
     ]
     served = [
-        record for record in calm if record.status == _OK and record.complete
+        record
+        for record in requests
+        if record.status == _OK and record.complete
     ]
-    if not calm or len(served) < _MIN_SERVED_SHARE * len(calm):
+    if not requests or len(served) < _MIN_SERVED_SHARE * len(requests):
         outcomes = Counter(
             (
                 record.kind,
@@ -236,6 +240,9 @@
             )
             if record.status != _OK
             else record.kind
-            for record in calm
+            for record in requests
+        )
+        yield (
+            f'after the last fault: {len(served)} of {len(requests)} '
+            f'requests served: {outcomes}'
         )
-        yield f'calm: {len(served)} of {len(calm)} requests served: {outcomes}'
--- a/pollenstile/soak/live/_records.py
+++ b/pollenstile/soak/live/_records.py
@@ -80,12 +80,13 @@
 
 @dataclass(slots=True)
 class Drain:
-    """Drain of a failure domain: times at which the store stored both writes.
+    """Drain of a failure domain: times of its start and its end.
 
     Explanation
     ===========
 
-    ``ended`` is 0 while the domain is drained.
+    The times are those at which the store accepted the writes. ``ended`` is 0
+    while the domain is drained.
     """
 
     domain: str
