--- a/features/builders/claims.py
+++ b/features/builders/claims.py
@@ -7,11 +7,11 @@
 from twisted.internet.defer import Deferred, maybeDeferred
 from twisted.internet.task import Clock
 
-from features.builders.loop import advanced, kept_result
-from pollenstile.claims import forwarding, join_peers, sent
+from features.builders.loop import advance_in_steps, collect_result
+from pollenstile.claims import build_forwarder, connect_peers, sent
 from pollenstile.claims._digests import object_name
 from pollenstile.claims._records import segment_from
-from pollenstile.entry import built_node
+from pollenstile.entry import build_node
 from pollenstile.manifest import (
     Domain,
     Manifest,
@@ -23,13 +23,13 @@
     text_from_manifest,
 )
 from pollenstile.ops.settings import ENTRY, settings_from
-from pollenstile.pipeline import Request, outcome_of
+from pollenstile.pipeline import Request, run_request
 from pollenstile.platform import InDoubt, Unavailable
 from pollenstile.standin.objectapi import MemoryStore
 from pollenstile.standin.virtual import (
     Times,
     VirtualUpstream,
-    calm_network,
+    healthy_network,
 )
 
 WINDOW = 600
@@ -235,7 +235,7 @@
             ENTRY,
             {'POLLENSTILE_HOST': name, 'POLLENSTILE_DOMAIN': 'here'},
         )
-        self.node = built_node(
+        self.node = build_node(
             self.clock,
             Random(f'{name}/{boot}/{world.seed}'),
             settings,
@@ -247,7 +247,7 @@
         self.claims.shards = world.shards
         self.subjects = {}
         self.is_lost = bool
-        join_peers(self.claims, self._ask_peer, self.subjects.__setitem__)
+        connect_peers(self.claims, self._ask_peer, self.subjects.__setitem__)
         self.node.in_force.offer(1, world.manifest_text, 'test')
 
     def ask(self, key, minutes=10, team='salons', pipeline='log-minutes'):
@@ -262,9 +262,9 @@
             key,
         )
         self.world.requests[request.ident] = key
-        running = Deferred.fromCoroutine(outcome_of(self.node.core, request))
+        running = Deferred.fromCoroutine(run_request(self.node.core, request))
         self.node.track(running)
-        return kept_result(running)
+        return collect_result(running)
 
     def kill(self):
         """End the host: nothing of it runs on."""
@@ -288,7 +288,7 @@
         """
 
         self.is_lost = is_lost
-        self.claims.forward = forwarding(
+        self.claims.forward = build_forwarder(
             self.name,
             live_hosts,
             partial(sent, self._ask_peer),
@@ -353,7 +353,7 @@
             name: VirtualUpstream(self.clock, name, 'service', 64, times)
             for name in ('booking-1', 'members-1')
         }
-        self.network = calm_network(self.clock, self.upstreams)
+        self.network = healthy_network(self.clock, self.upstreams)
         self.hosts = {}
         self.answers = {}
         self.requests = {}
@@ -374,7 +374,9 @@
 
     def passed(self, seconds):
         """Let time pass."""
-        advanced(self.clock, seconds, step=0.001 if seconds < 10 else 0.25)
+        advance_in_steps(
+            self.clock, seconds, step=0.001 if seconds < 10 else 0.25
+        )
 
     def runs(self, key):
         """Return how often the booking service ran a key."""
--- a/features/builders/claims_trace.py
+++ b/features/builders/claims_trace.py
@@ -178,7 +178,7 @@
     yield
 
 
-def recorded_story(seed, guard=''):
+def record_scenario(seed, guard=''):
     """Return the events of a random story in which no claim expires.
 
     Parameters
--- a/features/builders/docs.py
+++ b/features/builders/docs.py
@@ -7,7 +7,7 @@
 import shlex
 
 from pollenstile.ops.events import catalogue
-from pollenstile.ops.main import built_parser
+from pollenstile.ops.main import build_parser
 from tools.events import load_package
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
@@ -117,7 +117,7 @@
     try:
         with contextlib.redirect_stderr(printed):
             with contextlib.redirect_stdout(printed):
-                built_parser().parse_args(words)
+                build_parser().parse_args(words)
     except SystemExit as end:
         return not end.code
     return True
--- a/features/builders/fleet.py
+++ b/features/builders/fleet.py
@@ -9,7 +9,7 @@
 )
 from pollenstile.fleet import HOST, Record, apply_manifest, by_domain
 from pollenstile.peer import neighbours
-from pollenstile.platform import pauses
+from pollenstile.platform import make_pause
 
 DOMAINS = 'abcdefgh'
 
@@ -28,7 +28,7 @@
 def start_apply(world, name, reviewed, apply_id, settled=False):
     """Start to apply a changed manifest; return a list for its outcome."""
     outcomes = []
-    pause = pauses(world.clock, world.random, 0.2, 2.0)
+    pause = make_pause(world.clock, world.random, 0.2, 2.0)
     call = apply_manifest(
         world.store,
         next_text(world, name),
--- a/features/builders/livemutant.py
+++ b/features/builders/livemutant.py
@@ -14,7 +14,7 @@
 from pollenstile.forward import _configuration, _daemon, _registry, _run
 from pollenstile.forward._decisions import RetryDecision
 from pollenstile.forward._types import Refusal
-from pollenstile.ops.clock import run_steadily
+from pollenstile.ops.clock import use_boot_clock
 from pollenstile.ops.main import main
 from pollenstile.ops.running import result_of
 from pollenstile.soak.live import run_live
@@ -102,7 +102,7 @@
 def _run_seeds(guard):
     from twisted.internet import reactor
 
-    run_steadily(reactor)
+    use_boot_clock(reactor)
     seeds = range(1, _MAX_SEEDS + 1)
     result = result_of(
         reactor, lambda: find_violating_run(reactor, guard, seeds)
--- a/features/builders/platform.py
+++ b/features/builders/platform.py
@@ -9,13 +9,13 @@
 
 from pollenstile.platform import (
     Budget,
-    Caller,
+    ServerClient,
     HttpStore,
     PacedStore,
     WatchTiming,
     field_mark,
-    pauses,
-    settled_put,
+    make_pause,
+    put_with_readback,
     watch,
 )
 from pollenstile.standin.objectapi import MemoryStore
@@ -66,14 +66,14 @@
 
     def settled(self, writer, if_version, store=None):
         """Return the coroutine of a settled write with a writer's mark."""
-        return settled_put(
+        return put_with_readback(
             store or self.store,
             'config',
             'manifest',
             {'writer': writer},
             if_version,
             WRITER_MARK,
-            pauses(self.clock, self.random),
+            make_pause(self.clock, self.random),
         )
 
     def watching(self, store=None, callback=None, **timing):
@@ -208,20 +208,20 @@
         return self.body
 
 
-def listening(site):
+def listen_on_loopback(site):
     """Return a port of the real loopback that serves a site."""
     return reactor.listenTCP(0, site, interface=LOOPBACK)
 
 
 def serving(resource):
     """Return a port that serves one resource for all paths."""
-    return listening(Site(resource))
+    return listen_on_loopback(Site(resource))
 
 
 def http_caller(port, clock=reactor, timeout=20.0):
     """Return a caller of a listening port; timeouts are on ``clock``."""
     number = port.getHost().port
-    return Caller(reactor, clock, LOOPBACK, number, timeout)
+    return ServerClient(reactor, clock, LOOPBACK, number, timeout)
 
 
 def http_store(port, clock=reactor, timeout=20.0):
--- a/features/steps/badinput_steps.py
+++ b/features/steps/badinput_steps.py
@@ -13,10 +13,10 @@
 
 from features.builders.entryhost import EntryHost
 from features.builders.loop import result_of
-from features.builders.processes import command
+from features.builders.processes import run_command
 from pollenstile.ops.agents import agent_for
 from pollenstile.ops.body import BytesProducer
-from pollenstile.ops.client import caller_for
+from pollenstile.ops.client import pipeline_client
 
 _PATH = '/v1/pipelines/draft-ticket'
 _KEY = 'dispatchers-example-key'
@@ -104,7 +104,7 @@
 
 @then('a right request beside the bad one is answered')
 def right_answered(context):
-    call = caller_for(reactor, persistent=False)
+    call = pipeline_client(reactor, persistent=False)
     answer = result_of(
         call(context.host.base, 'draft-ticket', _KEY, 'a leak'),
     )
@@ -139,7 +139,7 @@
 
 @when('the entry command is run with bad input "{arguments}"')
 def run_entry(context, arguments):
-    context.finished = command('entry', *arguments.split())
+    context.finished = run_command('entry', *arguments.split())
 
 
 @then('it exits with {code:d} and {count:d} lines for its bad input')
--- a/features/steps/clocks_steps.py
+++ b/features/steps/clocks_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 from twisted.internet.selectreactor import SelectReactor
 
-from pollenstile.ops.clock import run_steadily
+from pollenstile.ops.clock import use_boot_clock
 
 _ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 _DAEMONS = ('platform/adapter/start.py', 'pollenstile/ops/_entrycmd.py')
@@ -30,7 +30,7 @@
     context.loop = SelectReactor()
     # What the library does unless it is told otherwise.
     context.loop.seconds = lambda: context.times.day
-    run_steadily(context.loop, lambda: context.times.boot)
+    use_boot_clock(context.loop, lambda: context.times.boot)
     context.fired = []
     context.loop.callLater(10, context.fired.append, 'timer')
 
--- a/features/steps/drained_steps.py
+++ b/features/steps/drained_steps.py
@@ -5,16 +5,16 @@
 from twisted.internet.task import Clock
 
 from features.builders.forward import ForwardScenario, event_bytes
-from features.builders.loop import result_of, turned_until
+from features.builders.loop import result_of, run_reactor_until
 from features.builders.relay import RelayFleet, RelayHost
 from features.builders.stagework import LIMITS, Queue, group, workers
 from pollenstile.forward import DRAINED
 from pollenstile.ops._draincmd import (
     HostDrain,
     drain_lines,
-    drain_of,
+    parse_drain,
     exit_code,
-    written_drain,
+    write_drain,
 )
 from pollenstile.platform import Written
 from pollenstile.standin.objectapi import MemoryStore
@@ -260,20 +260,20 @@
 def when_fleet_drained(context):
     result_of(context.fleet.store.put(DRAINED, 'here', {}))
     found = _registries(context)
-    turned_until(lambda: all(one.drained for one in found))
+    run_reactor_until(lambda: all(one.drained for one in found))
 
 
 @when('the drain of the domain of the fleet ends')
 def when_fleet_taken_back(context):
     result_of(context.fleet.store.delete(DRAINED, 'here'))
     found = _registries(context)
-    turned_until(lambda: not any(one.drained for one in found))
+    run_reactor_until(lambda: not any(one.drained for one in found))
 
 
 @then('host "{name}" answers a draft with {status:d}')
 def then_answers(context, name, status):
     talk = context.fleet.send(name, 'drained')
-    turned_until(lambda: b'\r\n\r\n' in talk.received)
+    run_reactor_until(lambda: b'\r\n\r\n' in talk.received)
     assert str(status).encode() in talk.received.split(b'\r\n')[0]
     assert b'retry-after' in talk.received.lower(), talk.received
 
@@ -333,10 +333,10 @@
 
 @given('a store and the metrics of two hosts, of which {state}')
 def given_measures(context, state):
-    first = drain_of('a:1', 'hall', _STATES['both drained'])
+    first = parse_drain('a:1', 'hall', _STATES['both drained'])
     second = HostDrain('b:1', answers=False)
     if _STATES[state]:
-        second = drain_of('b:1', 'hall', _STATES[state])
+        second = parse_drain('b:1', 'hall', _STATES[state])
     context.hosts = [first, second]
 
 
@@ -347,7 +347,7 @@
     for ends in (False, False, True, True):
         done = []
         work = Deferred.fromCoroutine(
-            written_drain(store, 'hall', ends=ends),
+            write_drain(store, 'hall', ends=ends),
         )
         work.addBoth(done.append)
         while not done:
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -12,7 +12,7 @@
 
 from features.builders.stagework import group, pieces_of, workers
 from pollenstile.forward import WatchedSettings
-from pollenstile.platform import Broken, Reply
+from pollenstile.platform import FailedCall, Reply
 from pollenstile.routes import Kind
 
 _ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
@@ -103,8 +103,8 @@
     '429': Reply(429, b''),
     '500': Reply(500, b''),
     '503': Reply(503, b'', 1.0),
-    'nothing': Broken(connected=True, reason='TimeoutError'),
-    'no connection': Broken(connected=False, reason='ConnectionRefused'),
+    'nothing': FailedCall(connected=True, reason='TimeoutError'),
+    'no connection': FailedCall(connected=False, reason='ConnectionRefused'),
     'something else': Reply(200, b'<html>'),
     'a conflict': Reply(409, msgspec.json.encode(_OBJECT)),
     'a page': Reply(
--- a/features/steps/platform_http_steps.py
+++ b/features/steps/platform_http_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 from twisted.internet.task import Clock
 
-from features.builders.loop import kept_result, result_of, turned_until
+from features.builders.loop import collect_result, result_of, run_reactor_until
 from features.builders.platform import (
     Forgetful,
     Page,
@@ -12,13 +12,13 @@
     World,
     http_caller,
     http_store,
-    listening,
+    listen_on_loopback,
     serving,
 )
 from pollenstile.platform import (
     VALUE_LIMIT,
     Absent,
-    Broken,
+    FailedCall,
     Changes,
     Compacted,
     Conflict,
@@ -29,9 +29,9 @@
     Ticket,
     Unavailable,
     Written,
-    listed_hosts,
-    listed_whole,
-    weight_ticket,
+    read_host_list,
+    list_all,
+    request_ticket,
 )
 from pollenstile.standin.hostlist import MemoryHosts, hostlist_resource
 from pollenstile.standin.objectapi import platform_site
@@ -59,12 +59,12 @@
         hostlist_resource(context.hosts),
         weightstore_resource(context.weights),
     )
-    _connect(context, listening(site))
+    _connect(context, listen_on_loopback(site))
 
 
 @given('a platform server on the loopback that has ended')
 def step_ended(context):
-    port = listening(platform_site(World().store))
+    port = listen_on_loopback(platform_site(World().store))
     context.http = http_store(port)
     result_of(port.stopListening())
 
@@ -81,19 +81,19 @@
     context.clock = Clock()
     context.forgetful = Forgetful()
     _connect(context, serving(context.forgetful), context.clock)
-    kept = [kept_result(context.http.get('config', 'm')) for _ in range(2)]
-    turned_until(lambda: all(kept))
+    kept = [collect_result(context.http.get('config', 'm')) for _ in range(2)]
+    run_reactor_until(lambda: all(kept))
     assert len(context.forgetful.open) == 2
     context.forgetful.forget()
 
 
 @then('the first platform read over HTTP waits for its timeout')
 def step_first_waits(context):
-    kept = kept_result(context.http.get('config', 'm'))
-    turned_until(lambda: context.forgetful.unanswered)
+    kept = collect_result(context.http.get('config', 'm'))
+    run_reactor_until(lambda: context.forgetful.unanswered)
     assert not kept
     context.clock.advance(21)
-    turned_until(lambda: kept)
+    run_reactor_until(lambda: kept)
     assert isinstance(kept[0], Unavailable), kept
 
 
@@ -133,7 +133,7 @@
     names = [f'{shard}/{number}' for shard in 'a%b' for number in range(300)]
     for name in names:
         context.world.store.objects.put('claims', name, b'{}', 0)
-    whole = result_of(listed_whole(store, 'claims'))
+    whole = result_of(list_all(store, 'claims'))
     assert [found.name for found in whole.objects] == sorted(names)
     some = result_of(store.listed('claims', '%/', '%/298', 5))
     expected = ['%/299', '%/3', '%/30', '%/31', '%/32']
@@ -146,11 +146,11 @@
 def step_watch_waits(context):
     world = context.world
     since = world.store.objects.revision
-    kept = kept_result(context.http.watched('config', since))
-    turned_until(lambda: world.store.waiting)
+    kept = collect_result(context.http.watched('config', since))
+    run_reactor_until(lambda: world.store.waiting)
     result_of(context.http.put('config', 'm', {'a': 'ö'}))
     world.clock.advance(0)
-    turned_until(lambda: kept)
+    run_reactor_until(lambda: kept)
     assert isinstance(kept[0], Changes), kept
     assert [event.value for event in kept[0].events] == [{'a': 'ö'}]
 
@@ -181,9 +181,9 @@
     outcome = result_of(context.http.put('config', 'bare', 1))
     assert type(outcome).__name__ == bare, outcome
     store.lose_answers = 1
-    kept = kept_result(context.world.settled('w', 0, context.http))
-    turned_until(lambda: store.calls['get'])
-    turned_until(lambda: kept)
+    kept = collect_result(context.world.settled('w', 0, context.http))
+    run_reactor_until(lambda: store.calls['get'])
+    run_reactor_until(lambda: kept)
     assert type(kept[0]).__name__ == settled, kept
     assert store.objects.revision == 2
 
@@ -203,27 +203,27 @@
 @then('a raw platform call over HTTP is broken off')
 def step_broken(context):
     outcome = result_of(context.http.caller.call('GET', '/v1/any'))
-    assert isinstance(outcome, Broken) and outcome.connected, type(outcome)
+    assert isinstance(outcome, FailedCall) and outcome.connected, type(outcome)
 
 
 @then('platform calls over HTTP time out as "{write}" and "{read}"')
 def step_time_out(context, write, read):
     kept = [
-        kept_result(context.http.put('config', 'm', 1)),
-        kept_result(context.http.get('config', 'm')),
+        collect_result(context.http.put('config', 'm', 1)),
+        collect_result(context.http.get('config', 'm')),
     ]
-    turned_until(lambda: context.silence.taken == 2)
+    run_reactor_until(lambda: context.silence.taken == 2)
     context.clock.advance(19)
     assert kept == [[], []]
     context.clock.advance(2)
-    turned_until(lambda: all(kept))
+    run_reactor_until(lambda: all(kept))
     names = [type(outcomes[0]).__name__ for outcomes in kept]
     assert names == [write, read], kept
 
 
 @then('the silent platform server has lost its connections')
 def step_connections_lost(context):
-    turned_until(lambda: context.silence.lost == 2)
+    run_reactor_until(lambda: context.silence.lost == 2)
 
 
 @then("over HTTP the platform's host list shows a change after its lag")
@@ -231,20 +231,20 @@
     caller = http_caller(context.port)
     entry = HostEntry('e1', '10.0.0.1:80', 'clark', 3, 'leaving')
     context.hosts.change(entry)
-    assert result_of(listed_hosts(caller)).hosts == ()
+    assert result_of(read_host_list(caller)).hosts == ()
     context.world.clock.advance(5)
-    assert result_of(listed_hosts(caller)).hosts == (entry,)
+    assert result_of(read_host_list(caller)).hosts == (entry,)
     result_of(caller.close())
 
 
 @then("over HTTP the platform's weight store throttles by its rate")
 def step_weights(context):
     caller = http_caller(context.port)
-    first = result_of(weight_ticket(caller, 'org/draft', '3'))
+    first = result_of(request_ticket(caller, 'org/draft', '3'))
     assert first == Ticket('org/draft', '3'), first
-    assert result_of(weight_ticket(caller, 'd', '3')) == Throttled(2.0)
+    assert result_of(request_ticket(caller, 'd', '3')) == Throttled(2.0)
     context.world.clock.advance(2)
-    assert isinstance(result_of(weight_ticket(caller, 'd', '3')), Ticket)
+    assert isinstance(result_of(request_ticket(caller, 'd', '3')), Ticket)
     result_of(caller.close())
 
 
@@ -261,8 +261,8 @@
 def step_begins(context, seconds):
     caller = context.http.caller
     call = caller.call('GET', '/v1/x', timeout=seconds, fresh=True)
-    context.kept = kept_result(call)
-    turned_until(lambda: caller.arriving == 1)
+    context.kept = collect_result(call)
+    run_reactor_until(lambda: caller.arriving == 1)
 
 
 @when('{count:d} further parts come, {gap:g} seconds apart')
@@ -277,7 +277,7 @@
 def _send_part(context):
     before = _gives_up_at(context)
     context.trickle.part()
-    turned_until(lambda: _gives_up_at(context) != before)
+    run_reactor_until(lambda: _gives_up_at(context) != before)
 
 
 def _gives_up_at(context):
@@ -292,7 +292,7 @@
 @when('the last part comes')
 def step_last(context):
     context.trickle.end()
-    turned_until(lambda: context.kept)
+    run_reactor_until(lambda: context.kept)
 
 
 @then('an answer is coming in')
@@ -312,5 +312,5 @@
 
 @then('the raw platform call over HTTP timed out')
 def step_timed_out(context):
-    turned_until(lambda: context.kept)
-    assert context.kept == [Broken(connected=True, reason='TimeoutError')]
+    run_reactor_until(lambda: context.kept)
+    assert context.kept == [FailedCall(connected=True, reason='TimeoutError')]
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -9,7 +9,7 @@
 from features.builders.quarantine import apply_verdicts, verdict
 from pollenstile.bench._crashworld import DEADLY, CrashWorld
 from pollenstile.bench.crashes import FAULTS
-from pollenstile.ops._quarantinecmd import held_requests, lifted
+from pollenstile.ops._quarantinecmd import held_requests, lift_quarantine
 from pollenstile.platform import Change
 from pollenstile.quarantine import (
     HELD_REASON,
@@ -199,7 +199,7 @@
 @when('an operator releases it by the command')
 def when_lifted(context):
     store = _fleet(context).store
-    Deferred.fromCoroutine(lifted(store, _held_fingerprint(context)))
+    Deferred.fromCoroutine(lift_quarantine(store, _held_fingerprint(context)))
 
 
 @then('the command lists no request')
--- a/features/steps/shutdown_steps.py
+++ b/features/steps/shutdown_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 from twisted.internet.defer import succeed
 
-from features.builders.loop import kept_result, turned_until
+from features.builders.loop import collect_result, run_reactor_until
 from features.builders.shutdown import Listening, request_bytes
 from pollenstile.ops.channels import Channels
 
@@ -36,7 +36,9 @@
 
 def _asks(context, sent, **named):
     context.caller = context.host.call(sent, **named)
-    turned_until(lambda: context.host.node.in_flight or context.caller.received)
+    run_reactor_until(
+        lambda: context.host.node.in_flight or context.caller.received
+    )
 
 
 @when('a shutdown caller asks for "{pipeline}"')
@@ -64,7 +66,7 @@
 
 @when('the shutdown host is told to stop')
 def step_stop(context):
-    context.stopped = kept_result(context.host.daemon.stop())
+    context.stopped = collect_result(context.host.daemon.stop())
 
 
 @when('the shutdown store goes down')
@@ -90,7 +92,7 @@
 
 @then('the shutdown caller has {tokens:d} tokens and the whole answer')
 def step_whole(context, tokens):
-    turned_until(lambda: context.caller.closed)
+    run_reactor_until(lambda: context.caller.closed)
     received = context.caller.received
     assert received.count(b'{"text"') == tokens, received
     assert b'event: done' in received, received
@@ -99,7 +101,7 @@
 
 @then('the shutdown caller gets {size:d} bytes and the end of the stream')
 def step_much(context, size):
-    turned_until(lambda: context.caller.closed)
+    run_reactor_until(lambda: context.caller.closed)
     received = context.caller.received
     assert received.count(b'x') >= size, len(received)
     assert received.endswith(b'\r\n0\r\n\r\n'), received[-50:]
@@ -109,7 +111,7 @@
     'the shutdown caller was told {status:d} "{outcome}", and its connection ended'
 )
 def step_told(context, status, outcome):
-    turned_until(lambda: context.caller.closed)
+    run_reactor_until(lambda: context.caller.closed)
     head, _, body = context.caller.received.partition(b'\r\n\r\n')
     assert head.startswith(b'HTTP/1.1 %d ' % status), head
     assert b'connection: close' in head.lower(), head
@@ -124,7 +126,7 @@
 
 @then('the shutdown host has stopped')
 def step_stopped(context):
-    turned_until(lambda: context.stopped)
+    run_reactor_until(lambda: context.stopped)
     assert context.stopped == [None], context.stopped
     assert context.host.events[-1] == 'stopped'
 
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -8,7 +8,7 @@
 
 from features.builders.mutations import without
 from pollenstile.ops import _soakcmd
-from pollenstile.ops.main import built_parser
+from pollenstile.ops.main import build_parser
 from pollenstile.soak import run_soak
 from pollenstile.soak._process import Process
 
@@ -53,7 +53,7 @@
 
 def _run_without(guard, seed, steps):
     command = ['soak', '--seed', str(seed), '--steps', str(steps)]
-    parsed = built_parser().parse_args(command)
+    parsed = build_parser().parse_args(command)
     written = io.StringIO()
     with without(guard), contextlib.redirect_stdout(written):
         code = _soakcmd.run(parsed)
@@ -121,7 +121,7 @@
 def step_refused(context, command, code):
     with contextlib.redirect_stderr(io.StringIO()):
         try:
-            built_parser().parse_args(command.split())
+            build_parser().parse_args(command.split())
         except SystemExit as ended:
             assert ended.code == code, ended.code
             return
--- a/features/steps/spec_steps.py
+++ b/features/steps/spec_steps.py
@@ -2,7 +2,7 @@
 
 from behave import then, when
 
-from features.builders.claims_trace import recorded_story
+from features.builders.claims_trace import record_scenario
 from features.builders.spec import RUNS
 from spec.trace import departures
 
@@ -29,7 +29,7 @@
 def step_stories(context, stories):
     dispatched = 0
     for seed in range(stories):
-        events = recorded_story(seed)
+        events = record_scenario(seed)
         assert not departures(events), (seed, departures(events))
         dispatched += sum(one.action == 'dispatch' for one in events)
     assert dispatched > stories, dispatched
@@ -40,5 +40,5 @@
     '"{action}"',
 )
 def step_without(context, seed, guard, action):
-    found = departures(recorded_story(seed, guard))
+    found = departures(record_scenario(seed, guard))
     assert action in {one.event.action for one in found}, found
--- a/pollenstile/bench/claims.py
+++ b/pollenstile/bench/claims.py
@@ -23,11 +23,11 @@
 from twisted.internet.task import Clock
 
 from pollenstile.claims import (
-    SHARDS,
+    SHARD_COUNT,
     Claims,
     Record,
     Segment,
-    forwarding,
+    build_forwarder,
 )
 from pollenstile.claims._digests import key_digest
 from pollenstile.claims._state import ShardState, apply_segment
@@ -173,7 +173,7 @@
             case.window,
         )
         if case.forwards:
-            claims.forward = forwarding(
+            claims.forward = build_forwarder(
                 name,
                 lambda: list(self.hosts),
                 self._send,
@@ -186,7 +186,7 @@
 
     async def _send(self, owner, record):
         await paused(self.clock, _LINK)
-        answer = await self.hosts[owner].forwarded(record, 2.0)
+        answer = await self.hosts[owner].append_forwarded(record, 2.0)
         await paused(self.clock, _LINK)
         return answer
 
@@ -278,7 +278,7 @@
     writes = []
     reads = []
     for rate in _RATES:
-        case = Case(_FITTED_HOSTS, SHARDS, window, rate, forwards)
+        case = Case(_FITTED_HOSTS, SHARD_COUNT, window, rate, forwards)
         calls = _measured(case, latency, seconds).store.calls
         writes.append(calls['put'] / seconds)
         reads.append(calls['list'] / seconds)
@@ -288,7 +288,7 @@
     rates = ', '.join(f'{rate:.0f}' for rate in _RATES)
     shown = ', '.join(f'{number:.0f}' for number in writes)
     return (
-        f'{way}, {_FITTED_HOSTS} hosts, {SHARDS} shards, window {window}:'
+        f'{way}, {_FITTED_HOSTS} hosts, {SHARD_COUNT} shards, window {window}:'
         f' writes/s at {rates} claims/s: {shown}; slope {write:.2f} writes'
         f' a claim, {read:.2f} reads a claim'
     )
--- a/pollenstile/bench/floor.py
+++ b/pollenstile/bench/floor.py
@@ -21,7 +21,7 @@
 from twisted.web.http_headers import Headers
 
 from pollenstile.bench.forwarder import forwarder_site
-from pollenstile.entry import CallerFace, address_of, built_node
+from pollenstile.entry import CallerResource, address_of, build_node
 from pollenstile.manifest import (
     Domain,
     Manifest,
@@ -35,7 +35,7 @@
 )
 from pollenstile.ops.agents import agent_for
 from pollenstile.ops.body import BytesProducer
-from pollenstile.ops.collector import set_collector
+from pollenstile.ops.collector import configure_garbage_collector
 from pollenstile.ops.exits import GOOD
 from pollenstile.ops.http import site_for
 from pollenstile.ops.logs import configure_logs, event_log
@@ -142,7 +142,7 @@
 def _entry_address(reactor, manifest):
     environment = {'POLLENSTILE_HOST': 'floor', 'POLLENSTILE_DOMAIN': 'here'}
     settings = settings_from(None, ENTRY, environment)
-    node = built_node(
+    node = build_node(
         reactor,
         random.Random(_SEED),
         settings,
@@ -150,12 +150,12 @@
         log=event_log(host='floor'),
     )
     node.in_force.offer(1, text_from_manifest(manifest), 'bench')
-    return _listening(reactor, _site(CallerFace(node), reactor))
+    return _listening(reactor, _site(CallerResource(node), reactor))
 
 
 def _upstreams(reactor):
     """Return addresses of a stage's server and of an engine."""
-    plain = PlainServer(reactor, 'p1', work=0, most=_SLOTS)
+    plain = PlainServer(reactor, 'p1', work=0, max_running=_SLOTS)
     engine = Engine(reactor, 'e1', 0, 0, _SLOTS)
     return (
         _listening(reactor, _site(PlainResource(plain), reactor)),
@@ -198,7 +198,7 @@
 
 async def _measured(reactor, arguments):
     targets = _targets(reactor)
-    set_collector()
+    configure_garbage_collector()
     pool = HTTPConnectionPool(reactor, persistent=True)
     pool.maxPersistentPerHost = arguments.side_by_side
     agent = agent_for(reactor, pool)
--- a/pollenstile/bench/live.py
+++ b/pollenstile/bench/live.py
@@ -22,13 +22,13 @@
     apply_manifest,
     current_config,
 )
-from pollenstile.ops._admin import admin_at
-from pollenstile.ops._statuscmd import entries_from
+from pollenstile.ops._admin import admin_reader
+from pollenstile.ops._statuscmd import parse_entries
 from pollenstile.ops._stores import store_at
 from pollenstile.ops.exits import BAD_RESULT, GOOD, UNREACHED
 from pollenstile.ops.running import result_of
 from pollenstile.ops.settings import SettingsError, address
-from pollenstile.platform import pauses
+from pollenstile.platform import make_pause
 
 _LOOK_SECONDS = 0.005
 _MOST_SECONDS = 10.0
@@ -71,12 +71,12 @@
     """Measure and print; return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
-    entries = entries_from(arguments.entry)
+    entries = parse_entries(arguments.entry)
     try:
         store = store_at(reactor, address(arguments.platform))
     except ValueError as error:
         raise SettingsError([f'--platform: {error}']) from None
-    readers = [admin_at(reactor, entry) for entry in entries]
+    readers = [admin_reader(reactor, entry) for entry in entries]
     return result_of(
         reactor,
         lambda: _measured(reactor, store, readers, arguments),
@@ -112,7 +112,7 @@
         before.text,
         before.version,
         secrets.token_hex(_MARK_BYTES),
-        pauses(reactor, Random(), 0.2, 2.0),
+        make_pause(reactor, Random(), 0.2, 2.0),
     )
     if not isinstance(outcome, Accepted):
         return None
--- a/pollenstile/claims/_claims.py
+++ b/pollenstile/claims/_claims.py
@@ -10,7 +10,7 @@
 from pollenstile.claims._records import Record, release_of
 from pollenstile.outcomes import Answered, Refused, Unknown
 
-SHARDS = 32
+SHARD_COUNT = 32
 _STEP = 'claim'
 _STORE = 'object API'
 _UNAVAILABLE = 503
@@ -101,7 +101,7 @@
         when that host can't be reached.
     forward : function or None
         ``await forward(shard, record)`` lets another host append the claim,
-        for larger batches; returns what :meth:`forwarded` says there, or None
+        for larger batches; returns what :meth:`append_forwarded` says there, or None
         when that host can't be reached or has not answered in time.
     """
 
@@ -129,7 +129,7 @@
         host,
         log,
         count,
-        shards=SHARDS,
+        shards=SHARD_COUNT,
         window=0.0,
     ):
         self.store = store
@@ -191,15 +191,15 @@
             return None
         return kept.outcome
 
-    async def forwarded(self, record, patience):
+    async def append_forwarded(self, record, patience):
         """Append another host's claim; return ``Held`` or ``Unreached``."""
         return await self._appended(record, patience, own=False)
 
-    def flushed(self):
+    def flush_records(self):
         """Return a Deferred that fires after one try to write all."""
         logs = list(self.logs.values())
         return DeferredList(
-            [log.flushed() for log in logs],
+            [log.flush_records() for log in logs],
             consumeErrors=True,
         )
 
--- a/pollenstile/claims/_forward.py
+++ b/pollenstile/claims/_forward.py
@@ -38,7 +38,7 @@
     return max(hosts, key=weight)
 
 
-def forwarding(host, live_hosts, send):
+def build_forwarder(host, live_hosts, send):
     """Return a function for ``Claims.forward``.
 
     Parameters
@@ -50,7 +50,7 @@
         Returns the names of hosts that are up, this one among them.
     send : function
         ``await send(owner, record)`` has another host call
-        :meth:`~pollenstile.claims.Claims.forwarded` and returns what it says,
+        :meth:`~pollenstile.claims.Claims.append_forwarded` and returns what it says,
         or None when no answer came in time.
     """
 
--- a/pollenstile/claims/_log.py
+++ b/pollenstile/claims/_log.py
@@ -29,7 +29,13 @@
 from pollenstile.claims._reader import ShardReader, unreached
 from pollenstile.claims._records import Segment, release_of
 from pollenstile.claims._state import holder_of, is_trusted
-from pollenstile.platform import InDoubt, NotApplied, Written, paused, pauses
+from pollenstile.platform import (
+    InDoubt,
+    NotApplied,
+    Written,
+    paused,
+    make_pause,
+)
 
 _MOST_RECORDS = 1000
 _RELEASE_PAUSE = 5.0
@@ -95,7 +101,7 @@
         self.count = count
         self.window = window
         self.reader = ShardReader(store, clock, shard, log)
-        self.pause = pauses(clock, rng, cap=_PAUSE_CAP)
+        self.pause = make_pause(clock, rng, cap=_PAUSE_CAP)
         self.queue = deque()
         self.flushers = []
         self.folding = Folding()
@@ -139,7 +145,7 @@
             self.submit(release_of(pending.record))
         pending.settle(Unreached(reason))
 
-    def flushed(self):
+    def flush_records(self):
         """Return a Deferred that fires after one try to write all."""
         self._work()
         if not self.working:
--- a/pollenstile/claims/_peers.py
+++ b/pollenstile/claims/_peers.py
@@ -28,7 +28,7 @@
 _SETTLED = {'held': Held, 'unreached': Unreached}
 
 
-def join_peers(claims, ask, answer):
+def connect_peers(claims, ask, answer):
     """Let claims ask other hosts, and answer them.
 
     Parameters
@@ -49,7 +49,7 @@
 
 
 async def sent(ask, owner, record):
-    """Have another host append a claim; see ``forwarding``.
+    """Have another host append a claim; see ``build_forwarder``.
 
     Returns
     =======
@@ -75,7 +75,7 @@
 
 async def _appended(claims, peer, body):
     record = msgspec.json.decode(body, type=Record)
-    settled = await claims.forwarded(record, _APPEND_SECONDS)
+    settled = await claims.append_forwarded(record, _APPEND_SECONDS)
     return _encoded(
         'held' if isinstance(settled, Held) else 'unreached', settled
     )
--- a/pollenstile/entry/_assembly.py
+++ b/pollenstile/entry/_assembly.py
@@ -1,6 +1,6 @@
 """Putting one entry host together."""
 
-from pollenstile.claims import Claims, join_peers
+from pollenstile.claims import Claims, connect_peers
 from pollenstile.entry._node import Node
 from pollenstile.fleet import Fleet, InForce
 from pollenstile.limits import (
@@ -11,7 +11,7 @@
 )
 from pollenstile.ops.logs import silent_log
 from pollenstile.ops.metrics import Metrics
-from pollenstile.ops.settings import shown
+from pollenstile.ops.settings import format_address
 from pollenstile.peer import (
     MIN_VERSION,
     VERSION,
@@ -28,7 +28,7 @@
 _MS = 1000
 
 
-def built_node(
+def build_node(
     clock,
     rng,
     settings,
@@ -96,7 +96,7 @@
     return node
 
 
-def built_fleet(
+def build_fleet(
     node,
     settings,
     connect,
@@ -129,13 +129,13 @@
         least=MIN_VERSION,
         host=core.host,
         domain=core.domain,
-        address=shown(settings.peer_listen),
+        address=format_address(settings.peer_listen),
         boot=int(core.clock.seconds() * _MS),
     )
     keys = parse_keys(settings.peer_key)
     hub = Hub(core.clock, core.rng, hello, keys, connect, core.log)
     if keys:
-        hub.dialer.seeds = tuple(shown(one) for one in settings.peers)
+        hub.dialer.seeds = tuple(format_address(one) for one in settings.peers)
     fleet = Fleet(
         hub,
         node.in_force,
@@ -146,11 +146,11 @@
         core.log,
     )
     if node.claims is not None:
-        join_peers(node.claims, fleet.ask, fleet.answer)
+        connect_peers(node.claims, fleet.ask, fleet.answer)
     return fleet
 
 
-def place_engines(node, store, orders, ticket, suspend_clock):
+def add_placement(node, store, orders, ticket, suspend_clock):
     """Give a host its part in placement; not started.
 
     Parameters
--- a/pollenstile/fleet/_apply.py
+++ b/pollenstile/fleet/_apply.py
@@ -10,8 +10,8 @@
     Superseded,
     Written,
     field_mark,
-    settled_put,
-    unpaused,
+    put_with_readback,
+    no_pause,
 )
 
 MARK_FIELD = 'apply'
@@ -108,7 +108,7 @@
     )
 
 
-async def apply_manifest(store, text, reviewed, apply_id, pause=unpaused):
+async def apply_manifest(store, text, reviewed, apply_id, pause=no_pause):
     """Write a manifest if the version it was reviewed against is current.
 
     Explanation
@@ -130,7 +130,7 @@
     apply_id : str
         Mark of this write; never used for another one.
     pause : function
-        See :func:`~pollenstile.platform.settled_put`.
+        See :func:`~pollenstile.platform.put_with_readback`.
 
     Returns
     =======
@@ -143,7 +143,7 @@
     if current.version != reviewed:
         return RaceLost(current.version)
     history = [*current.history, apply_id][-_MAX_HISTORY:]
-    outcome = await settled_put(
+    outcome = await put_with_readback(
         store,
         CONFIG_KIND,
         CONFIG_NAME,
--- a/pollenstile/forward/_assembly.py
+++ b/pollenstile/forward/_assembly.py
@@ -16,7 +16,7 @@
 from pollenstile.forward._settings import update_seconds
 from pollenstile.forward._stagecalls import StageCalls
 from pollenstile.ops.logs import silent_log
-from pollenstile.ops.settings import shown
+from pollenstile.ops.settings import format_address
 from pollenstile.peer import MIN_VERSION, VERSION, Hello, Hub, tcp_connect
 from pollenstile.quarantine import (
     QUARANTINE_KIND,
@@ -249,7 +249,7 @@
         least=MIN_VERSION,
         host=settings.host,
         domain=settings.domain,
-        address=shown(settings.peers),
+        address=format_address(settings.peers),
         boot=int(time.time() * _MS),
     )
     hub = Hub(reactor, rng, hello, (), tcp_connect(reactor), log)
--- a/pollenstile/forward/_configloop.py
+++ b/pollenstile/forward/_configloop.py
@@ -8,7 +8,7 @@
     read_full_config,
 )
 from pollenstile.ops.logs import silent_log
-from pollenstile.platform import Compacted, Unavailable, branched, paused
+from pollenstile.platform import Compacted, Unavailable, fork_deferred, paused
 
 # Time between reads. A change must be in force within 2 s of its write; this
 # period leaves time for one failed read and for the transfer of the answer.
@@ -178,7 +178,7 @@
 
     def _read_or_timeout(self, hold):
         """Return a Deferred that fires when a read ends or times out."""
-        reading = branched(Deferred.fromCoroutine(self._read(hold)))
+        reading = fork_deferred(Deferred.fromCoroutine(self._read(hold)))
         limit = hold + _RETRY_PERIOD_SECONDS
         return reading.addTimeout(
             limit, self.clock, onTimeoutCancel=self._record_silence
--- a/pollenstile/forward/_daemon.py
+++ b/pollenstile/forward/_daemon.py
@@ -13,10 +13,10 @@
 from pollenstile.forward._gauges import TIMES, add_gauges
 from pollenstile.forward._settings import update_seconds
 from pollenstile.forward._storewatches import StoreWatches
-from pollenstile.ops.http import quiet
+from pollenstile.ops.http import disable_access_log
 from pollenstile.ops.logs import silent_log
-from pollenstile.ops.measures import Measures, MeasuresFace
-from pollenstile.ops.settings import shown
+from pollenstile.ops.measures import Measures, MetricsResource
+from pollenstile.ops.settings import format_address
 from pollenstile.peer import Beat, parse_keys, tcp_listen
 
 # Time for which a leaving host still accepts requests. The load balancer checks
@@ -145,17 +145,19 @@
         callers = self._listen(settings.callers, self.factory)
         ready = self._listen(
             settings.ready,
-            quiet(Site(_ReadyResource(self), reactor=self.reactor)),
+            disable_access_log(
+                Site(_ReadyResource(self), reactor=self.reactor)
+            ),
         )
         if settings.metrics is not None:
             add_gauges(self.measures, self.parts, self.factory)
-            site = Site(MeasuresFace(self.measures), reactor=self.reactor)
-            self._listen(settings.metrics, quiet(site))
+            site = Site(MetricsResource(self.measures), reactor=self.reactor)
+            self._listen(settings.metrics, disable_access_log(site))
         self.log(
             events.FORWARD_STARTED,
-            callers=shown(_bound_address(callers)),
-            ready=shown(_bound_address(ready)),
-            peers=shown(settings.peers),
+            callers=format_address(_bound_address(callers)),
+            ready=format_address(_bound_address(ready)),
+            peers=format_address(settings.peers),
             domain=settings.domain,
         )
         self.review.clock = self.reactor
@@ -250,14 +252,16 @@
         self.ports.append(port)
         # With port 0 the system chooses a port, which is announced to peers.
         bound = _bound_address(port)
-        address = shown(self.settings.peers_seen or bound)
+        address = format_address(self.settings.peers_seen or bound)
         hub.hello = replace(hub.hello, address=address)
         members = self.parts.members
         members.entry = replace(members.entry, address=address)
         hub.start()
         self._hosts_changed()
         self.parts.relay.follower.start()
-        self.log(events.FORWARD_JOINED, peers=shown(bound), seen=address)
+        self.log(
+            events.FORWARD_JOINED, peers=format_address(bound), seen=address
+        )
         await members.register()
 
     def _has_initial_state(self):
--- a/pollenstile/ops/_admin.py
+++ b/pollenstile/ops/_admin.py
@@ -2,13 +2,13 @@
 
 import msgspec
 
-from pollenstile.platform import Broken, Caller
+from pollenstile.platform import FailedCall, ServerClient
 
 _SECONDS = 4.0
 _OK = 200
 
 
-def admin_at(reactor, address):
+def admin_reader(reactor, address):
     """Return a function that reads a path of an admin face.
 
     Explanation
@@ -34,13 +34,13 @@
 def caller_at(reactor, address):
     """Return a caller of a host's face for operators."""
     host, port = address
-    return Caller(reactor, reactor, host, port, _SECONDS)
+    return ServerClient(reactor, reactor, host, port, _SECONDS)
 
 
 async def body_of(caller, path):
     """Return the bytes of a page, or None when nothing answered with one."""
     reply = await caller.call('GET', path, fresh=True)
-    if isinstance(reply, Broken) or reply.status != _OK:
+    if isinstance(reply, FailedCall) or reply.status != _OK:
         return None
     return reply.body
 
--- a/pollenstile/ops/_applycmd.py
+++ b/pollenstile/ops/_applycmd.py
@@ -21,14 +21,14 @@
     manifest_diff,
     manifest_from_text,
 )
-from pollenstile.ops._admin import admin_at, first_answer
-from pollenstile.ops._statuscmd import entries_from
+from pollenstile.ops._admin import admin_reader, first_answer
+from pollenstile.ops._statuscmd import parse_entries
 from pollenstile.ops._stores import store_at
 from pollenstile.ops._validatecmd import text_of_file
 from pollenstile.ops.exits import BAD_INPUT, BAD_RESULT, GOOD, UNREACHED
 from pollenstile.ops.running import result_of
 from pollenstile.ops.settings import address, parsed
-from pollenstile.platform import pauses
+from pollenstile.platform import make_pause
 
 _MARK_BYTES = 8
 _LOOK_SECONDS = 0.5
@@ -82,7 +82,7 @@
     store = store_at(reactor, platform)
     entries = ()
     if arguments.wait:
-        entries = entries_from(arguments.entry)
+        entries = parse_entries(arguments.entry)
     return result_of(
         reactor,
         lambda: _run(
@@ -100,12 +100,12 @@
         text,
         arguments.reviewed_against,
         secrets.token_hex(_MARK_BYTES),
-        pauses(reactor, random.Random(), 0.2, 2.0),
+        make_pause(reactor, random.Random(), 0.2, 2.0),
     )
     code = _told(outcome, arguments.reviewed_against)
     if code != GOOD or not arguments.wait:
         return code
-    readers = [admin_at(reactor, entry) for entry in entries]
+    readers = [admin_reader(reactor, entry) for entry in entries]
     return await _waited(reactor, readers, outcome.version, arguments.wait)
 
 
--- a/pollenstile/ops/_callcmd.py
+++ b/pollenstile/ops/_callcmd.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from pollenstile.ops.client import caller_for
+from pollenstile.ops.client import pipeline_client
 from pollenstile.ops.exits import BAD_INPUT, BAD_RESULT, GOOD, UNREACHED
 from pollenstile.ops.running import result_of
 
@@ -38,7 +38,7 @@
     except msgspec.MsgspecError as error:
         sys.stderr.write(f'pollenstile call: input: {error}\n')
         return BAD_INPUT
-    call = caller_for(reactor, persistent=False)
+    call = pipeline_client(reactor, persistent=False)
     answer = result_of(
         reactor,
         lambda: call(
--- a/pollenstile/ops/_democmd.py
+++ b/pollenstile/ops/_democmd.py
@@ -11,12 +11,12 @@
 from pollenstile.manifest import manifest_from_text, text_from_manifest
 from pollenstile.ops._entrycmd import built_daemon
 from pollenstile.ops._validatecmd import text_of_file
-from pollenstile.ops.client import caller_for
+from pollenstile.ops.client import pipeline_client
 from pollenstile.ops.exits import BAD_INPUT, BAD_RESULT, GOOD
 from pollenstile.ops.logs import configure_logs
 from pollenstile.ops.running import result_of
 from pollenstile.ops.settings import ENTRY, settings_from
-from pollenstile.standin.fleet import started_anywhere
+from pollenstile.standin.fleet import start_on_free_ports
 from pollenstile.standin.objectapi import MemoryStore, platform_site
 from pollenstile.standin.weightstore import weightstore
 
@@ -68,13 +68,13 @@
         total=arguments.total,
     )
     rng = random.Random(_SEED)
-    await run_load(reactor, rng, caller_for(reactor), load)
+    await run_load(reactor, rng, pipeline_client(reactor), load)
     return load
 
 
 async def _started(reactor, manifest):
     """Return two running hosts, with stand-ins of all that they need."""
-    _, placed = started_anywhere(reactor, manifest)
+    _, placed = start_on_free_ports(reactor, manifest)
     store = MemoryStore(reactor)
     site = platform_site(store, weights=weightstore(reactor))
     port = reactor.listenTCP(0, site, interface=_LOCAL)
--- a/pollenstile/ops/_draincmd.py
+++ b/pollenstile/ops/_draincmd.py
@@ -7,7 +7,7 @@
 
 from pollenstile.forward import DRAINED, DRAINED_SECONDS, UNDER_WAY
 from pollenstile.ops._admin import body_of, caller_at
-from pollenstile.ops._statuscmd import entries_from
+from pollenstile.ops._statuscmd import parse_entries
 from pollenstile.ops._stores import store_at
 from pollenstile.ops.exits import (
     BAD_INPUT,
@@ -18,7 +18,7 @@
 )
 from pollenstile.ops.measures import shown_name
 from pollenstile.ops.running import result_of
-from pollenstile.ops.settings import address, identifier, parsed, shown
+from pollenstile.ops.settings import address, identifier, parsed, format_address
 from pollenstile.platform import Absent, Found, Written
 
 
@@ -76,14 +76,14 @@
         sys.stderr.write('--metrics to see what is left\n')
         return BAD_INPUT
     if arguments.metrics:
-        hosts = entries_from(arguments.metrics, '--metrics')
+        hosts = parse_entries(arguments.metrics, '--metrics')
         drains = result_of(reactor, lambda: _drains(reactor, hosts, domain))
         print(*drain_lines(domain, drains), sep='\n')
         return exit_code(drains)
     platform = parsed('--platform', address, arguments.platform)
     store = store_at(reactor, platform)
     written = result_of(
-        reactor, lambda: written_drain(store, domain, ends=arguments.end)
+        reactor, lambda: write_drain(store, domain, ends=arguments.end)
     )
     if isinstance(written, Written):
         verb = 'has work again' if arguments.end else 'is drained'
@@ -117,7 +117,7 @@
     return lines
 
 
-def drain_of(host, domain, text):
+def parse_drain(host, domain, text):
     """Return what a host's measures say of a domain."""
     values = {}
     for family in text_string_to_metric_families(text):
@@ -154,15 +154,15 @@
     found = []
     for host in hosts:
         body = await body_of(caller_at(reactor, host), '/')
-        name = shown(host)
+        name = format_address(host)
         if body is None:
             found.append(HostDrain(name, answers=False))
             continue
-        found.append(drain_of(name, domain, body.decode()))
+        found.append(parse_drain(name, domain, body.decode()))
     return found
 
 
-async def written_drain(store, domain, *, ends):
+async def write_drain(store, domain, *, ends):
     """Write or delete a domain's entry; what stands as asked is kept.
 
     Returns
--- a/pollenstile/ops/_entrycmd.py
+++ b/pollenstile/ops/_entrycmd.py
@@ -6,18 +6,18 @@
 
 from pollenstile.entry import (
     Daemon,
-    built_fleet,
-    built_node,
-    place_engines,
+    build_fleet,
+    build_node,
+    add_placement,
 )
 from pollenstile.fleet import http_load_reader
-from pollenstile.ops.collector import set_collector
+from pollenstile.ops.collector import configure_garbage_collector
 from pollenstile.ops.exits import GOOD
 from pollenstile.ops.logs import configure_logs, event_log
 from pollenstile.ops.settings import ENTRY, add_flags, settings_from
 from pollenstile.ops._stores import hosts_reader, paced_store, tickets_asker
 from pollenstile.peer import tcp_connect
-from pollenstile.ops.clock import boot_clock, run_steadily
+from pollenstile.ops.clock import boot_clock, use_boot_clock
 from pollenstile.placement import http_orders
 from pollenstile.upstream import http_transport
 
@@ -38,9 +38,9 @@
     # The one place where the global reactor is taken.
     from twisted.internet import reactor  # noqa: WPS433
 
-    run_steadily(reactor)
+    use_boot_clock(reactor)
     daemon = built_daemon(reactor, settings)
-    set_collector()
+    configure_garbage_collector()
     reactor.callWhenRunning(daemon.start)
     reactor.addSystemEventTrigger('before', 'shutdown', daemon.stop)
     reactor.run()
@@ -52,7 +52,7 @@
     rng = random.Random(settings.seed or None)
     log = event_log(host=settings.host)
     store = paced_store(reactor, rng, settings, log)
-    node = built_node(
+    node = build_node(
         reactor,
         rng,
         settings,
@@ -60,7 +60,7 @@
         store=store,
         log=log,
     )
-    fleet = built_fleet(
+    fleet = build_fleet(
         node,
         settings,
         tcp_connect(reactor),
@@ -69,7 +69,7 @@
         read_hosts=hosts_reader(reactor, settings),
     )
     if store is not None:
-        place_engines(
+        add_placement(
             node,
             store,
             http_orders(reactor),
--- a/pollenstile/ops/_forwardcmd.py
+++ b/pollenstile/ops/_forwardcmd.py
@@ -14,7 +14,7 @@
     Upstream,
 )
 from pollenstile.ops._stores import store_at
-from pollenstile.ops.clock import boot_clock, run_steadily
+from pollenstile.ops.clock import boot_clock, use_boot_clock
 from pollenstile.ops.exits import GOOD
 from pollenstile.ops.linestream import LineStream
 from pollenstile.ops.logs import configure_logs, event_log
@@ -63,7 +63,7 @@
     # The one place where the global reactor is taken.
     from twisted.internet import reactor  # noqa: WPS433
 
-    run_steadily(reactor)
+    use_boot_clock(reactor)
     daemon = ForwardDaemon(
         reactor,
         _host_settings(settings),
--- a/pollenstile/ops/_quarantinecmd.py
+++ b/pollenstile/ops/_quarantinecmd.py
@@ -9,7 +9,7 @@
 from pollenstile.ops.exits import BAD_RESULT, GOOD, UNREACHED, unsure
 from pollenstile.ops.running import result_of
 from pollenstile.ops.settings import address, identifier, parsed
-from pollenstile.platform import Absent, Found, Listing, Written, listed_whole
+from pollenstile.platform import Absent, Found, Listing, Written, list_all
 from pollenstile.quarantine import QUARANTINE_KIND
 
 _MS = 1000
@@ -66,8 +66,10 @@
     store = store_at(reactor, parsed('--platform', address, arguments.platform))
     if arguments.lift:
         name = parsed('--lift', identifier, arguments.lift)
-        return _lifted(name, result_of(reactor, lambda: lifted(store, name)))
-    listing = result_of(reactor, lambda: listed_whole(store, QUARANTINE_KIND))
+        return _lifted(
+            name, result_of(reactor, lambda: lift_quarantine(store, name))
+        )
+    listing = result_of(reactor, lambda: list_all(store, QUARANTINE_KIND))
     if not isinstance(listing, Listing):
         sys.stderr.write(f'{_NAME}: the store does not answer; try again\n')
         return UNREACHED
@@ -125,7 +127,7 @@
     return lines
 
 
-async def lifted(store, name):
+async def lift_quarantine(store, name):
     """Delete an entry; return ``Absent`` where there is none.
 
     Returns
--- a/pollenstile/ops/_soakcmd.py
+++ b/pollenstile/ops/_soakcmd.py
@@ -6,7 +6,7 @@
 import time
 from contextlib import nullcontext
 
-from pollenstile.ops.clock import run_steadily
+from pollenstile.ops.clock import use_boot_clock
 from pollenstile.ops.exits import BAD_RESULT, GOOD
 from pollenstile.ops.logs import configure_logs, event_log
 from pollenstile.ops.running import result_of
@@ -104,7 +104,7 @@
     # The one place where the global reactor is taken.
     from twisted.internet import reactor  # noqa: WPS433
 
-    run_steadily(reactor)
+    use_boot_clock(reactor)
     return result_of(reactor, lambda: _all_live(reactor, seeds, arguments))
 
 
--- a/pollenstile/ops/_statuscmd.py
+++ b/pollenstile/ops/_statuscmd.py
@@ -3,7 +3,7 @@
 import json
 import sys
 
-from pollenstile.ops._admin import admin_at, first_answer
+from pollenstile.ops._admin import admin_reader, first_answer
 from pollenstile.ops.exits import BAD_RESULT, GOOD, UNREACHED
 from pollenstile.ops.running import result_of
 from pollenstile.ops.settings import SettingsError, addresses, parsed
@@ -28,8 +28,8 @@
     """Print the fleet's status; return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
-    entries = entries_from(arguments.entry)
-    readers = [admin_at(reactor, entry) for entry in entries]
+    entries = parse_entries(arguments.entry)
+    readers = [admin_reader(reactor, entry) for entry in entries]
     document = result_of(reactor, lambda: first_answer(readers, '/fleet'))
     if document is None:
         sys.stderr.write('no entry host answered\n')
@@ -42,7 +42,7 @@
     return GOOD if is_settled(document) else BAD_RESULT
 
 
-def entries_from(text, flag='--entry'):
+def parse_entries(text, flag='--entry'):
     """Return the addresses of a flag that needs one."""
     found = parsed(flag, addresses, text)
     if not found:
--- a/pollenstile/ops/_stores.py
+++ b/pollenstile/ops/_stores.py
@@ -5,10 +5,10 @@
 from pollenstile.placement import http_tickets
 from pollenstile.platform import (
     Budget,
-    Caller,
+    ServerClient,
     HttpStore,
     PacedStore,
-    listed_hosts,
+    read_host_list,
 )
 
 _BURST_SECONDS = 2.0
@@ -25,7 +25,7 @@
         IP number and port.
     """
     host, port = address
-    return HttpStore(Caller(reactor, reactor, host, port))
+    return HttpStore(ServerClient(reactor, reactor, host, port))
 
 
 def paced_store(reactor, random, settings, log):
@@ -51,7 +51,7 @@
 def tickets_asker(reactor, settings):
     """Return a function that asks the platform's weight store."""
     host, port = settings.platform
-    return http_tickets(Caller(reactor, reactor, host, port))
+    return http_tickets(ServerClient(reactor, reactor, host, port))
 
 
 def hosts_reader(reactor, settings):
@@ -59,10 +59,10 @@
     if settings.hosts is None:
         return None
     host, port = settings.hosts
-    caller = Caller(reactor, reactor, host, port)
+    caller = ServerClient(reactor, reactor, host, port)
 
     def read_hosts():
-        return Deferred.fromCoroutine(listed_hosts(caller))
+        return Deferred.fromCoroutine(read_host_list(caller))
 
     return read_hosts
 
--- a/pollenstile/ops/channels.py
+++ b/pollenstile/ops/channels.py
@@ -36,7 +36,7 @@
             if not waiter.called:
                 waiter.callback(None)
 
-    def drained(self):
+    def close_gracefully(self):
         """Return a Deferred that fires when all connections are closed.
 
         Explanation
--- a/pollenstile/ops/client.py
+++ b/pollenstile/ops/client.py
@@ -67,7 +67,7 @@
     """Take bytes that nobody watches."""
 
 
-def caller_for(reactor, persistent=True, connect_timeout=2.0):
+def pipeline_client(reactor, persistent=True, connect_timeout=2.0):
     """Return a function that calls pipelines.
 
     Explanation
--- a/pollenstile/ops/clock.py
+++ b/pollenstile/ops/clock.py
@@ -16,7 +16,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def run_steadily(reactor, clock=boot_clock):
+def use_boot_clock(reactor, clock=boot_clock):
     """Let a reactor's timers run by the boot clock.
 
     Explanation
--- a/pollenstile/ops/collector.py
+++ b/pollenstile/ops/collector.py
@@ -18,7 +18,7 @@
 _OLD = 20
 
 
-def set_collector():
+def configure_garbage_collector():
     """Look for cycles less often, and not at what start-up has made."""
     gc.collect()
     gc.freeze()
--- a/pollenstile/ops/http.py
+++ b/pollenstile/ops/http.py
@@ -19,7 +19,7 @@
     ===========
 
     The library keeps large bodies in files; hosts have no disks. A body that
-    states or reaches more than ``site.most_body`` bytes is refused with 413
+    states or reaches more than ``site.max_body_bytes`` bytes is refused with 413
     and its connection closed, before it is read whole.
     """
 
@@ -28,13 +28,13 @@
         self.too_large = False
         self.received = 0
         self.content = BytesIO()
-        if length is not None and length > self.channel.site.most_body:
+        if length is not None and length > self.channel.site.max_body_bytes:
             self._refuse()
 
     def handleContentChunk(self, data):
         """Keep a part of the body; called by twisted."""
         self.received += len(data)
-        if self.received > self.channel.site.most_body:
+        if self.received > self.channel.site.max_body_bytes:
             self._refuse()
             return
         self.content.write(data)
@@ -61,7 +61,7 @@
         transport.loseConnection()
 
 
-def site_for(resource, reactor, most_body=262144, timeout=60):
+def site_for(resource, reactor, max_body_bytes=262144, timeout=60):
     """Return a Site that bounds bodies, and takes its clock as an argument.
 
     Explanation
@@ -89,12 +89,12 @@
     )
     site.protocol = CountedChannel
     site.channels = Channels()
-    site.most_body = most_body
+    site.max_body_bytes = max_body_bytes
     site.displayTracebacks = False
-    return quiet(site)
+    return disable_access_log(site)
 
 
-def quiet(site):
+def disable_access_log(site):
     """Return a site that writes no access log."""
     site.log = _log_nothing
     return site
--- a/pollenstile/ops/main.py
+++ b/pollenstile/ops/main.py
@@ -49,7 +49,7 @@
 )
 
 
-def built_parser():
+def build_parser():
     """Return the parser of the whole command line."""
     parser = argparse.ArgumentParser(
         prog='pollenstile',
@@ -77,7 +77,7 @@
     arguments : list of str or None
         ``sys.argv`` without the program when None.
     """
-    parsed = built_parser().parse_args(arguments)
+    parsed = build_parser().parse_args(arguments)
     try:
         return parsed.run(parsed)
     except SettingsError as error:
--- a/pollenstile/ops/measures.py
+++ b/pollenstile/ops/measures.py
@@ -130,7 +130,7 @@
         return (family,)
 
 
-class MeasuresFace(Resource):
+class MetricsResource(Resource):
     """Serves measures as text.
 
     Parameters
--- a/pollenstile/ops/settings.py
+++ b/pollenstile/ops/settings.py
@@ -82,7 +82,7 @@
     return host.strip('[]'), number
 
 
-def shown(address):
+def format_address(address):
     """Return ``'IP:PORT'`` of an address.
 
     Examples
@@ -259,14 +259,14 @@
 def add_flags(parser, table):
     """Add a flag for each setting to an argparse parser."""
     for setting in table:
-        shown = setting.default if setting.default else 'none'
+        format_address = setting.default if setting.default else 'none'
         if setting.default is None:
-            shown = 'required'
+            format_address = 'required'
         parser.add_argument(
             setting.flag,
             dest=setting.name,
             metavar=setting.name.upper(),
-            help=f'{setting.meaning} [{setting.environment_name}; {shown}]',
+            help=f'{setting.meaning} [{setting.environment_name}; {format_address}]',
         )
 
 
--- a/pollenstile/placement/_assembly.py
+++ b/pollenstile/placement/_assembly.py
@@ -8,7 +8,7 @@
 from pollenstile.placement._placer import Placer
 from pollenstile.placement._records import ServingIndex
 from pollenstile.placement._service import Placement
-from pollenstile.platform import pauses, weight_ticket
+from pollenstile.platform import make_pause, request_ticket
 
 
 def build_placement(core, boot, store, orders, ticket, suspend_clock):
@@ -38,7 +38,7 @@
         store,
         suspend_clock,
         core.log,
-        pauses(core.clock, core.rng),
+        make_pause(core.clock, core.rng),
     )
     placer = Placer(
         core.domain,
@@ -69,7 +69,7 @@
     """
 
     def ticket(model, version):
-        return Deferred.fromCoroutine(weight_ticket(caller, model, version))
+        return Deferred.fromCoroutine(request_ticket(caller, model, version))
 
     return ticket
 
--- a/pollenstile/placement/_demand.py
+++ b/pollenstile/placement/_demand.py
@@ -1,6 +1,6 @@
 """Demand by model: counted on each entry host, summed up by the placer."""
 
-from pollenstile.platform import Unavailable, listed_whole
+from pollenstile.platform import Unavailable, list_all
 
 DEMAND = 'demand'
 _DECAY_SECONDS = 30.0
@@ -105,7 +105,7 @@
     async def read(self):
         """Return the demand of the domain, or None if it can't be read."""
         prefix = f'{self.domain}/'
-        listing = await listed_whole(self.store, DEMAND, prefix)
+        listing = await list_all(self.store, DEMAND, prefix)
         if isinstance(listing, Unavailable):
             return None
         now = self.clock.seconds()
--- a/pollenstile/placement/_enginesteps.py
+++ b/pollenstile/placement/_enginesteps.py
@@ -30,7 +30,7 @@
     Ticket,
     Written,
     field_mark,
-    settled_put,
+    put_with_readback,
 )
 
 _CHECKED = 'checked'
@@ -327,7 +327,7 @@
     """Write a record if its version is as last known; return whether it is."""
     version, _before = placer.records[name]
     mark = f'{placer.lease_manager.lease.holder}/{next(placer.sequence)}'
-    outcome = await settled_put(
+    outcome = await put_with_readback(
         placer.store,
         PLACEMENTS,
         record_name(placer.domain, name),
--- a/pollenstile/placement/_http.py
+++ b/pollenstile/placement/_http.py
@@ -10,7 +10,7 @@
     Lost,
     Refused,
 )
-from pollenstile.platform import Broken, Caller
+from pollenstile.platform import FailedCall, ServerClient
 
 _OK = 200
 _CONFLICT = 409
@@ -49,14 +49,14 @@
 
     async def _read_state(self, upstream):
         reply = await self._call(upstream, 'GET')
-        if isinstance(reply, Broken):
+        if isinstance(reply, FailedCall):
             return Lost('look', upstream.address, reply.reason)
         return _decode_reply(reply, _decode_state, 'look', upstream)
 
     async def _send(self, upstream, order):
         body = msgspec.json.encode(order)
         reply = await self._call(upstream, 'PUT', body)
-        if isinstance(reply, Broken):
+        if isinstance(reply, FailedCall):
             return Lost('order', upstream.address, reply.reason)
         if reply.status == _CONFLICT:
             return _decode_reply(reply, _decode_refusal, 'order', upstream)
@@ -65,7 +65,7 @@
 
     def _call(self, upstream, method, body=None):
         host, _, port = upstream.address.rpartition(':')
-        caller = Caller(
+        caller = ServerClient(
             self.reactor,
             self.reactor,
             host.strip('[]'),
--- a/pollenstile/placement/_lease.py
+++ b/pollenstile/placement/_lease.py
@@ -177,7 +177,7 @@
     action : Acquire or Renew
         What was written.
     outcome : object
-        As returned by :func:`~pollenstile.platform.settled_put`.
+        As returned by :func:`~pollenstile.platform.put_with_readback`.
     sent_at : float
         When the write was first sent.
     """
--- a/pollenstile/placement/_leasemanager.py
+++ b/pollenstile/placement/_leasemanager.py
@@ -16,8 +16,8 @@
     Unavailable,
     Written,
     field_mark,
-    settled_put,
-    unpaused,
+    put_with_readback,
+    no_pause,
 )
 
 _MARK = field_mark('mark')
@@ -74,7 +74,7 @@
         'was_held',
     )
 
-    def __init__(self, lease, name, store, suspend_clock, log, pause=unpaused):
+    def __init__(self, lease, name, store, suspend_clock, log, pause=no_pause):
         self.lease = lease
         self.name = name
         self.store = store
@@ -165,7 +165,7 @@
 
 async def _write(manager, action):
     sent_at = manager.suspend_clock()
-    outcome = await settled_put(
+    outcome = await put_with_readback(
         manager.store,
         LEASES,
         manager.name,
--- a/pollenstile/placement/_placer.py
+++ b/pollenstile/placement/_placer.py
@@ -77,7 +77,7 @@
         ``send(engine, upstream, order)``; both return Deferreds.
     ticket : function
         Takes a model and a version, returns a Deferred as
-        :func:`~pollenstile.platform.weight_ticket` does.
+        :func:`~pollenstile.platform.request_ticket` does.
     clock : IReactorTime
         Times drains, loads and plans.
     random : random.Random
--- a/pollenstile/platform/__init__.py
+++ b/pollenstile/platform/__init__.py
@@ -18,8 +18,8 @@
     seconds_to_next,
     taken,
 )
-from pollenstile.platform._hosts import HostEntry, HostList, listed_hosts
-from pollenstile.platform._http import Broken, Caller, Reply
+from pollenstile.platform._hosts import HostEntry, HostList, read_host_list
+from pollenstile.platform._http import FailedCall, ServerClient, Reply
 from pollenstile.platform._httpstore import HttpStore
 from pollenstile.platform._known import (
     Known,
@@ -41,10 +41,15 @@
     Written,
 )
 from pollenstile.platform._paced import PacedStore
-from pollenstile.platform._pages import listed_whole
-from pollenstile.platform._pause import branched, paused, pauses, unpaused
+from pollenstile.platform._pages import list_all
+from pollenstile.platform._pause import (
+    fork_deferred,
+    paused,
+    make_pause,
+    no_pause,
+)
 from pollenstile.platform._rows import decoded, readable
-from pollenstile.platform._settle import field_mark, settled_put
+from pollenstile.platform._settle import field_mark, put_with_readback
 from pollenstile.platform._store import (
     PAGE_LIMIT,
     POLL_SECONDS,
@@ -52,4 +57,4 @@
     Store,
 )
 from pollenstile.platform._watch import Watch, WatchTiming, watch
-from pollenstile.platform._weights import Throttled, Ticket, weight_ticket
+from pollenstile.platform._weights import Throttled, Ticket, request_ticket
--- a/pollenstile/platform/_hosts.py
+++ b/pollenstile/platform/_hosts.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from pollenstile.platform._http import Broken
+from pollenstile.platform._http import FailedCall
 from pollenstile.platform._outcome import Unavailable
 
 
@@ -38,7 +38,7 @@
     hosts: tuple[HostEntry, ...]
 
 
-async def listed_hosts(caller):
+async def read_host_list(caller):
     """Return ``HostList`` or ``Unavailable``.
 
     Parameters
@@ -48,7 +48,7 @@
         Sends the call.
     """
     reply = await caller.call('GET', '/v1/hosts')
-    if isinstance(reply, Broken):
+    if isinstance(reply, FailedCall):
         return Unavailable('hosts', caller.peer, reply.reason)
     if reply.status != 200:
         reason = f'status {reply.status}'
--- a/pollenstile/platform/_http.py
+++ b/pollenstile/platform/_http.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Broken:
+class FailedCall:
     """There was no whole answer.
 
     Parameters
@@ -67,7 +67,7 @@
     reason: str
 
 
-class Caller:
+class ServerClient:
     """Calls one server.
 
     Parameters
@@ -185,7 +185,7 @@
         # connections while new ones work. Each would cost a further timeout,
         # so none is kept after a failure.
         self.close()
-        return Broken(connected, kind.__name__)
+        return FailedCall(connected, kind.__name__)
 
 
 class _TimeLimit:
--- a/pollenstile/platform/_httpstore.py
+++ b/pollenstile/platform/_httpstore.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from pollenstile.platform._http import Broken, Reply
+from pollenstile.platform._http import FailedCall, Reply
 from pollenstile.platform._outcome import (
     Absent,
     Changes,
@@ -94,7 +94,7 @@
 
     def _read(self, step, reply, types):
         peer = self.caller.peer
-        if isinstance(reply, Broken):
+        if isinstance(reply, FailedCall):
             return Unavailable(step, peer, reply.reason)
         if reply.status not in types:
             reason = f'status {reply.status}'
@@ -103,7 +103,7 @@
 
     def _written(self, step, reply):
         peer = self.caller.peer
-        if isinstance(reply, Broken):
+        if isinstance(reply, FailedCall):
             outcome = InDoubt if reply.connected else NotApplied
             return outcome(step, peer, reply.reason)
         if reply.status in _WRITE:
--- a/pollenstile/platform/_pages.py
+++ b/pollenstile/platform/_pages.py
@@ -3,7 +3,7 @@
 from pollenstile.platform._outcome import Listing, Unavailable
 
 
-async def listed_whole(store, kind, prefix=''):
+async def list_all(store, kind, prefix=''):
     """Return every object of a kind as one ``Listing``, or ``Unavailable``.
 
     Explanation
--- a/pollenstile/platform/_pause.py
+++ b/pollenstile/platform/_pause.py
@@ -5,12 +5,12 @@
 _GROWTH_LIMIT = 16
 
 
-def unpaused(attempt):
+def no_pause(attempt):
     """Return at once: no pause after any attempt."""
     return succeed(attempt)
 
 
-def pauses(clock, random, base=0.05, cap=1.0):
+def make_pause(clock, random, base=0.05, cap=1.0):
     """Return a function that waits after a failed attempt, with full jitter.
 
     Parameters
@@ -44,7 +44,7 @@
     return done
 
 
-def branched(deferred):
+def fork_deferred(deferred):
     """Return a Deferred that fires with another one and can be given up.
 
     Explanation
--- a/pollenstile/platform/_settle.py
+++ b/pollenstile/platform/_settle.py
@@ -9,7 +9,7 @@
     Unavailable,
     Written,
 )
-from pollenstile.platform._pause import unpaused
+from pollenstile.platform._pause import no_pause
 
 
 def field_mark(field):
@@ -28,14 +28,14 @@
     return mark
 
 
-async def settled_put(
+async def put_with_readback(
     store,
     kind,
     name,
     value,
     if_version,
     mark,
-    pause=unpaused,
+    pause=no_pause,
     attempts=6,
 ):
     """Write conditionally, and find out what became of an in-doubt write.
@@ -70,7 +70,7 @@
         same in each of its tries.
     pause : function
         Takes the number of the failed attempt, returns a Deferred to wait
-        for; see :func:`pauses`.
+        for; see :func:`make_pause`.
     attempts : int
         Puts and reads in all.
 
--- a/pollenstile/platform/_watch.py
+++ b/pollenstile/platform/_watch.py
@@ -10,8 +10,8 @@
     news_of_listing,
 )
 from pollenstile.platform._outcome import Compacted, Unavailable
-from pollenstile.platform._pages import listed_whole
-from pollenstile.platform._pause import paused, pauses
+from pollenstile.platform._pages import list_all
+from pollenstile.platform._pause import paused, make_pause
 from pollenstile.platform.events import (
     WATCH_CALLBACK_FAILED,
     WATCH_LISTED_AGAIN,
@@ -158,7 +158,7 @@
 
 async def _run(state):
     timing = state.timing
-    pause = pauses(
+    pause = make_pause(
         state.clock,
         state.random,
         timing.backoff,
@@ -180,7 +180,7 @@
 async def _list(state):
     timing = state.timing
     call = Deferred.fromCoroutine(
-        listed_whole(state.store, state.kind, state.prefix),
+        list_all(state.store, state.kind, state.prefix),
     )
     listing = await _within(state, call, timing.list_within, 'list')
     if isinstance(listing, Unavailable):
--- a/pollenstile/platform/_weights.py
+++ b/pollenstile/platform/_weights.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from urllib.parse import quote
 
-from pollenstile.platform._http import Broken
+from pollenstile.platform._http import FailedCall
 from pollenstile.platform._outcome import Unavailable
 
 _DEFAULT_WAIT = 1.0
@@ -24,14 +24,14 @@
     retry_after: float
 
 
-async def weight_ticket(caller, model, version):
+async def request_ticket(caller, model, version):
     """Return ``Ticket``, ``Throttled`` or ``Unavailable``.
 
     A ticket whose answer is lost is lost too: it costs one of the rate.
     """
     path = f'/v1/weights/{quote(model, safe="")}/{quote(version, safe="")}'
     reply = await caller.call('POST', f'{path}/tickets', b'', fresh=True)
-    if isinstance(reply, Broken):
+    if isinstance(reply, FailedCall):
         return Unavailable('ticket', caller.peer, reply.reason)
     if reply.status == 200:
         return Ticket(model, version)
--- a/pollenstile/relay/_store.py
+++ b/pollenstile/relay/_store.py
@@ -12,7 +12,7 @@
     Found,
     Listing,
     Unavailable,
-    branched,
+    fork_deferred,
     paused,
 )
 
@@ -282,7 +282,7 @@
     def _next_update(self, feed):
         if feed.waiting is None:
             feed.waiting = Deferred(lambda _: None)
-        return branched(feed.waiting)
+        return fork_deferred(feed.waiting)
 
     def _reset_feeds(self):
         # Changes that the watch has not received yet are dropped, and a full
--- a/pollenstile/soak/_callers.py
+++ b/pollenstile/soak/_callers.py
@@ -151,7 +151,7 @@
         key=caller_request.key,
     )
     running = Deferred.fromCoroutine(
-        pipeline.outcome_of(
+        pipeline.run_request(
             node.core,
             exchange.request,
             exchange.tokens.append,
--- a/pollenstile/soak/_world.py
+++ b/pollenstile/soak/_world.py
@@ -132,7 +132,7 @@
         """Start a new incarnation of an upstream at the same address."""
         old = self.upstreams[name]
         self.former_upstreams.append(old)
-        new = self._build_upstream(name, old.kind, old.slots.most)
+        new = self._build_upstream(name, old.kind, old.slots.max_running)
         number = sum(
             upstream.name == name for upstream in self.former_upstreams
         )
--- a/pollenstile/soak/live/_hosts.py
+++ b/pollenstile/soak/live/_hosts.py
@@ -8,7 +8,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import ProcessProtocol
 
-from pollenstile.ops.settings import address, shown
+from pollenstile.ops.settings import address, format_address
 from pollenstile.soak.live._proxy import LOOPBACK, Proxy
 
 COMMAND = (sys.executable, '-m', 'pollenstile.ops')
@@ -72,11 +72,11 @@
         flags = {
             'host': self.name,
             'domain': 'here',
-            'store': shown(self.store.address),
-            'callers': shown((LOOPBACK, 0)),
-            'ready': shown((LOOPBACK, 0)),
-            'peers': shown((LOOPBACK, 0)),
-            'peers-seen': shown(self.peers.address),
+            'store': format_address(self.store.address),
+            'callers': format_address((LOOPBACK, 0)),
+            'ready': format_address((LOOPBACK, 0)),
+            'peers': format_address((LOOPBACK, 0)),
+            'peers-seen': format_address(self.peers.address),
             'revoke-seconds': str(REVOKE_SECONDS),
             'drain-seconds': str(DRAIN_SECONDS),
             'grace-seconds': str(GRACE_SECONDS),
--- a/pollenstile/soak/live/_servers.py
+++ b/pollenstile/soak/live/_servers.py
@@ -6,7 +6,7 @@
 from twisted.web.server import NOT_DONE_YET, Site
 
 from pollenstile.forward import FREE_TARGET, RUN_TARGET, HeaderNames
-from pollenstile.ops.http import quiet
+from pollenstile.ops.http import disable_access_log
 from pollenstile.soak.live._proxy import LOOPBACK, Proxy
 from pollenstile.soak.live._records import Fault, RunRecord
 
@@ -69,7 +69,9 @@
         self.domain = domain
         self.fault = ''
         self.proxy = Proxy(world.reactor)
-        site = quiet(Site(_RESOURCES.get(service, _StageResource)(self)))
+        site = disable_access_log(
+            Site(_RESOURCES.get(service, _StageResource)(self))
+        )
         self.port = world.reactor.listenTCP(0, site, 512, LOOPBACK)
         self.proxy.target = (LOOPBACK, self.port.getHost().port)
 
--- a/pollenstile/soak/live/_world.py
+++ b/pollenstile/soak/live/_world.py
@@ -7,7 +7,7 @@
 from twisted.internet.task import deferLater
 
 from pollenstile.forward import DRAINED
-from pollenstile.ops.http import quiet
+from pollenstile.ops.http import disable_access_log
 from pollenstile.platform import Written
 from pollenstile.soak.live._hosts import COMMAND, LiveHost
 from pollenstile.soak.live._proxy import LOOPBACK
@@ -93,7 +93,7 @@
         self.all_keys = _KEYS
         self.store = MemoryStore(reactor)
         self.store_port = reactor.listenTCP(
-            0, quiet(platform_site(self.store)), 512, LOOPBACK
+            0, disable_access_log(platform_site(self.store)), 512, LOOPBACK
         )
         port = self.store_port.getHost().port
         self.store_address = (LOOPBACK, port)
