--- a/features/builders/livemutant.py
+++ b/features/builders/livemutant.py
@@ -1,12 +1,12 @@
-"""The program with one guard taken out, for a live soak to notice.
+"""Runs the program without one guard, to test that live soaks detect this.
 
 Explanation
 ===========
 
 ``python -m features.builders.livemutant GUARD forward ...`` runs the command
 ``pollenstile`` without that guard;
-``python -m features.builders.livemutant GUARD`` runs live soaks of it, seeds
-from 1 on, until one notices, and prints what it noticed.
+``python -m features.builders.livemutant GUARD`` runs live soaks of it with the
+seeds from 1 on until one finds violations, and prints these.
 """
 
 import sys
@@ -19,10 +19,10 @@
 from pollenstile.ops.running import result_of
 from pollenstile.soak.live import run_live
 
-_MOST_SEEDS = 6
+_MAX_SEEDS = 6
 
 
-def _repeats_all(route, outcome, sends, runs, *, resumed, may_repeat):
+def _retry_all(route, outcome, sends, runs, *, resumed, may_repeat):
     return (
         RetryDecision.RETRY
         if sends < 3 and not resumed
@@ -31,16 +31,16 @@
 
 
 def without_once():
-    """Send a request again that may run once only."""
-    _run.decide_retry = _repeats_all
+    """Retry also requests that must not run twice."""
+    _run.decide_retry = _retry_all
 
 
 def without_new_configuration():
-    """Keep the first configuration for good."""
-    replaced = _configuration.Configuration._replace_table
+    """Never replace the first configuration."""
+    original = _configuration.Configuration._replace_table
 
     def keep(reader, found):
-        return reader.table is not None or replaced(reader, found)
+        return reader.table is not None or original(reader, found)
 
     _configuration.Configuration._replace_table = keep
 
@@ -50,23 +50,23 @@
 
 
 def without_drain():
-    """End a host at once when it is told to stop."""
+    """End a host at once on shutdown, without a lame duck period."""
     _daemon._LAME_DUCK_SECONDS = 0.0
     _daemon.ForwardDaemon._is_busy = _is_never_busy
 
 
 def without_truth():
-    """Say of a request that ran that it has not."""
+    """Report a request as not run although it may have run."""
     _run.expired_refusal = lambda runs: Refusal(503, 'timeout', 'send')
 
 
 def without_drained_domains():
-    """Send to the upstreams of drained domains."""
+    """Keep sending to the upstreams of drained domains."""
     _registry.Registry.drain = lambda registry, domains: None
 
 
 def without_quarantine():
-    """Send on what has crashed three upstreams and more."""
+    """Keep sending requests that crashed three or more upstreams."""
     _run.quarantine_refusal = lambda core, exchange: None
 
 
@@ -81,12 +81,12 @@
 
 
 def mutant_command(guard):
-    """Return the words that run the program without a guard."""
+    """Return the command that runs the program without a guard."""
     return (sys.executable, '-m', 'features.builders.livemutant', guard)
 
 
-async def noticed(reactor, guard, seeds, seconds=8.0):
-    """Return the first result that has broken promises, or None."""
+async def find_violating_run(reactor, guard, seeds, seconds=8.0):
+    """Return the first result with violations, or None."""
     for seed in seeds:
         result = await run_live(
             reactor,
@@ -99,16 +99,22 @@
     return None
 
 
-def _hunt(guard):
+def _run_seeds(guard):
     from twisted.internet import reactor
 
     use_boot_clock(reactor)
-    seeds = range(1, _MOST_SEEDS + 1)
-    result = result_of(reactor, lambda: noticed(reactor, guard, seeds))
+    seeds = range(1, _MAX_SEEDS + 1)
+    result = result_of(
+        reactor, lambda: find_violating_run(reactor, guard, seeds)
+    )
     if result is None:
-        sys.stdout.write(f'{guard}: not noticed in {_MOST_SEEDS} seeds\n')
+        sys.stdout.write(f'{guard}: not detected in {_MAX_SEEDS} seeds\n')
         return 1
-    lines = (f'{guard}: seed {result.seed} noticed', *result.broken[:2], '')
+    lines = (
+        f'{guard}: seed {result.seed} found violations',
+        *result.broken[:2],
+        '',
+    )
     sys.stdout.write('\n  '.join(lines))
     return 0
 
@@ -116,7 +122,7 @@
 if __name__ == '__main__':
     name, *rest = sys.argv[1:]
     if not rest:
-        sys.exit(_hunt(name))
+        sys.exit(_run_seeds(name))
     GUARDS[name]()
     sys.argv = ['pollenstile', *rest]
     sys.exit(main())
--- a/pollenstile/soak/live/_callers.py
+++ b/pollenstile/soak/live/_callers.py
@@ -1,4 +1,4 @@
-"""Callers of a live run, on connections that they keep."""
+"""Callers of a live run, which use persistent connections."""
 
 from random import Random
 
@@ -14,28 +14,34 @@
 from twisted.web.http_headers import Headers
 
 from pollenstile.ops.body import BytesProducer
-from pollenstile.soak.live._records import Asked
-from pollenstile.soak.live._servers import DEADLY, NAMES
-
-# Seconds that callers wait, stated in the request.
-DEADLINES = {'find': 2.0, 'book': 2.0, 'draft': 4.0, 'digest': 4.0}
-# Seconds beyond the deadline after which a caller gives its connection up.
-_MARGIN = 4.0
-# Kinds of requests of which one ends each upstream that runs it, and seconds
-# between its repeats.
-DEADLY_KINDS = ('find', 'draft')
-_DEADLY_PAUSE = 0.25
-# Seconds between a caller's requests, on average.
-_PAUSE = 0.06
-# Share of the requests that carry any key there ever was.
-_OLD_KEYS = 0.2
-_MS = 1000
-_LARGE = 3000
-# How a request ends whose connection brings no answer.
-_LOST = (TimeoutError, CancelledError, ResponseFailed, RequestNotSent)
-
-
-class _Connecting(ClientFactory):
+from pollenstile.soak.live._records import RequestRecord
+from pollenstile.soak.live._servers import CRASHING_PREFIX, NAMES
+
+# Deadline that callers send with each request, by route.
+DEADLINE_SECONDS = {'find': 2.0, 'book': 2.0, 'draft': 4.0, 'digest': 4.0}
+# Seconds beyond the deadline after which a caller closes its connection.
+_GIVE_UP_MARGIN_SECONDS = 4.0
+# Routes for which requests that crash their upstream are sent, and seconds
+# between their repeats.
+CRASHING_KINDS = ('find', 'draft')
+_CRASHING_PAUSE_SECONDS = 0.25
+# Mean seconds between a caller's requests.
+_MEAN_PAUSE_SECONDS = 0.06
+# Share of the requests whose key is chosen from all keys, including revoked
+# ones.
+_OLD_KEY_SHARE = 0.2
+_MS_PER_SECOND = 1000
+_BODY_BYTES = 3000
+# Errors of a request whose connection ended without an answer.
+_CONNECTION_ERRORS = (
+    TimeoutError,
+    CancelledError,
+    ResponseFailed,
+    RequestNotSent,
+)
+
+
+class _ConnectionFactory(ClientFactory):
     noisy = False
 
     def __init__(self):
@@ -43,156 +49,167 @@
 
     def buildProtocol(self, address):
         """Return the connection; called by twisted."""
-        return _Kept(self.done)
+        return _PersistentConnection(self.done)
 
     def clientConnectionFailed(self, connector, reason):
-        """Note that nobody listens; called by twisted."""
+        """Report that the connection was refused; called by twisted."""
         if not self.done.called:
             self.done.callback(None)
 
 
-class _Kept(HTTP11ClientProtocol):
-    """A connection for one request after another."""
+class _PersistentConnection(HTTP11ClientProtocol):
+    """A connection that is reused for consecutive requests."""
 
     def __init__(self, done):
         super().__init__()
         self.done = done
-        self.over = False
+        self.is_lost = False
 
     def connectionMade(self):
-        """Begin; called by twisted."""
+        """Report the open connection; called by twisted."""
         super().connectionMade()
         if not self.done.called:
             self.done.callback(self)
 
     def connectionLost(self, reason):
-        """End; called by twisted."""
-        self.over = True
+        """Mark the connection as lost; called by twisted."""
+        self.is_lost = True
         super().connectionLost(reason)
 
 
-class _Body(Protocol):
-    def __init__(self, asked):
-        self.asked = asked
+class _BodyCollector(Protocol):
+    def __init__(self, record):
+        self.record = record
         self.ended = Deferred()
 
     def dataReceived(self, data):
-        """Keep bytes; called by twisted."""
-        self.asked.body += data
+        """Append received bytes; called by twisted."""
+        self.record.body += data
 
     def connectionLost(self, reason):
-        """Note how the body ended; called by twisted."""
-        self.asked.whole = reason.check(ResponseDone) is not None
+        """Record whether the body is complete; called by twisted."""
+        self.record.complete = reason.check(ResponseDone) is not None
         if not self.ended.called:
             self.ended.callback(None)
 
 
 class Caller:
-    """Sends one request after another, mostly to one host.
+    """Sends consecutive requests, to the same host while it is connected.
 
     Parameters
     ==========
 
     world : World
-        Reactor, hosts, random generator, records.
+        Reactor, hosts, random generator and records of the run.
+    number : int
+        Number of the caller; part of its random seed and request identifiers.
     """
 
     def __init__(self, world, number):
         self.world = world
         self.number = number
-        # Apart from the faults' generator, so that a seed gives its faults.
+        # Separate from the generator of the faults, so that a seed always
+        # gives the same faults.
         self.rng = Random(f'{world.seed}/{number}')
         self.connection = None
         self.host = None
 
     async def run(self):
-        """Ask until the run is over."""
+        """Send requests until the run ends."""
         world = self.world
         count = 0
-        while world.asking:
-            pause = self.rng.expovariate(1 / _PAUSE)
+        while world.is_sending:
+            pause = self.rng.expovariate(1 / _MEAN_PAUSE_SECONDS)
             await deferLater(world.reactor, pause)
             count += 1
             ident = f'c{self.number}-{count}'
-            kind = self.rng.choice(tuple(DEADLINES))
-            await self._ask(ident, kind, ident, self._key())
+            kind = self.rng.choice(tuple(DEADLINE_SECONDS))
+            await self._send(ident, kind, ident, self._key())
         if self.connection is not None:
             self.connection.transport.abortConnection()
 
-    async def repeat_deadly(self, kind, seconds):
-        """Ask all hosts again and again for what ends its upstream."""
+    async def repeat_crashing(self, kind, seconds):
+        """Repeat a request that crashes its upstream, at random hosts."""
         world = self.world
-        ends = world.reactor.seconds() + seconds
-        content = f'{DEADLY}-{kind}'
-        while world.reactor.seconds() < ends:
-            await deferLater(world.reactor, _DEADLY_PAUSE)
+        end = world.reactor.seconds() + seconds
+        content = f'{CRASHING_PREFIX}-{kind}'
+        while world.reactor.seconds() < end:
+            await deferLater(world.reactor, _CRASHING_PAUSE_SECONDS)
             self.number += 1
             ident = f'{content}-{self.number}'
-            await self._ask(ident, kind, content, world.keys[0])
+            await self._send(ident, kind, content, world.keys[0])
             if self.connection is not None:
                 self.connection.transport.abortConnection()
             self.connection = None
 
-    async def _ask(self, ident, kind, content, key):
+    async def _send(self, ident, kind, content, key):
         world = self.world
-        if self.connection is None or self.connection.over:
+        if self.connection is None or self.connection.is_lost:
             await self._connect()
         if self.connection is None:
             return
         now = world.reactor.seconds()
-        asked = Asked(
-            ident, kind, self.host.name, key, now, DEADLINES[kind], content
+        record = RequestRecord(
+            ident,
+            kind,
+            self.host.name,
+            key,
+            now,
+            DEADLINE_SECONDS[kind],
+            content,
         )
-        world.records.asked.append(asked)
-        await self._answered(asked)
-        asked.ended_at = world.reactor.seconds()
+        world.records.requests.append(record)
+        await self._await_answer(record)
+        record.ended_at = world.reactor.seconds()
 
     def _key(self):
-        """Return a key; some go on with one that was taken away."""
+        """Return a random key; a share of them may be revoked."""
         keys = self.world.keys
-        if self.rng.random() < _OLD_KEYS:
+        if self.rng.random() < _OLD_KEY_SHARE:
             keys = self.world.all_keys
         return self.rng.choice(keys)
 
     async def _connect(self):
         world = self.world
-        self.host = self.rng.choice(world.taking_hosts())
-        connecting = _Connecting()
+        self.host = self.rng.choice(world.accepting_hosts())
+        connecting = _ConnectionFactory()
         world.reactor.connectTCP(
             *self.host.callers.address, connecting, timeout=1
         )
         self.connection = await connecting.done
 
-    async def _answered(self, asked):
+    async def _await_answer(self, record):
         connection = self.connection
-        work = Deferred.fromCoroutine(self._exchange(connection, asked))
-        work.addTimeout(asked.deadline + _MARGIN, self.world.reactor)
+        work = Deferred.fromCoroutine(self._exchange(connection, record))
+        work.addTimeout(
+            record.deadline + _GIVE_UP_MARGIN_SECONDS, self.world.reactor
+        )
         try:
             await work
-        except _LOST:
+        except _CONNECTION_ERRORS:
             connection.transport.abortConnection()
             self.connection = None
 
-    async def _exchange(self, connection, asked):
-        response = await connection.request(_request(asked))
-        asked.status = response.code
-        body = _Body(asked)
+    async def _exchange(self, connection, record):
+        response = await connection.request(_request(record))
+        record.status = response.code
+        body = _BodyCollector(record)
         response.deliverBody(body)
         await body.ended
         if response.headers.getRawHeaders(b'connection') == [b'close']:
             self.connection = None
 
 
-def _request(asked):
-    lines = Headers()
-    lines.addRawHeader(b'host', b'shop')
-    lines.addRawHeader(NAMES.attempt, asked.ident.encode())
-    deadline = b'%d' % (asked.deadline * _MS)
-    lines.addRawHeader(NAMES.deadline, deadline)
-    lines.addRawHeader(b'authorization', f'Bearer {asked.key}'.encode())
-    if asked.kind in {'draft', 'digest'}:
-        lines.addRawHeader(NAMES.counts, b'2,3')
-        lines.addRawHeader(NAMES.stage_key, asked.ident.encode())
-    body = BytesProducer(b'x' * _LARGE)
-    target = f'/{asked.kind}/of/{asked.content}?q'.encode()
-    return Request(b'POST', target, lines, body, persistent=True)
+def _request(record):
+    headers = Headers()
+    headers.addRawHeader(b'host', b'shop')
+    headers.addRawHeader(NAMES.attempt, record.ident.encode())
+    deadline = b'%d' % (record.deadline * _MS_PER_SECOND)
+    headers.addRawHeader(NAMES.deadline, deadline)
+    headers.addRawHeader(b'authorization', f'Bearer {record.key}'.encode())
+    if record.kind in {'draft', 'digest'}:
+        headers.addRawHeader(NAMES.counts, b'2,3')
+        headers.addRawHeader(NAMES.stage_key, record.ident.encode())
+    body = BytesProducer(b'x' * _BODY_BYTES)
+    target = f'/{record.kind}/of/{record.content}?q'.encode()
+    return Request(b'POST', target, headers, body, persistent=True)
--- a/pollenstile/soak/live/_servers.py
+++ b/pollenstile/soak/live/_servers.py
@@ -1,4 +1,4 @@
-"""Upstreams of a live run: one server each, behind a proxy, with faults."""
+"""Upstreams of a live run: HTTP servers with faults, each behind a proxy."""
 
 import msgspec
 from twisted.internet.defer import Deferred, gatherResults, maybeDeferred
@@ -8,37 +8,37 @@
 from pollenstile.forward import FREE_TARGET, RUN_TARGET, HeaderNames
 from pollenstile.ops.http import disable_access_log
 from pollenstile.soak.live._proxy import LOOPBACK, Proxy
-from pollenstile.soak.live._records import Fault, Ran
+from pollenstile.soak.live._records import Fault, RunRecord
 
 NAMES = HeaderNames()
 PLAIN = 'lookup'
 ENGINES = 'engines'
 STAGES = ('encode', 'rerank')
-# Events of a stream, and seconds between them.
+# Number of events of a stream, and seconds between them.
 EVENTS = 12
-_GAP = 0.04
+_EVENT_GAP_SECONDS = 0.04
 # Seconds for which an upstream is cold, counted by a host from when it reads
-# so, and the requests a second that it bears.
+# the entry, and the requests a second that it may get meanwhile.
 COLD_SECONDS = 1.0
 COLD_RATE = 6.0
-# Of the target of requests that end the upstream that runs them, and seconds
-# until then.
-DEADLY = 'deadly'
-_DEADLY_SECONDS = 0.03
+# Prefix in the target of requests that crash the upstream that runs them, and
+# seconds until the crash.
+CRASHING_PREFIX = 'deadly'
+_CRASH_DELAY_SECONDS = 0.03
 # Seconds that a lookup and a stage call take.
-_WORK = 0.08
-_SLOW_WORK = 0.6
+_WORK_SECONDS = 0.08
+_SLOW_WORK_SECONDS = 0.6
 _MISDIRECTED = 421
 _CONFLICT = 409
 _FAILED = 500
 
 
-def plain_body(ident):
-    """Return the whole answer of a lookup."""
+def lookup_body(ident):
+    """Return the complete body of a lookup's answer."""
     return f'answer of {ident};'.encode() * 9
 
 
-def event_of(ident, number):
+def stream_event(ident, number):
     """Return one event of a stream."""
     return f'id: {number}\ndata: {ident}/{number}\n\n'.encode()
 
@@ -50,16 +50,16 @@
     ==========
 
     world : World
-        Clock, random generator, records and results.
+        Clock, random generator, records and results of the run.
     service, ident, domain : str
-        What it is, and where.
+        Service, incarnation and failure domain.
 
     Attributes
     ==========
 
     fault : str
-        ``''``, ``'hang'``, ``'fail'``, ``'lose'`` (runs and loses the answer),
-        ``'cut'`` (breaks answers off) or ``'slow'``.
+        ``''``, ``'hang'``, ``'fail'``, ``'lose'`` (runs the request and loses
+        the answer), ``'cut'`` (aborts answers) or ``'slow'``.
     """
 
     def __init__(self, world, service, ident, domain):
@@ -69,18 +69,20 @@
         self.domain = domain
         self.fault = ''
         self.proxy = Proxy(world.reactor)
-        site = disable_access_log(Site(_RESOURCES.get(service, _Stage)(self)))
+        site = disable_access_log(
+            Site(_RESOURCES.get(service, _StageResource)(self))
+        )
         self.port = world.reactor.listenTCP(0, site, 512, LOOPBACK)
         self.proxy.target = (LOOPBACK, self.port.getHost().port)
 
     @property
     def address(self):
-        """Where hosts reach it."""
+        """Address of the proxy, which hosts connect to."""
         host, port = self.proxy.address
         return f'{host}:{port}'
 
     def entry(self, *, leaving=False):
-        """Return what it writes of itself into the registry."""
+        """Return the upstream's entry for the registry."""
         return {
             'service': self.service,
             'address': self.address,
@@ -90,17 +92,17 @@
             'cold_seconds': 0.0 if leaving else COLD_SECONDS,
         }
 
-    def ran(self, ident, team=''):
-        """Note a run."""
+    def record_run(self, ident, team=''):
+        """Record a run of a request."""
         now = self.world.reactor.seconds()
-        self.world.records.ran.append(Ran(ident, self.ident, now, team))
+        self.world.records.runs.append(RunRecord(ident, self.ident, now, team))
 
-    def work(self):
-        """Return seconds that a call takes."""
-        return _SLOW_WORK if self.fault == 'slow' else _WORK
+    def work_seconds(self):
+        """Return the duration of a call in seconds."""
+        return _SLOW_WORK_SECONDS if self.fault == 'slow' else _WORK_SECONDS
 
     def crash(self):
-        """End with all connections; nobody listens at the address then."""
+        """Reset all connections and stop listening; return a Deferred."""
         self.proxy.target = None
         ended = [
             maybeDeferred(self.proxy.close),
@@ -109,8 +111,8 @@
         return gatherResults(ended)
 
 
-class _Served(Resource):
-    """A resource that checks whom a request is meant for, and has faults."""
+class _FaultyResource(Resource):
+    """A resource with faults, which checks a request's expected incarnation."""
 
     isLeaf = True
 
@@ -130,36 +132,38 @@
         if self.server.fault == 'hang':
             self.note(request, attempt.decode())
             return NOT_DONE_YET
-        if DEADLY.encode() in request.uri:
+        if CRASHING_PREFIX.encode() in request.uri:
             self.note(request, attempt.decode())
             content = attempt.decode().rpartition('-')[0]
-            self.clock.callLater(_DEADLY_SECONDS, self._end, content)
+            self.clock.callLater(
+                _CRASH_DELAY_SECONDS, self._crash_server, content
+            )
             return NOT_DONE_YET
         if attempt:
             request.setHeader(NAMES.attempt, attempt)
             request.setHeader(NAMES.stamp, f'proof of {self.server.ident}')
         return self.serve(request, attempt.decode())
 
-    def _end(self, content):
+    def _crash_server(self, content):
         world = self.server.world
         if self.server.ident in world.servers:
             now = self.clock.seconds()
-            world.records.ended_by.append((now, content))
+            world.records.crashes.append((now, content))
             world.records.faults.append(Fault(now, self.server.ident, 'ended'))
             Deferred.fromCoroutine(world.replace_server(self.server))
 
     def note(self, request, ident):
-        """Note a run, and whether its answer is lost."""
+        """Record a run; return whether its answer is lost."""
         team = request.getHeader(NAMES.team) or b''
-        self.server.ran(ident, team.decode())
+        self.server.record_run(ident, team.decode())
         if self.server.fault != 'lose':
             return False
-        self.clock.callLater(_WORK, _abort, request)
+        self.clock.callLater(_WORK_SECONDS, _abort, request)
         return True
 
 
-class _Plain(_Served):
-    """Lookups."""
+class _LookupResource(_FaultyResource):
+    """Resource of the lookup service."""
 
     def serve(self, request, ident):
         """Run a lookup."""
@@ -168,66 +172,70 @@
         if self.server.fault == 'fail':
             request.setResponseCode(_FAILED)
             return b'failed'
-        self.clock.callLater(self.server.work(), self._answer, request, ident)
+        self.clock.callLater(
+            self.server.work_seconds(), self._answer, request, ident
+        )
         return NOT_DONE_YET
 
     def _answer(self, request, ident):
-        body = plain_body(ident)
+        body = lookup_body(ident)
         if _is_over(request):
             return
         if self.server.fault == 'cut':
             request.setHeader(b'content-length', b'%d' % len(body))
             request.write(body[: len(body) // 2])
-            self.clock.callLater(_WORK, _abort, request)
+            self.clock.callLater(_WORK_SECONDS, _abort, request)
             return
         request.write(body)
         request.finish()
 
 
-class _Engine(_Served):
-    """Streams."""
+class _StreamResource(_FaultyResource):
+    """Resource of the engines, which stream events."""
 
     def serve(self, request, ident):
-        """Run a request, or go on with one."""
-        stated = request.getHeader(NAMES.results) or b''
-        handles = [one for one in stated.decode().split(',') if one]
+        """Run a request, or resume one after its last event."""
+        header = request.getHeader(NAMES.results) or b''
+        handles = [item for item in header.decode().split(',') if item]
         results = self.server.world.results
-        if not handles or any(one not in results for one in handles):
+        if not handles or any(item not in results for item in handles):
             request.setHeader(NAMES.not_run, b'1')
             request.setResponseCode(_CONFLICT)
             return b''
         for handle in handles:
             if results[handle] != ident:
                 self.server.world.records.broken.append(
-                    f'mixed: {ident} was given a result of {results[handle]}'
+                    f'mixed: {ident} received a result of {results[handle]}'
                 )
         if self.note(request, ident):
             return NOT_DONE_YET
         last = request.getHeader(NAMES.last_event) or b'0'
         request.setHeader(b'content-type', b'text/event-stream')
-        self._event(request, ident, int(last) + 1)
+        self._write_event(request, ident, int(last) + 1)
         return NOT_DONE_YET
 
-    def _event(self, request, ident, number):
+    def _write_event(self, request, ident, number):
         if _is_over(request):
             return
         if self.server.fault == 'cut' and number > EVENTS // 2:
-            request.write(event_of(ident, number)[:7])
-            self.clock.callLater(_WORK, _abort, request)
+            request.write(stream_event(ident, number)[:7])
+            self.clock.callLater(_WORK_SECONDS, _abort, request)
             return
         if number <= EVENTS:
-            request.write(event_of(ident, number))
+            request.write(stream_event(ident, number))
         if number >= EVENTS:
             request.finish()
             return
-        self.clock.callLater(_GAP, self._event, request, ident, number + 1)
+        self.clock.callLater(
+            _EVENT_GAP_SECONDS, self._write_event, request, ident, number + 1
+        )
 
 
-class _Stage(_Served):
-    """Pieces of requests."""
+class _StageResource(_FaultyResource):
+    """Resource of the stage services, which run batches of pieces."""
 
     def serve(self, request, ident):
-        """Make a batch, or release results."""
+        """Run a batch, or release results."""
         content = request.content.read()
         results = self.server.world.results
         if request.path == FREE_TARGET:
@@ -239,33 +247,38 @@
             request.setResponseCode(_FAILED)
             return b''
         pieces = msgspec.json.decode(content)
-        self.clock.callLater(self.server.work(), self._made, request, pieces)
+        self.clock.callLater(
+            self.server.work_seconds(), self._finish_batch, request, pieces
+        )
         return NOT_DONE_YET
 
-    def _made(self, request, pieces):
-        made = [self._piece(piece) for piece in pieces]
+    def _finish_batch(self, request, pieces):
+        handles = [self._run_piece(piece) for piece in pieces]
         if self.server.fault == 'lose':
             _abort(request)
             return
         if _is_over(request):
             return
-        request.write(msgspec.json.encode(made))
+        request.write(msgspec.json.encode(handles))
         request.finish()
 
-    def _piece(self, piece):
+    def _run_piece(self, piece):
         world = self.server.world
-        if any(one not in world.results for one in piece['inputs']):
+        if any(
+            input_handle not in world.results
+            for input_handle in piece['inputs']
+        ):
             return ''
-        for one in piece['inputs']:
-            if world.results[one] != piece['request']:
+        for input_handle in piece['inputs']:
+            if world.results[input_handle] != piece['request']:
                 world.records.broken.append(f'mixed piece: {piece}')
-        world.made += 1
-        handle = f'{self.server.address}/{world.made}'
+        world.result_count += 1
+        handle = f'{self.server.address}/{world.result_count}'
         world.results[handle] = piece['request']
         return handle
 
 
-_RESOURCES = {PLAIN: _Plain, ENGINES: _Engine}
+_RESOURCES = {PLAIN: _LookupResource, ENGINES: _StreamResource}
 
 
 def _is_over(request):
