--- a/features/builders/docs.py
+++ b/features/builders/docs.py
@@ -1,4 +1,4 @@
-"""The project's pages, and what is wrong with them."""
+"""Documentation pages, and checks that find errors in them."""
 
 import contextlib
 import io
@@ -14,16 +14,16 @@
 _LINK = re.compile(r'\[([^\]]*)\]\(([^)\s]+)\)')
 _HEADING = re.compile('^#+ +(.*)$', re.MULTILINE)
 _FENCE = re.compile(r'^```[a-z]*\n(.*?)^```', re.MULTILINE | re.DOTALL)
-_CONTINUED = re.compile(r'\\\n')
+_LINE_CONTINUATION = re.compile(r'\\\n')
 _EVENT = re.compile(r'\bevents? `?(\d{4})\b', re.IGNORECASE)
-_MACHINE = re.compile(r'(?<![\w.])/(?:work|home|root|Users)/\S*')
+_MACHINE_PATH = re.compile(r'(?<![\w.])/(?:work|home|root|Users)/\S*')
 _PLACEHOLDER = re.compile('^[A-Z][A-Z0-9_:.-]*$')
 _COMMAND = re.compile(r'^(?:\$ )?(?:\.venv/bin/)?(pollenstile|make)\b(.*)$')
-_SHELL = re.compile(r'\s(?:[&|>;]|&&|2>).*$')
+_SHELL_TAIL = re.compile(r'\s(?:[&|>;]|&&|2>).*$')
 
 
 class Page:
-    """A page and where it stands."""
+    """Path and text of a documentation page."""
 
     __slots__ = ('path', 'text')
 
@@ -33,13 +33,13 @@
 
 
 def all_pages():
-    """Return the README and every page under docs."""
+    """Return the README and all pages under docs."""
     paths = [ROOT / 'README.md', *sorted((ROOT / 'docs').rglob('*.md'))]
     return [Page(path, path.read_text(encoding='utf8')) for path in paths]
 
 
-def page_with(line):
-    """Return a page at the root that holds one line, as code if it says so."""
+def build_page(line):
+    """Return a page at the root with one line, or a code block for ``CODE``."""
     if line.startswith('CODE '):
         code = line.replace('CODE ', '', 1)
         line = f'```\n{code}\n```'
@@ -54,24 +54,24 @@
     return found
 
 
-def wrong_links(page):
-    """Return links of a page that lead nowhere."""
+def broken_links(page):
+    """Return the links of a page whose target does not exist."""
     text = _FENCE.sub('', page.text)
-    wrong = []
+    broken = []
     for label, link in _LINK.findall(text):
-        if _is_outer(link):
+        if _is_external(link):
             continue
         if not _resolves(page, link) or not _names_scenario(page, label, link):
-            wrong.append(link)
-    return wrong
+            broken.append(link)
+    return broken
 
 
-def _is_outer(link):
+def _is_external(link):
     return re.match('[a-z]+:', link) is not None
 
 
 def _names_scenario(page, label, link):
-    """Return whether a link to a feature is labelled with a scenario there."""
+    """Return whether the label of a link to a feature names a scenario."""
     if not link.endswith('.feature'):
         return True
     feature = (page.path.parent / link).read_text(encoding='utf8')
@@ -88,15 +88,15 @@
         return False
     if not anchor:
         return True
-    held = target.read_text(encoding='utf8') if name else page.text
-    return anchor in _anchors(held)
+    linked_text = target.read_text(encoding='utf8') if name else page.text
+    return anchor in _anchors(linked_text)
 
 
 def commands(page):
-    """Return the commands in a page's code blocks, program and the rest."""
+    """Return the commands in code blocks of a page, as program and the rest."""
     found = []
     for block in _FENCE.findall(page.text):
-        for line in _CONTINUED.sub(' ', block).splitlines():
+        for line in _LINE_CONTINUATION.sub(' ', block).splitlines():
             match = _COMMAND.match(line.strip())
             if match:
                 found.append(match.groups())
@@ -108,8 +108,8 @@
     return set(re.findall('^([a-z][a-z-]*):', text, re.MULTILINE))
 
 
-def _is_taken(program, rest):
-    words = shlex.split(_SHELL.sub('', rest), comments=True)
+def _is_accepted(program, rest):
+    words = shlex.split(_SHELL_TAIL.sub('', rest), comments=True)
     if program == 'make':
         return set(words) <= _make_targets()
     words = ['1' if _PLACEHOLDER.match(word) else word for word in words]
@@ -123,17 +123,17 @@
     return True
 
 
-def wrong_commands(page):
-    """Return commands of a page that the program does not take."""
+def invalid_commands(page):
+    """Return the commands of a page that the program does not accept."""
     return [
         program + rest
         for program, rest in commands(page)
-        if not _is_taken(program, rest)
+        if not _is_accepted(program, rest)
     ]
 
 
-def wrong_events(page):
-    """Return event numbers of a page that are in no catalogue."""
+def unknown_events(page):
+    """Return the event numbers of a page that are not in the catalogue."""
     load_package()
     known = {event.number for event in catalogue()}
     named = [int(number) for number in _EVENT.findall(page.text)]
@@ -141,13 +141,13 @@
 
 
 def machine_paths(page):
-    """Return paths of some machine that a page names."""
-    return _MACHINE.findall(page.text)
+    """Return the paths of a specific machine in the text of a page."""
+    return _MACHINE_PATH.findall(page.text)
 
 
 CHECKS = {
-    'links': wrong_links,
-    'commands': wrong_commands,
-    'events': wrong_events,
+    'links': broken_links,
+    'commands': invalid_commands,
+    'events': unknown_events,
     'paths': machine_paths,
 }
--- a/features/builders/spec.py
+++ b/features/builders/spec.py
@@ -1,15 +1,15 @@
-"""Recorded runs of the claims log, as a soak would write them."""
+"""Recorded runs of the claims log, built by hand."""
 
 from spec.trace import TraceEvent
 
 
 def begin(request, host='h1', key='k1'):
-    """Return the event of a request that a host takes."""
+    """Return the event of a request that arrives at a host."""
     return TraceEvent('begin', host=host, request=request, key=key)
 
 
-def opened(append, host='h1', place=1, claims=(), frees=()):
-    """Return the event of a batch that is sent."""
+def open_append(append, host='h1', place=1, claims=(), frees=()):
+    """Return the event of a batch that is sent for the first time."""
     return TraceEvent(
         'open',
         host=host,
@@ -21,113 +21,117 @@
     )
 
 
-def applied(append, place=1):
-    """Return the event of a batch that the store takes."""
+def apply_append(append, place=1):
+    """Return the event of a batch that the store applies."""
     return TraceEvent('apply', shard='7', place=place, append=append)
 
 
-def event(action, request, host='h1'):
+def request_event(action, request, host='h1'):
     """Return another event of a request."""
     return TraceEvent(action, host=host, request=request)
 
 
 def crash(host):
-    """Return the end of a host."""
+    """Return the event of a host that crashes."""
     return TraceEvent('crash', host=host)
 
 
-def _claimed(request='r1'):
-    return [begin(request), opened('a1', claims=[request]), applied('a1')]
+def _claim_steps(request='r1'):
+    return [
+        begin(request),
+        open_append('a1', claims=[request]),
+        apply_append('a1'),
+    ]
 
 
-RUNS = {
+RECORDED_RUNS = {
     'a repeat after a crash': [
-        *_claimed(),
-        event('dispatch', 'r1'),
+        *_claim_steps(),
+        request_event('dispatch', 'r1'),
         crash('h1'),
         begin('r2', host='h2'),
         begin('other', host='h2', key='k2'),
-        opened('a2', host='h2', place=2, claims=['other']),
-        event('repeat', 'r2', host='h2'),
-        applied('a2', place=2),
-        event('dispatch', 'other', host='h2'),
+        open_append('a2', host='h2', place=2, claims=['other']),
+        request_event('repeat', 'r2', host='h2'),
+        apply_append('a2', place=2),
+        request_event('dispatch', 'other', host='h2'),
     ],
-    'a lost race': [
+    'a race for a position': [
         begin('r1'),
         begin('r2', host='h2', key='k2'),
-        opened('a1', claims=['r1']),
-        opened('a2', host='h2', claims=['r2']),
-        applied('a1'),
-        event('dispatch', 'r1'),
-        opened('a3', host='h2', place=2, claims=['r2']),
-        applied('a3', place=2),
-        event('dispatch', 'r2', host='h2'),
+        open_append('a1', claims=['r1']),
+        open_append('a2', host='h2', claims=['r2']),
+        apply_append('a1'),
+        request_event('dispatch', 'r1'),
+        open_append('a3', host='h2', place=2, claims=['r2']),
+        apply_append('a3', place=2),
+        request_event('dispatch', 'r2', host='h2'),
     ],
     'a release and a repeat': [
         begin('r1'),
-        opened('a1', host='h2', claims=['r1']),
-        applied('a1'),
-        event('refuse', 'r1'),
-        opened('a2', place=2, frees=['r1']),
-        applied('a2', place=2),
+        open_append('a1', host='h2', claims=['r1']),
+        apply_append('a1'),
+        request_event('refuse', 'r1'),
+        open_append('a2', place=2, frees=['r1']),
+        apply_append('a2', place=2),
         begin('r2', host='h3'),
-        opened('a3', host='h3', place=3, claims=['r2']),
-        applied('a3', place=3),
-        event('dispatch', 'r2', host='h3'),
+        open_append('a3', host='h3', place=3, claims=['r2']),
+        apply_append('a3', place=3),
+        request_event('dispatch', 'r2', host='h3'),
     ],
-    'a call that was given back': [
-        *_claimed(),
-        event('dispatch', 'r1'),
-        event('giveback', 'r1'),
-        event('dispatch', 'r1'),
+    'a call that did not run': [
+        *_claim_steps(),
+        request_event('dispatch', 'r1'),
+        request_event('giveback', 'r1'),
+        request_event('dispatch', 'r1'),
     ],
     'dispatch before apply': [
         begin('r1'),
-        opened('a1', claims=['r1']),
-        event('dispatch', 'r1'),
+        open_append('a1', claims=['r1']),
+        request_event('dispatch', 'r1'),
     ],
     'a skipped position': [
         begin('r1'),
         begin('r2', host='h2'),
-        opened('a1', claims=['r1']),
-        opened('a2', host='h2', place=2, claims=['r2']),
+        open_append('a1', claims=['r1']),
+        open_append('a2', host='h2', place=2, claims=['r2']),
     ],
-    'an append left in doubt': [
+    'an append in doubt': [
         begin('r1'),
         begin('r2', key='k1'),
-        opened('a1', claims=['r1']),
-        opened('a2', place=1, claims=['r1', 'r2']),
-        applied('a1'),
+        open_append('a1', claims=['r1']),
+        open_append('a2', place=1, claims=['r1', 'r2']),
+        apply_append('a1'),
     ],
-    'a create over an object': [
+    'an overwritten object': [
         begin('r1'),
         begin('r2', host='h2'),
-        opened('a1', claims=['r1']),
-        opened('a2', host='h2', claims=['r2']),
-        applied('a1'),
-        applied('a2'),
+        open_append('a1', claims=['r1']),
+        open_append('a2', host='h2', claims=['r2']),
+        apply_append('a1'),
+        apply_append('a2'),
     ],
-    'a second claim': [
-        *_claimed(),
-        event('dispatch', 'r1'),
+    'a claim of a held key': [
+        *_claim_steps(),
+        request_event('dispatch', 'r1'),
         begin('r2', host='h2'),
-        opened('a2', host='h2', place=2, claims=['r2']),
+        open_append('a2', host='h2', place=2, claims=['r2']),
     ],
     'dispatch after refusal': [
         begin('r1'),
-        opened('a1', claims=['r1']),
-        event('refuse', 'r1'),
-        applied('a1'),
-        event('dispatch', 'r1'),
+        open_append('a1', claims=['r1']),
+        request_event('refuse', 'r1'),
+        apply_append('a1'),
+        request_event('dispatch', 'r1'),
     ],
     'a release after the run': [
-        *_claimed(),
-        event('dispatch', 'r1'),
-        event('refuse', 'r1'),
+        *_claim_steps(),
+        request_event('dispatch', 'r1'),
+        request_event('refuse', 'r1'),
     ],
     'two dispatches': [
-        *_claimed(),
-        event('dispatch', 'r1'),
-        event('dispatch', 'r1'),
+        *_claim_steps(),
+        request_event('dispatch', 'r1'),
+        request_event('dispatch', 'r1'),
     ],
 }
--- a/features/docs.feature
+++ b/features/docs.feature
@@ -1,32 +1,32 @@
-Feature: the pages say what is so
+Feature: the documentation agrees with the code
 
-  Scenario: each link in the docs leads somewhere
-    Then each link in the docs leads to a file and a heading that exist
+  Scenario: each link in the docs has an existing target
+    Then each link in the docs has an existing file and heading as its target
 
-  Scenario: each command in the docs is one that the program takes
-    A reader copies a command from a page and gets a usage error, since an
-    option was renamed after the page was written.
-    Then the docs hold commands, and each is one that the program takes
+  Scenario: the program accepts each command in the docs
+    If an option is renamed after a page was written, a command copied from the
+    page fails with a usage error.
+    Then the docs contain commands, and the program accepts each of them
 
   Scenario: each event number in the docs is in the catalogue
-    Then each event number named in the docs is in the catalogue
+    Then each event number in the docs is in the catalogue
 
   Scenario: the docs list exactly the events of the code
-    Then the events page of the docs is the one that the code gives
+    Then the events page of the docs equals the one generated from the code
 
-  Scenario: the docs give the capacity that the measurements give
-    Then the capacity page of the docs is the one that its data give
+  Scenario: the capacity page agrees with the measurements
+    Then the capacity page of the docs equals the one generated from its data
 
   Scenario: the docs list exactly the settings of the daemon
-    Then the settings table of the docs is the one that the parser gives
+    Then the settings table of the docs equals the one generated from the code
 
-  Scenario: no page of the docs names a path of some machine
-    Then no page of the docs names a path of some machine
+  Scenario: no page of the docs contains a path of a specific machine
+    Then no page of the docs contains a path of a specific machine
 
-  Scenario Outline: a wrong line in the docs is noticed
-    The checks above hold for nothing if they take every page for right.
+  Scenario Outline: the docs checks report a wrong line
+    The checks above would prove nothing if they accepted every page.
     Given a docs page with the line "<line>"
-    Then the docs check "<check>" finds it
+    Then the docs check "<check>" reports the line
 
     Examples:
       | line                                      | check    |
--- a/features/spec.feature
+++ b/features/spec.feature
@@ -1,71 +1,73 @@
-Feature: recorded runs are held against the claims' specification
+Feature: recorded runs are checked against the specification of the claims
 
-  Scenario: a run with a lost answer, a crash and a repeat is one of the specification
-    When the recorded run "a repeat after a crash" is held against the specification
-    Then the recorded run is one of the specification
+  Scenario: a run with a lost answer, a crash and a repeat conforms to the specification
+    When the recorded run "a repeat after a crash" is checked against the specification
+    Then the recorded run conforms to the specification
 
-  Scenario: a run of two hosts that race for a position is one of the specification
-    When the recorded run "a lost race" is held against the specification
-    Then the recorded run is one of the specification
+  Scenario: a run of two hosts that race for a position conforms to the specification
+    When the recorded run "a race for a position" is checked against the specification
+    Then the recorded run conforms to the specification
 
-  Scenario: a run with a forwarded claim and a release is one of the specification
-    When the recorded run "a release and a repeat" is held against the specification
-    Then the recorded run is one of the specification
+  Scenario: a run with a forwarded claim and a release conforms to the specification
+    When the recorded run "a release and a repeat" is checked against the specification
+    Then the recorded run conforms to the specification
 
-  Scenario: a call that was given back may be handed over again
-    When the recorded run "a call that was given back" is held against the specification
-    Then the recorded run is one of the specification
+  Scenario: a call that did not run may be dispatched again
+    When the recorded run "a call that did not run" is checked against the specification
+    Then the recorded run conforms to the specification
 
-  Scenario: a specified claim must be durable before the call
-    A host hands the call over while its append is still on the way. The host
-    dies, the append is lost, the caller repeats elsewhere: two vans come.
-    When the recorded run "dispatch before apply" is held against the specification
-    Then the recorded run departs at event 2, since "the guard of dispatch"
+  Scenario: the specification requires a durable claim before the dispatch
+    A host dispatches the call while its append is still in flight. If the host
+    crashes and the append is lost, a repeat at another host runs the key a
+    second time: two vans are sent.
+    When the recorded run "dispatch before apply" is checked against the specification
+    Then the recorded run deviates at event 2 because of "the guard of dispatch"
 
-  Scenario: a specified append does not skip a position
-    A host appends beyond a position that it has not read. The claim that is
-    written there meanwhile is missed, and both hosts run the key.
-    When the recorded run "a skipped position" is held against the specification
-    Then the recorded run departs at event 3, since "the guard of open"
+  Scenario: the specification forbids an append that skips a position
+    A host appends after a position that it has not read. It misses a claim
+    that another host writes at this position, and both hosts run the key.
+    When the recorded run "a skipped position" is checked against the specification
+    Then the recorded run deviates at event 3 because of "the guard of open"
 
-  Scenario: a specified append goes on only when the one before is settled
-    The answer to an append is lost, and its host tries another batch at the
-    next position. Then the first is applied after all.
-    When the recorded run "an append left in doubt" is held against the specification
-    Then the recorded run departs at event 3, since "the guard of abandon"
+  Scenario: the specification forbids an append while another is in doubt
+    The answer to an append is lost, and its host sends another batch. Then the
+    first append is applied after all.
+    When the recorded run "an append in doubt" is checked against the specification
+    Then the recorded run deviates at event 3 because of "the guard of abandon"
 
-  Scenario: a specified object is never written over
-    The store takes a second create of the same name. The first claim is gone
-    from the log, and its key is free again for a second run.
-    When the recorded run "a create over an object" is held against the specification
-    Then the recorded run departs at event 5, since "the guard of apply"
+  Scenario: the specification forbids overwriting an object
+    If the store accepts a second create of the same name, the first claim is
+    lost from the log, and its key is free for a second run.
+    When the recorded run "an overwritten object" is checked against the specification
+    Then the recorded run deviates at event 5 because of "the guard of apply"
 
-  Scenario: a specified key that is held is not claimed again
-    When the recorded run "a second claim" is held against the specification
-    Then the recorded run departs at event 5, since "the guard of open"
+  Scenario: the specification forbids a claim of a key that is held
+    When the recorded run "a claim of a held key" is checked against the specification
+    Then the recorded run deviates at event 5 because of "the guard of open"
 
-  Scenario: a specified request that was refused is not dispatched
-    The deadline passes while the append is in doubt, and the caller is told
-    that nothing ran. The answer comes, and the call is handed over.
-    When the recorded run "dispatch after refusal" is held against the specification
-    Then the recorded run departs at event 4, since "the guard of dispatch"
+  Scenario: the specification forbids the dispatch of a refused request
+    The deadline passes while the append is in doubt, and the caller gets the
+    answer that nothing ran. Then the append succeeds, and the call is
+    dispatched.
+    When the recorded run "dispatch after refusal" is checked against the specification
+    Then the recorded run deviates at event 4 because of "the guard of dispatch"
 
-  Scenario: a specified claim of a request that ran is not released
-    When the recorded run "a release after the run" is held against the specification
-    Then the recorded run departs at event 4, since "the guard of refuse"
+  Scenario: the specification forbids the release of a request that ran
+    When the recorded run "a release after the run" is checked against the specification
+    Then the recorded run deviates at event 4 because of "the guard of refuse"
 
-  Scenario: a specified request is dispatched once
-    When the recorded run "two dispatches" is held against the specification
-    Then the recorded run departs at event 4, since "the guard of dispatch"
+  Scenario: the specification forbids a second dispatch of a request
+    When the recorded run "two dispatches" is checked against the specification
+    Then the recorded run deviates at event 4 because of "the guard of dispatch"
 
-  Scenario: runs of the claims' real code are runs of the specification
-    Hosts die, are paused and cut off; the store loses answers and applies
-    writes late; callers repeat their keys. Were code and specification two
-    things, what is proved of one would say nothing of the other.
-    Then 10 recorded claims stories are runs of the specification
+  Scenario: runs of the claims code conform to the specification
+    Hosts crash, are paused and are partitioned; the store loses answers and
+    applies writes late; callers repeat their keys. If the code differed from
+    the specification, the proofs would not apply to the code.
+    Then 10 recorded claims scenarios conform to the specification
 
-  Scenario Outline: a run of the claims without "<guard>" departs from the specification
-    Then the recorded claims story <seed> without "<guard>" departs at an event "<action>"
+  Scenario Outline: a run of the claims code without "<guard>" deviates from the specification
+    Then the recorded claims scenario <seed> without "<guard>" deviates at an event "<action>"
 
     Examples:
       | seed | guard                                 | action   |
--- a/spec/__init__.py
+++ b/spec/__init__.py
@@ -1,9 +1,9 @@
-"""The specification of the core protocol, checked by z3.
+"""Formal specification of the core protocol, checked by the z3 solver.
 
 Explanation
 ===========
 
-``run.py`` checks everything and prints the verdict; ``trace.py`` holds
-recorded runs against the claims' transition relation. What each action stands
-for in the code is in ``docs/design/specification.md``.
+``run.py`` checks the whole specification and prints the result. ``trace.py``
+checks recorded runs against the transition relation of the claims log.
+``docs/design/specification.md`` maps each action to the code.
 """
--- a/spec/claims_proof.py
+++ b/spec/claims_proof.py
@@ -1,8 +1,11 @@
-"""What holds of the claims log, and why; see :mod:`spec.claims`."""
+"""Properties and inductive invariants of the claims log.
+
+See :mod:`spec.claims` for the variables.
+"""
 
 import itertools
 
-from spec.claims_state import holders, is_next, keyed_pairs, written
+from spec.claims_state import holders, is_next, same_key_pairs, is_written
 from spec.logic import all_of, any_of, conj, disj, implies, neg
 
 ONE_RUN = 'one run for each key'
@@ -10,11 +13,11 @@
 
 
 def properties(sizes):
-    """Return what must hold in each state."""
+    """Return the properties that must hold in each state."""
     return {
         ONE_RUN: lambda state: all_of(
             neg(conj(state.ran(one), state.ran(two)))
-            for one, two in keyed_pairs(sizes)
+            for one, two in same_key_pairs(sizes)
         ),
         NOT_RUN: lambda state: all_of(
             neg(conj(state.told(request), state.ran(request)))
@@ -23,17 +26,17 @@
     }
 
 
-def _is_put(state, sizes, place, append):
-    """Return whether an append that has a position is in order."""
+def _is_positioned(state, sizes, place, append):
+    """Return whether an append at a position is used, unique and contiguous."""
     others = [other for other in sizes.places if other != place]
     return conj(
         state.used(append),
         *(neg(state.place(append, other)) for other in others),
-        *(written(state, sizes, earlier) for earlier in range(place)),
+        *(is_written(state, sizes, earlier) for earlier in range(place)),
     )
 
 
-def _is_blank(state, sizes, append):
+def _is_empty(state, sizes, append):
     return neg(
         disj(
             state.flying(append),
@@ -47,14 +50,14 @@
 
 def _log_invariants(sizes):
     pairs = list(itertools.combinations(sizes.appends, 2))
-    spots = list(itertools.product(sizes.places, sizes.appends))
+    placements = list(itertools.product(sizes.places, sizes.appends))
     return {
         'one object at a position': lambda state: all_of(
             neg(conj(state.at(place, one), state.at(place, two)))
             for place in sizes.places
             for one, two in pairs
         ),
-        'an object stands where its append put it': lambda state: all_of(
+        'an object is at the position of its append': lambda state: all_of(
             implies(
                 state.at(place, append),
                 conj(
@@ -62,19 +65,19 @@
                     neg(state.flying(append)),
                 ),
             )
-            for place, append in spots
+            for place, append in placements
         ),
-        'an append has one position, and those before are written': (
+        'an append has one position, and all earlier ones are written': (
             lambda state: all_of(
                 implies(
                     state.place(append, place),
-                    _is_put(state, sizes, place, append),
+                    _is_positioned(state, sizes, place, append),
                 )
-                for place, append in spots
+                for place, append in placements
             )
         ),
-        'nothing is left of an append that is not used': lambda state: all_of(
-            disj(state.used(append), _is_blank(state, sizes, append))
+        'an unused append has no state': lambda state: all_of(
+            disj(state.used(append), _is_empty(state, sizes, append))
             for append in sizes.appends
         ),
         'an append has one writer': lambda state: all_of(
@@ -85,7 +88,7 @@
     }
 
 
-def _is_pending_well(state, sizes, host, append):
+def _is_valid_pending(state, sizes, host, append):
     others = [other for other in sizes.appends if other != append]
     return conj(
         state.writer(append, host),
@@ -103,7 +106,7 @@
             implies(
                 state.known(host, place),
                 conj(
-                    written(state, sizes, place),
+                    is_written(state, sizes, place),
                     *(state.known(host, other) for other in range(place)),
                 ),
             )
@@ -114,7 +117,7 @@
             lambda state: all_of(
                 implies(
                     state.pending(host, append),
-                    _is_pending_well(state, sizes, host, append),
+                    _is_valid_pending(state, sizes, host, append),
                 )
                 for host in sizes.hosts
                 for append in sizes.appends
@@ -123,7 +126,7 @@
     }
 
 
-def _may_not_run(state, request):
+def _ended_without_run(state, request):
     return conj(
         state.begun(request),
         neg(state.live(request)),
@@ -132,7 +135,7 @@
 
 
 def _released(state, sizes, request):
-    """Return whether a release is queued or in an append, and by whom."""
+    """Return whether a release exists, and whether a non-owner made one."""
     owner = sizes.owner(request)
     queued = [state.letgo(host, request) for host in sizes.hosts]
     appended = [state.frees(append, request) for append in sizes.appends]
@@ -149,7 +152,7 @@
     return disj(*queued, *appended), any_of(foreign)
 
 
-def _traces_of(state, sizes, request):
+def _request_facts(state, sizes, request):
     return [
         state.live(request),
         state.heard(request),
@@ -164,8 +167,8 @@
         parts = []
         for request in sizes.requests:
             released, foreign = _released(state, sizes, request)
-            over = _may_not_run(state, request)
-            parts.append(implies(released, over))
+            ended = _ended_without_run(state, request)
+            parts.append(implies(released, ended))
             parts.append(neg(foreign))
         return all_of(parts)
 
@@ -186,10 +189,12 @@
         'a request is live, then ran or was refused': lambda state: all_of(
             conj(
                 implies(
-                    any_of(_traces_of(state, sizes, request)),
+                    any_of(_request_facts(state, sizes, request)),
                     state.begun(request),
                 ),
-                implies(state.told(request), _may_not_run(state, request)),
+                implies(
+                    state.told(request), _ended_without_run(state, request)
+                ),
                 implies(
                     state.ran(request),
                     conj(
@@ -201,13 +206,13 @@
             )
             for request in sizes.requests
         ),
-        'an owner releases, and only what does not run': releases,
-        'what was found to hold a key holds it while it may run': held,
+        'only the owner releases, and only requests that do not run': releases,
+        'a request found to hold its key holds it while it may run': held,
     }
 
 
 def invariants(sizes):
-    """Return what holds in each state and proves the properties."""
+    """Return the inductive invariants that imply the properties."""
     return {
         **_log_invariants(sizes),
         **_host_invariants(sizes),
--- a/spec/claims_state.py
+++ b/spec/claims_state.py
@@ -1,45 +1,48 @@
-"""The state of the claims' specification; see :mod:`spec.claims`."""
+"""State variables of the claims log model and values derived from them.
+
+See :mod:`spec.claims` for the meaning of the variables.
+"""
 
 import itertools
 
-from spec.logic import any_of, chosen, conj, disj, neg
+from spec.logic import any_of, conj, disj, if_then_else, neg
 from spec.model import BOOL
 
-# Where a claim or a release waits at a host.
+# Variables of claims and releases in the memory of a host.
 WAITING = ('queued', 'batched', 'letgo')
 
 
 class Sizes:
-    """How much of everything there is.
+    """Numbers of hosts, positions, appends and requests of a model.
 
     Parameters
     ==========
 
     hosts, places, appends : int
-        Hosts, positions of the log, and appends in all.
+        Number of hosts, of positions in the log, and of appends.
     requests : list of tuple
-        Owner and key of each.
+        Owner and key of each request.
     """
 
-    __slots__ = ('appends', 'hosts', 'places', 'requests', 'wanted')
+    __slots__ = ('appends', 'hosts', 'places', 'requests', 'owners_and_keys')
 
     def __init__(self, hosts, places, appends, requests):
         self.hosts = range(hosts)
         self.places = range(places)
         self.appends = range(appends)
         self.requests = range(len(requests))
-        self.wanted = requests
+        self.owners_and_keys = requests
 
     def owner(self, request):
-        """Return the host that would run a request."""
-        return self.wanted[request][0]
+        """Return the owner of a request, the host that would run it."""
+        return self.owners_and_keys[request][0]
 
     def key(self, request):
-        """Return a request's key."""
-        return self.wanted[request][1]
+        """Return the key of a request."""
+        return self.owners_and_keys[request][1]
 
-    def rivals(self, request):
-        """Return the other requests with a request's key."""
+    def same_key_requests(self, request):
+        """Return the other requests with the same key."""
         return [
             other
             for other in self.requests
@@ -47,9 +50,13 @@
         ]
 
 
-def keyed_pairs(sizes):
+def same_key_pairs(sizes):
     """Return the ordered pairs of requests with the same key."""
-    return [(one, two) for one in sizes.requests for two in sizes.rivals(one)]
+    return [
+        (one, two)
+        for one in sizes.requests
+        for two in sizes.same_key_requests(one)
+    ]
 
 
 def variables(sizes):
@@ -79,58 +86,64 @@
 
 
 def choices(sizes):
-    """Return the sorts of what each step chooses.
+    """Return the sorts of the free variables of each step.
 
     Explanation
     ===========
 
-    Whether releases are written where they need not be, and which queued
-    claims and releases go into a batch.
+    ``releases`` decides whether a release is written that is not required;
+    ``takes`` and ``yields`` decide which queued claims and releases go into a
+    batch.
     """
-    chosen = {'releases': BOOL}
+    sorts = {'releases': BOOL}
     for request in sizes.requests:
-        chosen['takes', request] = BOOL
-        chosen['yields', request] = BOOL
-    return chosen
+        sorts['takes', request] = BOOL
+        sorts['yields', request] = BOOL
+    return sorts
 
 
-def written(state, sizes, place):
+def is_written(state, sizes, place):
     """Return whether a position is written."""
     return any_of(state.at(place, append) for append in sizes.appends)
 
 
-def _stands(state, sizes, place, listed, request):
+def _is_recorded(state, sizes, place, listed, request):
     return any_of(
         conj(state.at(place, append), listed(append, request))
         for append in sizes.appends
     )
 
 
-def _folded(state, sizes, before, place):
-    """Return who holds each key after a position, from who held it before.
+def _holders_after(state, sizes, before, place):
+    """Return the requests that hold their keys after a position.
 
     Explanation
     ===========
 
-    Releases count before claims. Of two claims of a key in one object the
-    lower-numbered request's counts, which stands for any order.
+    Releases are applied before claims. Of two claims of a key in one object,
+    the claim of the lower-numbered request wins, which represents any order.
     """
-    kept = {}
+    still_held = {}
     claimed = {}
     for request in sizes.requests:
-        freed = _stands(state, sizes, place, state.frees, request)
-        kept[request] = conj(before[request], neg(freed))
-        claimed[request] = _stands(state, sizes, place, state.claims, request)
+        released = _is_recorded(state, sizes, place, state.frees, request)
+        still_held[request] = conj(before[request], neg(released))
+        claimed[request] = _is_recorded(
+            state, sizes, place, state.claims, request
+        )
     return {
         request: disj(
-            kept[request],
+            still_held[request],
             conj(
                 claimed[request],
-                *(neg(kept[rival]) for rival in sizes.rivals(request)),
                 *(
-                    neg(claimed[rival])
-                    for rival in sizes.rivals(request)
-                    if rival < request
+                    neg(still_held[other])
+                    for other in sizes.same_key_requests(request)
+                ),
+                *(
+                    neg(claimed[other])
+                    for other in sizes.same_key_requests(request)
+                    if other < request
                 ),
             ),
         )
@@ -139,23 +152,23 @@
 
 
 def holders(state, sizes, host=None):
-    """Return which requests hold their keys, by all that a host has read.
+    """Return the requests that hold their keys in the prefix a host has read.
 
     Parameters
     ==========
 
     host : int or None
-        None for the whole log.
+        Host whose read positions count; None for the full log.
     """
     found = dict.fromkeys(sizes.requests, False)
     for place in sizes.places:
-        after = _folded(state, sizes, found, place)
+        after = _holders_after(state, sizes, found, place)
         if host is None:
             found = after
             continue
         read = state.known(host, place)
         found = {
-            request: chosen(read, after[request], found[request])
+            request: if_then_else(read, after[request], found[request])
             for request in sizes.requests
         }
     return found
@@ -167,6 +180,6 @@
 
 
 def is_next(state, host, place):
-    """Return whether a position is the first that a host has not read."""
+    """Return whether a position is the first one that a host has not read."""
     earlier = [state.known(host, other) for other in range(place)]
     return conj(*earlier, neg(state.known(host, place)))
--- a/spec/claims_steps.py
+++ b/spec/claims_steps.py
@@ -1,4 +1,4 @@
-"""The steps of the claims' specification; see :mod:`spec.claims`."""
+"""Actions of the claims log model; see :mod:`spec.claims`."""
 
 import itertools
 
@@ -7,13 +7,13 @@
     holders,
     holds_at,
     is_next,
-    written,
+    is_written,
 )
 from spec.logic import all_of, any_of, conj, disj, neg
 from spec.model import Action
 
 
-def _is_settled(state, sizes, host):
+def _has_no_pending_append(state, sizes, host):
     return all_of(
         [neg(state.pending(host, append)) for append in sizes.appends]
     )
@@ -32,7 +32,7 @@
 
 
 def _forward(host, request):
-    """Return the arrival of a forwarded claim, maybe late or again."""
+    """Return the action: a forwarded claim arrives, maybe late or repeated."""
     return Action(
         f'forward request={request} host={host}',
         lambda state: conj(
@@ -43,7 +43,7 @@
     )
 
 
-def _withdrawn(host, request):
+def _withdraw_claim(host, request):
     return {
         ('queued', host, request): False,
         ('batched', host, request): False,
@@ -51,7 +51,7 @@
 
 
 def _refuse(sizes, request, without):
-    """Return the refusal of a request that was not dispatched."""
+    """Return the action: an owner refuses a request it has not dispatched."""
     owner = sizes.owner(request)
 
     def updates(state):
@@ -60,7 +60,7 @@
         return {
             ('told', request): True,
             ('live', request): False,
-            **_withdrawn(owner, request),
+            **_withdraw_claim(owner, request),
             ('letgo', owner, request): disj(
                 state.batched(owner, request),
                 state.releases(),
@@ -75,9 +75,9 @@
 
 
 def _repeat(sizes, request):
-    """Return the truthful end of a request whose key another one holds.
+    """Return the action: a request ends since another holds its key.
 
-    Its owner has read so, or was told by a host that has.
+    The owner, or a host that reports to the owner, has read this in the log.
     """
     owner = sizes.owner(request)
     return Action(
@@ -85,20 +85,20 @@
         lambda state: conj(
             state.live(request),
             any_of(
-                holds_at(state, sizes, host, rival)
-                for rival in sizes.rivals(request)
+                holds_at(state, sizes, host, other)
+                for other in sizes.same_key_requests(request)
                 for host in sizes.hosts
             ),
         ),
         lambda state: {
             ('live', request): False,
-            **_withdrawn(owner, request),
+            **_withdraw_claim(owner, request),
         },
     )
 
 
 def _find(sizes, host, request):
-    """Return the word of a host that a request holds its key."""
+    """Return the action: a host reports that a request holds its key."""
     return Action(
         f'find host={host} request={request}',
         lambda state: holds_at(state, sizes, host, request),
@@ -120,9 +120,9 @@
     )
 
 
-def _goes(state, sizes, host, known, request):
-    """Return whether a queued claim goes into the batch that is opened."""
-    same_key = [request, *sizes.rivals(request)]
+def _is_claim_selected(state, sizes, host, known, request):
+    """Return whether a queued claim goes into the new batch."""
+    same_key = [request, *sizes.same_key_requests(request)]
     return conj(
         state.takes(request),
         state.queued(host, request),
@@ -130,7 +130,7 @@
     )
 
 
-def _yields(state, host, request):
+def _is_release_selected(state, host, request):
     return conj(state.yields(request), state.letgo(host, request))
 
 
@@ -144,11 +144,11 @@
             fits,
             neg(state.used(append)),
             *(state.used(other) for other in range(append)),
-            _is_settled(state, sizes, host),
+            _has_no_pending_append(state, sizes, host),
             any_of(
                 disj(
-                    _yields(state, host, request),
-                    _goes(state, sizes, host, known, request),
+                    _is_release_selected(state, host, request),
+                    _is_claim_selected(state, sizes, host, known, request),
                 )
                 for request in sizes.requests
             ),
@@ -164,15 +164,15 @@
         }
         known = holders(state, sizes, host)
         for request in sizes.requests:
-            goes = _goes(state, sizes, host, known, request)
-            stays = conj(state.queued(host, request), neg(goes))
-            changed['claims', append, request] = goes
-            freed = _yields(state, host, request)
-            left = conj(state.letgo(host, request), neg(freed))
-            changed['frees', append, request] = freed
-            changed['batched', host, request] = goes
-            changed['queued', host, request] = stays
-            changed['letgo', host, request] = left
+            selected = _is_claim_selected(state, sizes, host, known, request)
+            still_queued = conj(state.queued(host, request), neg(selected))
+            changed['claims', append, request] = selected
+            released = _is_release_selected(state, host, request)
+            still_waiting = conj(state.letgo(host, request), neg(released))
+            changed['frees', append, request] = released
+            changed['batched', host, request] = selected
+            changed['queued', host, request] = still_queued
+            changed['letgo', host, request] = still_waiting
         return changed
 
     return Action(
@@ -184,10 +184,10 @@
 
 def _apply(sizes, append, place, without):
     def guard(state):
-        flies = conj(state.flying(append), state.place(append, place))
+        is_in_flight = conj(state.flying(append), state.place(append, place))
         if without == 'create-if-absent':
-            return flies
-        return conj(flies, neg(written(state, sizes, place)))
+            return is_in_flight
+        return conj(is_in_flight, neg(is_written(state, sizes, place)))
 
     def updates(state):
         changed = {('at', place, other): False for other in sizes.appends}
@@ -211,15 +211,15 @@
         f'read host={host} place={place}',
         lambda state: conj(
             is_next(state, host, place),
-            written(state, sizes, place),
-            _is_settled(state, sizes, host),
+            is_written(state, sizes, place),
+            _has_no_pending_append(state, sizes, host),
         ),
         lambda state: {('known', host, place): True},
     )
 
 
 def _settle(sizes, host, append, place, without):
-    """Return the answer of success, or a read-back that finds the mark."""
+    """Return the action: an answer or a read-back confirms an append."""
 
     def updates(state):
         changed = {
@@ -229,7 +229,7 @@
         for request in sizes.requests:
             batched = state.batched(host, request)
             changed['batched', host, request] = False
-            # A host may write its releases again, though they stand.
+            # A host may write its releases again although they are in the log.
             again = conj(state.releases(), state.frees(append, request))
             released = disj(state.letgo(host, request), again)
             changed['letgo', host, request] = released
@@ -249,8 +249,8 @@
     )
 
 
-def _returned(state, sizes, host, append):
-    """Return the updates that put a batch back into its host's queue."""
+def _requeue_batch(state, sizes, host, append):
+    """Return the updates that put a batch back into the queue of its host."""
     changed = {('pending', host, append): False}
     for request in sizes.requests:
         changed['queued', host, request] = disj(
@@ -266,24 +266,24 @@
 
 
 def _supersede(sizes, host, append, place):
-    """Return the finding that another append stands at the position."""
+    """Return the action: a host reads another append at its position."""
     return Action(
         f'supersede host={host} append={append} place={place}',
         lambda state: conj(
             state.pending(host, append),
             state.place(append, place),
-            written(state, sizes, place),
+            is_written(state, sizes, place),
             neg(state.at(place, append)),
         ),
         lambda state: {
-            **_returned(state, sizes, host, append),
+            **_requeue_batch(state, sizes, host, append),
             ('known', host, place): True,
         },
     )
 
 
 def _abandon(sizes, host, append):
-    """Return the end of an append that surely was and will not be applied."""
+    """Return the action: a host gives up an append that can't be applied."""
     return Action(
         f'abandon host={host} append={append}',
         lambda state: conj(
@@ -291,19 +291,19 @@
             neg(state.flying(append)),
             *(neg(state.at(place, append)) for place in sizes.places),
         ),
-        lambda state: _returned(state, sizes, host, append),
+        lambda state: _requeue_batch(state, sizes, host, append),
     )
 
 
 def _crash(sizes, host):
     def updates(state):
-        gone = [('known', host, place) for place in sizes.places]
-        gone.extend(('pending', host, append) for append in sizes.appends)
+        cleared = [('known', host, place) for place in sizes.places]
+        cleared.extend(('pending', host, append) for append in sizes.appends)
         for request in sizes.requests:
-            gone.extend((name, host, request) for name in WAITING)
+            cleared.extend((name, host, request) for name in WAITING)
             if sizes.owner(request) == host:
-                gone.append(('live', request))
-        return dict.fromkeys(gone, False)
+                cleared.append(('live', request))
+        return dict.fromkeys(cleared, False)
 
     return Action(
         f'crash host={host}',
@@ -313,7 +313,7 @@
 
 
 def _wrong_release(host, request, without):
-    """Return a release that one of the guards rules out."""
+    """Return the action: a release that the omitted guard would prevent."""
 
     def guard(state):
         if without == 'release-only-what-has-not-run':
@@ -350,7 +350,7 @@
 
 
 def all_actions(sizes, without):
-    """Return every step, without one of the guards."""
+    """Return all actions, optionally without one of the guards."""
     actions = [_drop(append) for append in sizes.appends]
     for request in sizes.requests:
         actions.extend(_request_actions(sizes, request, without))
--- a/spec/configuration.py
+++ b/spec/configuration.py
@@ -1,22 +1,24 @@
-"""Versions of the configuration: who may change it and who has which.
+"""Model of configuration updates and of the versions at each host.
 
 Explanation
 ===========
 
 One object holds the manifest. Each applier writes once, conditional on the
-version that its change was reviewed against; the answer may be lost, the write
+version that its change was reviewed against. The answer may be lost, the write
 may be applied late, and an in-doubt write is read back and sent again. Hosts
-hear of versions from reads, watches and peers, late, again and in any order.
-Versions are unbounded integers. Variables:
+receive versions from reads, watches and peers, late, repeatedly and in any
+order. Versions are unbounded integers. Variables:
 
-- ``store``: the object's version;
-- ``base a``, ``sent a``, ``flying a``: applier a's write and its copies;
-- ``doubt a``: an answer was lost;
+- ``store``: the version of the object;
+- ``base a``, ``sent a``: the write of applier a was sent, against this version;
+- ``flying a``: a copy of this write may still be applied;
+- ``doubt a``: an answer to this write was lost;
 - ``applied a``, ``version a``: the write was applied, as this version;
-- ``accepted a``, ``refused a``: what the applier was told;
-- ``valid a``: whether its document validates (chosen by the first state);
-- ``force h``, ``content h``: the version at a host and whose document it is;
-- ``reverted h``: a host has gone back (history).
+- ``accepted a``, ``refused a``: the answer that the applier got;
+- ``valid a``: the applier's document is valid (free in the initial state);
+- ``force h``, ``content h``: the version in force at host h, and the applier
+  who wrote its document;
+- ``reverted h``: host h has gone back to a lower version (history variable).
 """
 
 import itertools
@@ -27,13 +29,13 @@
 from spec.model import BOOL, INT, Action, Model
 
 GUARDS = {
-    'conditional-update': 'an accepted change is replaced knowingly',
-    'read-back-when-in-doubt': 'who is told of a conflict has changed nothing',
-    'only-higher-versions': 'no host goes back',
+    'conditional-update': 'an accepted change is replaced only by one reviewed against it',
+    'read-back-when-in-doubt': 'an applier that gets a conflict has changed nothing',
+    'only-higher-versions': 'no host goes back to a lower version',
     'validate-before-use': 'only valid documents are in force',
     'versions-never-used-again': 'the same version is the same document',
 }
-_NOBODY = -1
+_NO_DOCUMENT = -1
 
 
 def _sorts(appliers, hosts):
@@ -67,12 +69,12 @@
             continue
         initial[key] = False if sort == BOOL else 0
         if key[0] == 'content':
-            initial[key] = _NOBODY
+            initial[key] = _NO_DOCUMENT
     return initial
 
 
-def _quiet(state, applier):
-    """Return whether an applier has not been told anything yet."""
+def _awaits_answer(state, applier):
+    """Return whether an applier has sent a write and got no answer yet."""
     return z3.And(
         state.sent(applier),
         z3.Not(state.accepted(applier)),
@@ -96,7 +98,7 @@
     )
 
 
-def _land(applier, without):
+def _apply_write(applier, without):
     def guard(state):
         if without == 'conditional-update':
             return state.flying(applier)
@@ -116,11 +118,14 @@
     return Action(f'land applier={applier}', guard, updates)
 
 
-def _bounce(applier):
-    """Return the end of a copy that finds another version, unanswered."""
+def _lose_answer(applier):
+    """Return the action: the answer to a write is lost.
+
+    Another copy of the write may still be in flight.
+    """
     return Action(
         f'lose-answer applier={applier}',
-        lambda state: _quiet(state, applier),
+        lambda state: _awaits_answer(state, applier),
         lambda state: {
             ('doubt', applier): True,
             ('flying', applier): state.keeps(),
@@ -132,7 +137,7 @@
     return Action(
         f'resend applier={applier}',
         lambda state: z3.And(
-            _quiet(state, applier),
+            _awaits_answer(state, applier),
             state.doubt(applier),
             state.store() == state.base(applier),
         ),
@@ -141,28 +146,30 @@
 
 
 def _accept(applier):
-    """Return the answer of success, or a read-back that finds the mark."""
+    """Return the action: an answer or a read-back confirms the write."""
     return Action(
         f'accept applier={applier}',
-        lambda state: z3.And(_quiet(state, applier), state.applied(applier)),
+        lambda state: z3.And(
+            _awaits_answer(state, applier), state.applied(applier)
+        ),
         lambda state: {('accepted', applier): True},
     )
 
 
 def _conflict(applier, without):
-    """Return the word that another version is there and ours is not.
+    """Return the action: an applier gets a conflict and has changed nothing.
 
     Explanation
     ===========
 
-    The first copy's answer says so. A later copy's answer may say it because
-    the first copy was applied; then the object is read back, and its history
-    tells whether ours ever stood there.
+    The answer to the first copy proves this. A later copy may get a conflict
+    because the first copy was applied. Then the object is read back, and its
+    history shows whether the applier's write was ever in force.
     """
 
     def guard(state):
         met = z3.And(
-            _quiet(state, applier),
+            _awaits_answer(state, applier),
             state.store() != state.base(applier),
         )
         never = z3.Not(state.applied(applier))
@@ -180,16 +187,16 @@
     )
 
 
-def _offer(host, applier, without):
-    """Return news of a version, however old, reaching a host."""
+def _receive_version(host, applier, without):
+    """Return the action: a host receives a version, however old."""
 
     def guard(state):
-        taken = [state.applied(applier)]
+        conditions = [state.applied(applier)]
         if without != 'only-higher-versions':
-            taken.append(state.version(applier) > state.force(host))
+            conditions.append(state.version(applier) > state.force(host))
         if without != 'validate-before-use':
-            taken.append(state.valid(applier))
-        return z3.And(taken)
+            conditions.append(state.valid(applier))
+        return z3.And(conditions)
 
     def updates(state):
         version = state.version(applier)
@@ -211,7 +218,7 @@
         lambda state: state.force(host) > 0,
         lambda state: {
             ('force', host): 0,
-            ('content', host): _NOBODY,
+            ('content', host): _NO_DOCUMENT,
         },
     )
 
@@ -222,49 +229,55 @@
         actions.extend(
             (
                 _send(applier),
-                _land(applier, without),
-                _bounce(applier),
+                _apply_write(applier, without),
+                _lose_answer(applier),
                 _resend(applier),
                 _accept(applier),
                 _conflict(applier, without),
             )
         )
     for host, applier in itertools.product(hosts, appliers):
-        actions.append(_offer(host, applier, without))
+        actions.append(_receive_version(host, applier, without))
     return actions
 
 
 def _properties(appliers, hosts):
     pairs = list(itertools.permutations(appliers, 2))
     return {
-        'no host goes back': lambda state: all_of(
+        'no host goes back to a lower version': lambda state: all_of(
             z3.Not(state.reverted(host)) for host in hosts
         ),
-        'an accepted change is replaced knowingly': lambda state: all_of(
-            z3.Implies(
-                z3.And(
-                    state.accepted(one),
-                    state.applied(two),
-                    state.version(two) > state.version(one),
-                ),
-                state.base(two) >= state.version(one),
+        'an accepted change is replaced only by one reviewed against it': lambda state: (
+            all_of(
+                z3.Implies(
+                    z3.And(
+                        state.accepted(one),
+                        state.applied(two),
+                        state.version(two) > state.version(one),
+                    ),
+                    state.base(two) >= state.version(one),
+                )
+                for one, two in pairs
             )
-            for one, two in pairs
         ),
-        'who is told of success has changed it': lambda state: all_of(
-            z3.Implies(state.accepted(one), state.applied(one))
-            for one in appliers
+        'an applier that gets success has changed the object': lambda state: (
+            all_of(
+                z3.Implies(state.accepted(one), state.applied(one))
+                for one in appliers
+            )
         ),
-        'who is told of a conflict has changed nothing': lambda state: all_of(
-            z3.Not(
-                z3.And(
-                    state.refused(one),
-                    z3.Or(state.applied(one), state.flying(one)),
+        'an applier that gets a conflict has changed nothing': lambda state: (
+            all_of(
+                z3.Not(
+                    z3.And(
+                        state.refused(one),
+                        z3.Or(state.applied(one), state.flying(one)),
+                    )
                 )
+                for one in appliers
             )
-            for one in appliers
         ),
-        'of two changes of one version one is accepted': lambda state: all_of(
+        'at most one change of a version is accepted': lambda state: all_of(
             z3.Not(
                 z3.And(
                     state.accepted(one),
@@ -295,7 +308,7 @@
 def _invariants(appliers, hosts):
     pairs = list(itertools.permutations(appliers, 2))
     return {
-        'versions rise from the base that they name': lambda state: all_of(
+        'the version of a change is higher than its base': lambda state: all_of(
             z3.Implies(
                 state.applied(one),
                 z3.And(
@@ -306,7 +319,7 @@
             )
             for one in appliers
         ),
-        'changes stand in one line': lambda state: all_of(
+        'applied changes are in a total order': lambda state: all_of(
             z3.Implies(
                 z3.And(state.applied(one), state.applied(two)),
                 z3.Or(
@@ -316,7 +329,7 @@
             )
             for one, two in pairs
         ),
-        'what was sent names a version that was': lambda state: all_of(
+        'a sent write has a base that existed': lambda state: all_of(
             z3.And(
                 z3.Implies(
                     state.sent(one),
@@ -338,11 +351,11 @@
             )
             for one in appliers
         ),
-        'a host has an applied version or none': lambda state: all_of(
+        'a host has an applied version or no version': lambda state: all_of(
             z3.Or(
                 z3.And(
                     state.force(host) == 0,
-                    state.content(host) == _NOBODY,
+                    state.content(host) == _NO_DOCUMENT,
                 ),
                 any_of(
                     z3.And(
@@ -358,15 +371,16 @@
     }
 
 
-def stale_after_restart(hosts):
-    """Return whether a host was restarted into an older version than others.
+def older_version_after_restart(hosts):
+    """Return a predicate: a restarted host has an older version than another.
 
     Explanation
     ===========
 
-    This can happen: a host that keeps nothing takes the first valid version
-    that it hears of. That it soon hears of the newest is a matter of the
-    relay's pace, not of safety.
+    This state is reachable: a host keeps no version across a restart and
+    applies the first valid version that it receives. How soon it receives the
+    newest version depends on the speed of the relay and is not a safety
+    property.
     """
     return lambda state: any_of(
         z3.And(
@@ -379,7 +393,7 @@
 
 
 def configuration_model(appliers=3, hosts=2, without=''):
-    """Return the model, if asked without one of ``GUARDS``."""
+    """Return the model, optionally without one of ``GUARDS``."""
     appliers = range(appliers)
     hosts = range(hosts)
     sorts = _sorts(appliers, hosts)
--- a/spec/lease_proof.py
+++ b/spec/lease_proof.py
@@ -1,18 +1,24 @@
-"""What holds of the lease, and why; see :mod:`spec.lease`."""
+"""Properties and inductive invariants of the lease; see :mod:`spec.lease`."""
 
 import itertools
 
 import z3
 
-from spec.lease_steps import FAST, SLOW, TERM, due, in_term
+from spec.lease_steps import (
+    FASTEST_RATE,
+    SLOWEST_RATE,
+    TERM_SECONDS,
+    is_order_due,
+    in_term,
+)
 from spec.logic import all_of
 
 
 def properties(hosts, orders, without):
-    """Return what must hold in each state."""
+    """Return the properties that must hold in each state."""
     pairs = list(itertools.combinations(hosts, 2))
     return {
-        'one host at most acts within its term': lambda state: all_of(
+        'at most one host acts within its term': lambda state: all_of(
             z3.Not(z3.And(in_term(state, one), in_term(state, two)))
             for one, two in pairs
         ),
@@ -26,33 +32,35 @@
             )
             for one, two in pairs
         ),
-        'the checking engine obeys the newest': lambda state: (
+        'the checking engine obeys the highest number': lambda state: (
             state.strict() == state.obeyed()
         ),
         'the intent is never replaced by an older one': lambda state: z3.Not(
             state.replaced()
         ),
-        'what an engine may do was written down first': lambda state: all_of(
-            [
-                state.loose() <= state.intent(),
-                state.strict() <= state.intent(),
-                *(
-                    z3.Implies(
-                        state.order(order),
-                        state.stamp(order) <= state.intent(),
-                    )
-                    for order in orders
-                ),
-            ]
+        'an intent is recorded before any order under its number': lambda state: (
+            all_of(
+                [
+                    state.loose() <= state.intent(),
+                    state.strict() <= state.intent(),
+                    *(
+                        z3.Implies(
+                            state.order(order),
+                            state.stamp(order) <= state.intent(),
+                        )
+                        for order in orders
+                    ),
+                ]
+            )
         ),
-        'a wrong engine is due for an order': lambda state: all_of(
+        'an engine with a wrong order is sent a new one': lambda state: all_of(
             z3.Implies(
                 z3.And(
                     in_term(state, host),
                     state.loose() != state.mine(host),
                     *(z3.Not(state.order(order)) for order in orders),
                 ),
-                due(state, host, without),
+                is_order_due(state, host, without),
             )
             for host in hosts
         ),
@@ -62,7 +70,7 @@
 def _lease_invariants(hosts):
     pairs = list(itertools.permutations(hosts, 2))
     return {
-        'nothing is newer than the lease': lambda state: all_of(
+        'no version or number is newer than the lease': lambda state: all_of(
             z3.And(
                 state.known(host) <= state.object(),
                 state.base(host) <= state.object(),
@@ -76,7 +84,7 @@
             )
             for host in hosts
         ),
-        'a landed write is waited for and not on its way': lambda state: all_of(
+        'an applied write is awaited and not in flight': lambda state: all_of(
             z3.Implies(
                 state.landed(host),
                 z3.And(
@@ -86,7 +94,7 @@
             )
             for host in hosts
         ),
-        'who has the newest number or version is the holder': lambda state: (
+        'a host with the newest number or version is the holder': lambda state: (
             all_of(
                 z3.And(
                     _implies_holder(
@@ -119,17 +127,17 @@
             for host in hosts
         ),
         'numbers of two hosts differ': lambda state: all_of(
-            _differ(_numbers_of(state, one), _numbers_of(state, two))
+            _numbers_differ(_numbers_of(state, one), _numbers_of(state, two))
             for one, two in pairs
         ),
     }
 
 
-def _differ(ours, theirs):
+def _numbers_differ(numbers, other_numbers):
     return all_of(
         z3.Not(z3.And(one_has, two_has, one_number == two_number))
-        for one_has, one_number in ours
-        for two_has, two_number in theirs
+        for one_has, one_number in numbers
+        for two_has, two_number in other_numbers
     )
 
 
@@ -156,8 +164,8 @@
 def _terms_of(state, host):
     """Return the terms that a host has or may confirm.
 
-    Each with its condition, version, end by the host's clock, and the true
-    time at which its write was sent.
+    Each is a tuple of condition, version, end by the host's clock, and true
+    time at which the write was sent.
     """
     return (
         (
@@ -169,17 +177,17 @@
         (
             state.landed(host),
             state.got(host),
-            state.sent(host) + TERM,
+            state.sent(host) + TERM_SECONDS,
             state.spoke(host),
         ),
     )
 
 
-def _runs_slowly(state, host, since, true_time):
+def _is_clock_fast_enough(state, host, since, true_time):
     passed = state.clock(host) - since
     return z3.And(
         true_time <= state.now(),
-        passed >= SLOW * (state.now() - true_time),
+        passed >= SLOWEST_RATE * (state.now() - true_time),
     )
 
 
@@ -189,15 +197,17 @@
     def clocks(state):
         bounds = []
         for host in hosts:
-            sent = _runs_slowly(
+            sent = _is_clock_fast_enough(
                 state, host, state.sent(host), state.spoke(host)
             )
             bounds.append(z3.Implies(state.wrote(host), sent))
             for has, _, until, start in _terms_of(state, host):
-                term = _runs_slowly(state, host, until - TERM, start)
+                term = _is_clock_fast_enough(
+                    state, host, until - TERM_SECONDS, start
+                )
                 bounds.append(z3.Implies(has, term))
             passed = state.clock(host) - state.since(host)
-            longest = FAST * (state.now() - state.watched(host))
+            longest = FASTEST_RATE * (state.now() - state.watched(host))
             bounds.append(
                 z3.Implies(state.seen(host) >= 0, passed <= longest),
             )
@@ -213,7 +223,7 @@
             for has, version, _, start in _terms_of(state, one)
         )
 
-    def expired_when_ousted(state):
+    def expired_when_replaced(state):
         return all_of(
             z3.Implies(
                 z3.And(has, state.holder() != one),
@@ -240,9 +250,9 @@
 
     return {
         'clocks run within the drift': clocks,
-        'a version is seen after it was sent': watched_later,
-        'who is not the holder is past its term': expired_when_ousted,
-        'a takeover is sent after the terms that it ends': (
+        'a version is observed after it was sent': watched_later,
+        'the term of a host that is not the holder has expired': expired_when_replaced,
+        'a takeover is sent after the terms that it ends have expired': (
             expired_before_takeover
         ),
     }
@@ -253,31 +263,35 @@
         'the highest number is the one obeyed': lambda state: (
             state.highest() == state.obeyed()
         ),
-        'a current read of the intent is right': lambda state: all_of(
-            z3.And(
-                state.reader(host) <= state.change(),
-                z3.Implies(
-                    state.reader(host) == state.change(),
-                    state.read(host) == state.intent(),
-                ),
+        'a read of the current intent version has its number': lambda state: (
+            all_of(
+                z3.And(
+                    state.reader(host) <= state.change(),
+                    z3.Implies(
+                        state.reader(host) == state.change(),
+                        state.read(host) == state.intent(),
+                    ),
+                )
+                for host in hosts
             )
-            for host in hosts
         ),
-        'who has written its intent finds it or a newer': lambda state: all_of(
-            z3.Implies(
-                state.intended(host),
-                z3.And(
-                    state.holds(host),
-                    state.mine(host) <= state.intent(),
-                ),
+        'a recorded intent is not replaced by an older one': lambda state: (
+            all_of(
+                z3.Implies(
+                    state.intended(host),
+                    z3.And(
+                        state.holds(host),
+                        state.mine(host) <= state.intent(),
+                    ),
+                )
+                for host in hosts
             )
-            for host in hosts
         ),
     }
 
 
 def invariants(hosts):
-    """Return what holds in each state and proves the properties."""
+    """Return the inductive invariants that imply the properties."""
     return {
         **_lease_invariants(hosts),
         **_time_invariants(hosts),
--- a/spec/lease_steps.py
+++ b/spec/lease_steps.py
@@ -1,4 +1,4 @@
-"""The steps of the lease's specification; see :mod:`spec.lease`."""
+"""Actions of the lease model; see :mod:`spec.lease`."""
 
 import itertools
 from fractions import Fraction
@@ -8,13 +8,13 @@
 from spec.logic import all_of
 from spec.model import BOOL, INT, REAL, Action
 
-TERM = 10
+TERM_SECONDS = 10
 DRIFT = Fraction(1, 100)
-SLOW = 1 - DRIFT
-FAST = 1 + DRIFT
-# The successor waits this long by its own clock: long enough even if its
-# clock is the fastest and the holder's the slowest.
-WAIT = Fraction(1021, 100)
+SLOWEST_RATE = 1 - DRIFT
+FASTEST_RATE = 1 + DRIFT
+# Time that the successor waits by its own clock. It is long enough even if the
+# successor's clock is the fastest and the holder's clock is the slowest.
+TAKEOVER_WAIT_SECONDS = Fraction(1021, 100)
 
 _HOST_SORTS = {
     'clock': REAL,
@@ -69,8 +69,8 @@
     return sorts
 
 
-def first_state(sorts):
-    """Return the first state: host 0 holds the lease, freshly."""
+def initial_state(sorts):
+    """Return the initial state, in which host 0 has just got the lease."""
     initial = {key: False if sort == BOOL else 0 for key, sort in sorts.items()}
     for key in sorts:
         if isinstance(key, tuple) and key[0] in _FIRST:
@@ -82,7 +82,7 @@
             ('holds', 0): True,
             ('mine', 0): 1,
             ('known', 0): 1,
-            ('until', 0): TERM,
+            ('until', 0): TERM_SECONDS,
             ('intended', 0): True,
             'intent': 1,
         }
@@ -94,11 +94,11 @@
     def guard(state):
         paces = [state.step() >= 0]
         for host in hosts:
-            least = SLOW * state.step()
+            least = SLOWEST_RATE * state.step()
             if without == 'clock-counts-suspension':
                 least = 0
             paces.append(state.pace(host) >= least)
-            paces.append(state.pace(host) <= FAST * state.step())
+            paces.append(state.pace(host) <= FASTEST_RATE * state.step())
         return all_of(paces)
 
     def updates(state):
@@ -112,12 +112,12 @@
 
 
 def in_term(state, host):
-    """Return whether a host believes to be in its term."""
+    """Return whether a host is in its term by its own clock."""
     return z3.And(state.holds(host), state.clock(host) < state.until(host))
 
 
 def _observe(host):
-    """Return a read of the lease, maybe an old one."""
+    """Return the action: a host reads the lease, maybe an old version."""
     return Action(
         f'observe host={host}',
         lambda state: z3.And(
@@ -134,7 +134,7 @@
     )
 
 
-def _sending(state, host, base, *, taking):
+def _send_write(state, host, base, *, taking):
     return {
         ('wrote', host): True,
         ('flying', host): True,
@@ -146,43 +146,44 @@
     }
 
 
-def _unwritten(state, host):
+def _has_no_write(state, host):
     return z3.Not(z3.Or(state.wrote(host), state.flying(host)))
 
 
-def _take(host, without):
-    wait = {'wait-whole-term': TERM / 2, 'margin-for-drift': TERM}.get(
-        without, WAIT
-    )
+def _take_over(host, without):
+    wait = {
+        'wait-whole-term': TERM_SECONDS / 2,
+        'margin-for-drift': TERM_SECONDS,
+    }.get(without, TAKEOVER_WAIT_SECONDS)
 
     def guard(state):
         return z3.And(
-            _unwritten(state, host),
+            _has_no_write(state, host),
             z3.Not(state.holds(host)),
             state.seen(host) >= 0,
-            state.clock(host) - state.since(host) >= _fraction(wait),
+            state.clock(host) - state.since(host) >= _real_value(wait),
         )
 
     return Action(
         f'take host={host}',
         guard,
-        lambda state: _sending(state, host, state.seen(host), taking=True),
+        lambda state: _send_write(state, host, state.seen(host), taking=True),
     )
 
 
-def _fraction(number):
+def _real_value(number):
     return z3.RealVal(str(Fraction(number)))
 
 
 def _renew(host):
     return Action(
         f'renew host={host}',
-        lambda state: z3.And(_unwritten(state, host), state.holds(host)),
-        lambda state: _sending(state, host, state.known(host), taking=False),
+        lambda state: z3.And(_has_no_write(state, host), state.holds(host)),
+        lambda state: _send_write(state, host, state.known(host), taking=False),
     )
 
 
-def _land(host, without):
+def _apply_write(host, without):
     def guard(state):
         if without == 'conditional-lease-update':
             return state.flying(host)
@@ -212,8 +213,8 @@
     return Action(f'land host={host}', guard, updates)
 
 
-def _lose(host):
-    """Return the loss of a write, or its meeting another version."""
+def _lose_write(host):
+    """Return the action: a write is lost or finds another version."""
     return Action(
         f'lose host={host}',
         lambda state: state.flying(host),
@@ -222,7 +223,7 @@
 
 
 def _confirm(host, without):
-    """Return the answer to a write, or a read-back that finds it."""
+    """Return the action: an answer or a read-back confirms a write."""
 
     def updates(state):
         start = state.sent(host)
@@ -235,7 +236,7 @@
             ('holds', host): True,
             ('mine', host): state.gotnumber(host),
             ('known', host): state.got(host),
-            ('until', host): start + TERM,
+            ('until', host): start + TERM_SECONDS,
             ('renewed', host): state.spoke(host),
             ('intended', host): z3.And(same, state.intended(host)),
             ('placed', host): z3.And(same, state.placed(host)),
@@ -248,7 +249,7 @@
     )
 
 
-def _leave(host, *names):
+def _clear_flags(host, *names):
     return {(name, host): False for name in names}
 
 
@@ -257,15 +258,15 @@
         f'give-up host={host}',
         lambda state: z3.Or(state.wrote(host), state.holds(host)),
         lambda state: {
-            **_leave(host, 'wrote', 'landed', 'holds', 'checked'),
-            **_leave(host, 'intended', 'placed'),
+            **_clear_flags(host, 'wrote', 'landed', 'holds', 'checked'),
+            **_clear_flags(host, 'intended', 'placed'),
             ('seen', host): _UNSEEN,
         },
     )
 
 
 def check(host):
-    """Return the check of the term, right before an order."""
+    """Return the action: a host checks its term right before an order."""
     return Action(
         f'check host={host}',
         lambda state: in_term(state, host),
@@ -277,8 +278,8 @@
     return order % 2 == 0
 
 
-def due(state, host, without):
-    """Return whether a holder that has read the engine back would order."""
+def is_order_due(state, host, without):
+    """Return whether a holder sends an order after reading the engine back."""
     if without == 'read-back':
         return z3.Not(state.placed(host))
     return z3.Or(
@@ -288,18 +289,18 @@
 
 
 def send_order(host, order, without):
-    """Return the sending of an order, maybe long after the check."""
+    """Return the action: a host sends an order, maybe long after the check."""
 
     def guard(state):
-        wanted = [
+        conditions = [
             state.checked(host),
             state.holds(host),
-            due(state, host, without) if _is_loose(order) else True,
+            is_order_due(state, host, without) if _is_loose(order) else True,
             z3.Not(state.order(order)),
         ]
         if without != 'intent-before-order':
-            wanted.append(state.intended(host))
-        return all_of(wanted)
+            conditions.append(state.intended(host))
+        return all_of(conditions)
 
     return Action(
         f'order host={host} order={order}',
@@ -335,7 +336,7 @@
 
 
 def deliver_loose(order):
-    """Return the arrival of an order at the ignoring engine."""
+    """Return the action: the ignoring engine receives an order."""
     return Action(
         f'obey-loose order={order}',
         lambda state: state.order(order),
@@ -358,16 +359,19 @@
 
 
 def _write_intent(host, without):
-    """Return the writing of an intent, maybe long after the read."""
+    """Return the action: a host records its intent.
+
+    The write may be sent long after the read.
+    """
 
     def guard(state):
-        wanted = [
+        conditions = [
             state.holds(host),
             state.read(host) <= state.mine(host),
         ]
         if without != 'conditional-intent':
-            wanted.append(state.change() == state.reader(host))
-        return all_of(wanted)
+            conditions.append(state.change() == state.reader(host))
+        return all_of(conditions)
 
     def updates(state):
         return {
@@ -384,16 +388,16 @@
 
 
 def all_actions(hosts, orders, without):
-    """Return every step, without one of the guards."""
+    """Return all actions, optionally without one of the guards."""
     actions = [_tick(hosts, without)]
     for host in hosts:
         actions.extend(
             (
                 _observe(host),
-                _take(host, without),
+                _take_over(host, without),
                 _renew(host),
-                _land(host, without),
-                _lose(host),
+                _apply_write(host, without),
+                _lose_write(host),
                 _confirm(host, without),
                 _give_up(host),
                 check(host),
--- a/spec/logic.py
+++ b/spec/logic.py
@@ -1,10 +1,10 @@
-"""Connectives over truth values and z3's terms alike.
+"""Logical connectives over Python booleans and z3 terms.
 
 Explanation
 ===========
 
-Of plain truth values they make plain truth values, at the language's own pace;
-where a term is among them they make a term. So a step's text serves z3 and the
+Booleans give a boolean, without calls of z3; if any argument is a z3 term, the
+result is a term. So the same action definitions serve the solver and the
 replay of a recorded run.
 """
 
@@ -12,14 +12,14 @@
 
 
 def neg(part):
-    """Return the negation."""
+    """Return the negation of a boolean or term."""
     if isinstance(part, bool):
         return not part
     return z3.Not(part)
 
 
 def all_of(parts):
-    """Return the conjunction of an iterable."""
+    """Return the conjunction of an iterable of booleans and terms."""
     terms = []
     for part in parts:
         if part is False:
@@ -30,7 +30,7 @@
 
 
 def any_of(parts):
-    """Return the disjunction of an iterable."""
+    """Return the disjunction of an iterable of booleans and terms."""
     terms = []
     for part in parts:
         if part is True:
@@ -41,22 +41,22 @@
 
 
 def conj(*parts):
-    """Return the conjunction."""
+    """Return the conjunction of the arguments."""
     return all_of(parts)
 
 
 def disj(*parts):
-    """Return the disjunction."""
+    """Return the disjunction of the arguments."""
     return any_of(parts)
 
 
-def implies(one, other):
-    """Return the implication."""
-    return disj(neg(one), other)
+def implies(premise, conclusion):
+    """Return the implication of the second argument by the first."""
+    return disj(neg(premise), conclusion)
 
 
-def chosen(condition, one, other):
-    """Return one where the condition holds, else the other."""
+def if_then_else(condition, consequent, alternative):
+    """Return the consequent if the condition holds, else the alternative."""
     if isinstance(condition, bool):
-        return one if condition else other
-    return disj(conj(condition, one), conj(neg(condition), other))
+        return consequent if condition else alternative
+    return disj(conj(condition, consequent), conj(neg(condition), alternative))
--- a/spec/model.py
+++ b/spec/model.py
@@ -1,12 +1,12 @@
-"""Transition systems as z3 expressions, and the questions put to z3.
+"""Transition systems as z3 expressions, with bounded and inductive checks.
 
 Explanation
 ===========
 
-A state is a dict from names and tuples, such as ``('at', 0, 1)``, to terms. An
-action's guard and updates are functions of a state, so that the same text
-serves unrolled steps, the inductive step and the replay of a recorded run.
-The search is z3's; this module only writes the questions down.
+A state maps names and tuples, such as ``('at', 0, 1)``, to terms. The guard and
+the updates of an action are functions of a state, so the same definition serves
+unrolled steps, the inductive step and the replay of a recorded run. This module
+only states the queries; z3 does the search.
 """
 
 import functools
@@ -20,32 +20,32 @@
 BOOL = 'bool'
 INT = 'int'
 REAL = 'real'
-_MAKERS = {BOOL: z3.Bool, INT: z3.Int, REAL: z3.Real}
+_CONSTRUCTORS = {BOOL: z3.Bool, INT: z3.Int, REAL: z3.Real}
 
 
 class State(UserDict):
-    """The value of each variable; ``state.at(0, 1)`` is that of ``at 0 1``."""
+    """Values of the variables; ``state.at(0, 1)`` is the one of ``at 0 1``."""
 
     def __getattr__(self, name):
-        """Return the function that looks up a family of variables."""
-        return functools.partial(self._looked_up, name)
+        """Return a function that looks up the variables with this name."""
+        return functools.partial(self._lookup, name)
 
-    def _looked_up(self, name, *place):
+    def _lookup(self, name, *place):
         return self[(name, *place) if place else name]
 
 
 class Action:
-    """A step that the system may take.
+    """An action of the transition system.
 
     Parameters
     ==========
 
     label : str
-        Name and arguments, as traces print them.
+        Name and arguments, as printed in traces.
     guard : function
-        Takes a state, returns whether the step may be taken.
+        Takes a state, returns whether the action is enabled.
     updates : function
-        Takes a state, returns what is different afterwards.
+        Takes a state, returns the changed variables with their new values.
     """
 
     __slots__ = ('guard', 'label', 'updates')
@@ -56,7 +56,7 @@
         self.updates = updates
 
     def after(self, state):
-        """Return the state after the step."""
+        """Return the state after the action."""
         changed = self.updates(state)
         after = State(state)
         after.update((key, as_term(new)) for key, new in changed.items())
@@ -64,25 +64,26 @@
 
 
 class Model:
-    """A protocol, or a part of one.
+    """A transition system: a protocol or a part of one.
 
     Parameters
     ==========
 
     name : str
-        For reports.
+        Name used in reports.
     sorts : dict
         ``BOOL``, ``INT`` or ``REAL`` by variable.
     initial : dict
-        The first state's value by variable.
+        Value in the initial state by variable.
     actions : list of Action
-        All of them, with their arguments filled in.
+        All actions, one for each combination of arguments.
     properties : dict
-        Functions of a state by name: what must hold in each.
+        Predicates by name that must hold in each state.
     invariants : dict
-        As ``properties``; together they imply them and are inductive.
+        Predicates by name that are inductive together and imply the
+        properties.
     free : dict
-        Sorts of variables that each step chooses anew.
+        Sorts of the variables that each step chooses freely.
     """
 
     __slots__ = (
@@ -110,13 +111,13 @@
         """Return fresh variables for the state before a step."""
         every = {**self.sorts, **self.free}
         return State(
-            (key, _MAKERS[sort](f'{_text(key)}@{step}'))
+            (key, _CONSTRUCTORS[sort](f'{_variable_name(key)}@{step}'))
             for key, sort in every.items()
         )
 
 
 def as_term(literal):
-    """Return z3's term for a literal of the language; terms stay."""
+    """Return the z3 term for a Python literal; return a term unchanged."""
     if isinstance(literal, bool):
         return z3.BoolVal(literal)
     if isinstance(literal, int):
@@ -124,7 +125,7 @@
     return literal
 
 
-def _text(key):
+def _variable_name(key):
     if isinstance(key, tuple):
         return '.'.join(str(part) for part in key)
     return key
@@ -140,20 +141,20 @@
     return z3.Int(f'choice@{step}')
 
 
-def _start(model):
+def _initial_constraints(model):
     state = model.state(0)
     return [state[key] == first for key, first in model.initial.items()]
 
 
-def _taken(number, step):
+def _is_taken(number, step):
     return z3.Bool(f'taken{number}@{step}')
 
 
-def _step(model):
+def _transition_relation(model):
     """Return the relation between the states before and after step 0."""
     before = model.state(0)
     after = model.state(1)
-    taken = [_taken(number, 0) for number in _numbers(model)]
+    taken = [_is_taken(number, 0) for number in _action_numbers(model)]
     values = {key: before[key] for key in model.sorts}
     constraints = [z3.PbEq([(one, 1) for one in taken], 1)]
     for action, chosen in zip(model.actions, taken, strict=True):
@@ -164,51 +165,54 @@
     return z3.And(constraints)
 
 
-def _moved(model, term, step):
-    """Return what says of a step what a term says of step 0."""
+def _shift_to_step(model, term, step):
+    """Return a term about step 0, rewritten to be about another step."""
     pairs = []
     for shift in (0, 1):
-        ours = model.state(shift)
-        theirs = model.state(step + shift)
-        pairs.extend((ours[key], theirs[key]) for key in ours)
+        base_state = model.state(shift)
+        shifted_state = model.state(step + shift)
+        pairs.extend(
+            (base_state[key], shifted_state[key]) for key in base_state
+        )
     pairs.extend(
-        (_taken(number, 0), _taken(number, step)) for number in _numbers(model)
+        (_is_taken(number, 0), _is_taken(number, step))
+        for number in _action_numbers(model)
     )
     return z3.substitute(term, *pairs)
 
 
-def _numbers(model):
+def _action_numbers(model):
     return range(len(model.actions))
 
 
-def bounded(model, wanted, depth):
-    """Return the shortest run into a wanted state, None for none.
+def find_run(model, wanted, depth):
+    """Return the shortest run to a wanted state, or None.
 
     Parameters
     ==========
 
     wanted : function
-        Takes a state.
+        Predicate of a state.
     depth : int
-        Steps at most.
+        Maximum number of steps.
 
     Returns
     =======
 
     list of str or None
-        The labels of its actions.
+        Labels of the actions of the run.
     """
     solver = _solver()
-    solver.add(_start(model))
-    relation = _step(model)
+    solver.add(_initial_constraints(model))
+    relation = _transition_relation(model)
     goal = wanted(model.state(0))
     for step in range(depth + 1):
         solver.push()
-        solver.add(_moved(model, goal, step))
+        solver.add(_shift_to_step(model, goal, step))
         if _is_sat(solver):
             return _labels(model, solver.model(), step)
         solver.pop()
-        solver.add(_moved(model, relation, step))
+        solver.add(_shift_to_step(model, relation, step))
     return None
 
 
@@ -223,66 +227,72 @@
     labels = []
     for step in range(steps):
         for number, action in enumerate(model.actions):
-            if z3.is_true(found.eval(_taken(number, step))):
+            if z3.is_true(found.eval(_is_taken(number, step))):
                 labels.append(_label(model, action, found, step))
     return labels
 
 
 def _label(model, action, found, step):
-    """Return an action's label with the values that it chose and changed."""
+    """Return the label of an action with the values that it changed."""
     before = model.state(step)
     changes = []
     for key, new in action.updates(before).items():
         old = found.eval(before[key], model_completion=True)
         changed = found.eval(as_term(new), model_completion=True)
         if not z3.eq(old, changed):
-            changes.append(f'{_text(key)}={changed}')
+            changes.append(f'{_variable_name(key)}={changed}')
     return f'{action.label:<34} {" ".join(changes)}'
 
 
 def violated(model, name):
-    """Return a function that says whether a state breaks a property."""
+    """Return a predicate: a state violates a property."""
     return lambda state: z3.Not(model.properties[name](state))
 
 
-def unproved(model):
-    """Return what is not proved by induction: empty when all is.
+def unproved_obligations(model):
+    """Return the proof obligations of the induction that fail.
 
     Explanation
     ===========
 
-    Three kinds of question, each of which z3 must refute: a first state
-    outside the invariants, a step that leads out of them, and a state inside
-    them that breaks a property. There is no bound on the number of steps.
+    z3 must refute each of three kinds of queries: an initial state that
+    violates the invariants, an action that leads from a state inside the
+    invariants to one outside, and a state inside the invariants that violates
+    a property. There is no bound on the number of steps. The list is empty if
+    the properties are proved.
     """
     state = model.state(0)
-    held = _held(model, state)
+    invariants_hold = _invariants_hold(model, state)
     gaps = []
-    if _may_be(*_start(model), z3.Not(held)):
-        gaps.append('the first state')
+    if _is_satisfiable(*_initial_constraints(model), z3.Not(invariants_hold)):
+        gaps.append('the initial state')
     for action in model.actions:
         after = action.after(state)
         changed = [(state[key], after[key]) for key in action.updates(state)]
-        left = z3.Not(z3.substitute(held, *changed))
-        if _may_be(held, action.guard(state), left):
+        violated_after = z3.Not(z3.substitute(invariants_hold, *changed))
+        if _is_satisfiable(
+            invariants_hold, action.guard(state), violated_after
+        ):
             gaps.append(action.label)
     for name, holds in model.properties.items():
-        if _may_be(held, z3.Not(holds(state))):
+        if _is_satisfiable(invariants_hold, z3.Not(holds(state))):
             gaps.append(f'the property {name}')
     return gaps
 
 
-def _may_be(*constraints):
+def _is_satisfiable(*constraints):
     solver = _solver()
     solver.add(*constraints)
     return _is_sat(solver)
 
 
 def always(model, holds):
-    """Return whether something holds in every state inside the invariants."""
+    """Return whether a predicate holds in all states inside the invariants."""
     state = model.state(0)
-    return not _may_be(_held(model, state), z3.Not(holds(state)))
+    return not _is_satisfiable(
+        _invariants_hold(model, state), z3.Not(holds(state))
+    )
 
 
-def _held(model, state):
+def _invariants_hold(model, state):
     return all_of(holds(state) for holds in model.invariants.values())
--- a/spec/run.py
+++ b/spec/run.py
@@ -1,14 +1,19 @@
-"""Checks the specification and prints the verdict.
+"""Check the specification and print the result.
 
 Explanation
 ===========
 
-For each of the three parts: the invariants are proved inductive and to imply
-the properties, without a bound on the number of steps; the properties are also
-searched for counterexamples up to a depth from the first state, without the
-invariants; some states that ought to be reached are; and for each guard the
-same part without it must break its property, with the run printed. Seeds are
-fixed and no time-out decides.
+Each of the three parts is checked in four ways:
+
+- the invariants are proved to be inductive and to imply the properties, without
+  a bound on the number of steps;
+- counterexamples to the properties are searched for up to a depth from the
+  initial state, without the invariants;
+- some states that must be reachable are searched for;
+- without any one of its guards, the part must violate the property of this
+  guard; the run that does so is printed.
+
+Seeds are fixed, and no result depends on a time-out.
 """
 
 import sys
@@ -18,7 +23,7 @@
 
 from spec import claims, configuration, lease
 from spec.claims_state import Sizes
-from spec.model import always, bounded, unproved, violated
+from spec.model import always, find_run, unproved_obligations, violated
 
 # Owner and key of each request.
 _ONE_HOST = Sizes(1, 3, 3, [(0, 0), (0, 0)])
@@ -35,56 +40,64 @@
 
 
 class Part:
-    """What is asked about one part of the protocol.
+    """Checks of one part of the protocol.
 
     Parameters
     ==========
 
     title : str
-        For the report.
+        Title in the report.
     build : function
-        Takes the guard to leave out, empty for none; returns the model that
-        is searched.
+        Takes the guard to leave out, empty for none; returns the model to
+        search.
     wide : Model
-        The model whose invariants are proved.
+        Model whose invariants are proved.
     size : str
-        Of both, for the report.
+        Sizes of both models, for the report.
     guards : dict
-        The property that each guard is for.
+        Property that each guard protects.
     depth : int
-        Steps searched for counterexamples of the whole part.
+        Maximum number of steps of counterexamples to the full part.
     reached : dict
-        States that must be found, by what they show.
+        Predicates of states that must be reachable, by description.
     small : Model or None
-        Where they are looked for; as ``build('')`` when None.
+        Model in which these states are searched for; ``build('')`` if None.
     """
 
     __slots__ = (
         'build',
         'depth',
         'guards',
-        'reached',
+        'reachable',
         'size',
-        'small',
+        'reach_model',
         'title',
-        'wide',
+        'proof_model',
     )
 
     def __init__(
-        self, title, build, wide, size, guards, depth, reached, small=None
+        self,
+        title,
+        build,
+        proof_model,
+        size,
+        guards,
+        depth,
+        reachable,
+        reach_model=None,
     ):
         self.title = title
         self.build = build
-        self.wide = wide
+        self.proof_model = proof_model
         self.size = size
         self.guards = guards
         self.depth = depth
-        self.reached = reached
-        self.small = small or build('')
+        self.reachable = reachable
+        self.reach_model = reach_model or build('')
 
 
 class Tally:
-    """Counts of what was expected and of what came out otherwise."""
+    """Counts of proved properties and needed guards, and the failures."""
 
     __slots__ = ('failures', 'needed', 'proved')
 
@@ -93,15 +106,15 @@
         self.needed = 0
         self.failures = []
 
-    def expect(self, good, text):
-        """Print a line of the verdict and keep it if it is a failure."""
-        print(f'  {"ok  " if good else "FAIL"} {text}')
-        if not good:
+    def expect(self, passed, text):
+        """Print the result of a check and record a failure."""
+        print(f'  {"ok  " if passed else "FAIL"} {text}')
+        if not passed:
             self.failures.append(text)
-        return good
+        return passed
 
 
-_DEEPEST = 18
+_MAX_SEARCH_STEPS = 18
 
 PARTS = (
     Part(
@@ -116,7 +129,7 @@
         14,
         {
             'a repeat finds that its key ran elsewhere': (
-                claims.repeat_was_found(_TWO_HOSTS)
+                claims.repeat_finds_earlier_run(_TWO_HOSTS)
             ),
             'a repeat runs after a refusal and a release': (
                 claims.repeat_ran_after_release(_TWO_HOSTS)
@@ -124,8 +137,8 @@
             'LIMIT: a host that has not read the log may refuse a repeat': (
                 claims.repeat_may_be_refused(_TWO_HOSTS)
             ),
-            'LIMIT: a forwarded claim may land after its release': (
-                claims.claim_landed_after_release(_TWO_HOSTS)
+            'LIMIT: a forwarded claim may be written after its release': (
+                claims.claim_written_after_release(_TWO_HOSTS)
             ),
         },
         claims.claims_model(_TWO_HOSTS),
@@ -138,8 +151,8 @@
         configuration.GUARDS,
         7,
         {
-            'LIMIT: a restarted host may first take an older version': (
-                configuration.stale_after_restart(_HOSTS)
+            'LIMIT: a restarted host may first apply an older version': (
+                configuration.older_version_after_restart(_HOSTS)
             ),
         },
     ),
@@ -151,8 +164,8 @@
         lease.GUARDS,
         8,
         {
-            'a paused holder is about to order under an old number': (
-                lease.old_number_sent(_HOSTS)
+            'a paused holder may send an order under an old number': (
+                lease.may_order_under_old_number(_HOSTS)
             ),
         },
     ),
@@ -160,20 +173,20 @@
 
 
 def _check_properties(part, tally):
-    gaps = unproved(part.wide)
+    gaps = unproved_obligations(part.proof_model)
     for gap in gaps:
         print(f'       not proved: {gap}')
     proved = tally.expect(
         not gaps,
-        f'{len(part.wide.invariants)} invariants are inductive over '
-        f'{len(part.wide.actions)} actions, for any number of steps',
+        f'{len(part.proof_model.invariants)} invariants are inductive over '
+        f'{len(part.proof_model.actions)} actions, for any number of steps',
     )
     model = part.build('')
-    found = bounded(model, _any_violated(model), part.depth)
+    found = find_run(model, _any_violated(model), part.depth)
     _print_run(found)
     searched = tally.expect(
         found is None,
-        f'no counterexample within {part.depth} steps from the first state',
+        f'no counterexample within {part.depth} steps from the initial state',
     )
     for name in model.properties:
         if proved and searched:
@@ -192,10 +205,10 @@
         print(f'         {number:2d}. {label}')
 
 
-def _check_reached(part, tally):
-    model = part.small
-    for name, wanted in part.reached.items():
-        found = bounded(model, wanted, _DEEPEST)
+def _check_reachable(part, tally):
+    model = part.reach_model
+    for name, goal in part.reachable.items():
+        found = find_run(model, goal, _MAX_SEARCH_STEPS)
         steps = '' if found is None else f' ({len(found)} steps)'
         tally.expect(found is not None, f'reached: {name}{steps}')
         _print_run(found)
@@ -204,21 +217,23 @@
 def _check_guards(part, tally):
     for guard, name in part.guards.items():
         model = part.build(guard)
-        found = bounded(model, violated(model, name), _DEEPEST)
+        found = find_run(model, violated(model, name), _MAX_SEARCH_STEPS)
         if tally.expect(found is not None, f'without {guard}: "{name}" fails'):
             tally.needed += 1
         _print_run(found)
 
 
-def _both_correct(state):
-    return z3.And([lease.corrects(state, host, 0) for host in _HOSTS])
+def _corrections_succeed(state):
+    return z3.And(
+        [lease.correction_succeeds(state, host, 0) for host in _HOSTS]
+    )
 
 
 def _check_correction(tally):
     model = lease.lease_model(2, 4)
     tally.expect(
-        always(model, _both_correct),
-        'one read-back and order put a wrong engine right, by either host',
+        always(model, _corrections_succeed),
+        'either host corrects an engine by one read-back and one order',
     )
 
 
@@ -229,7 +244,7 @@
         started = time.monotonic()
         print(f'{part.title} ({part.size})')
         _check_properties(part, tally)
-        _check_reached(part, tally)
+        _check_reachable(part, tally)
         _check_guards(part, tally)
         took = time.monotonic() - started
         print(f'  -- {part.title}: {took:.1f} s', flush=True)
--- a/spec/trace.py
+++ b/spec/trace.py
@@ -1,17 +1,18 @@
-"""Holds recorded runs against the claims' transition relation.
+"""Check recorded runs against the transition relation of the claims log.
 
 Explanation
 ===========
 
-A recorder notes what hosts and store do as :class:`TraceEvent`; the actions
-are those of :mod:`spec.claims_steps` that can be seen from outside. A run is
-cut into one part for each key, with the appends that bear on it and the
-positions where they stand: a run of the specification is still one when all
-else is left out. Each part is replayed. In every state the action's guard must
-hold, and the properties after it. Steps inside a host (reading, settling,
-hearing) are taken when the next event needs them, if their guards hold; an
-observer that reads each position at once stands for word of mouth. Parts that
-differ in names only are replayed once.
+A recorder describes the actions of hosts and store as :class:`TraceEvent`. The
+events are the actions of :mod:`spec.claims_steps` that are visible from
+outside. A run is split into one part for each key, with the appends that
+concern the key and their positions; a run that conforms to the specification
+still does so when everything else is left out. Each part is replayed: the
+guard of each action must hold, and so must the properties after it. Internal
+steps of a host (reading, settling an append, learning of a holder) are taken
+when the next event needs them, if their guards hold. An additional host, the
+observer, reads each position at once and represents reports between hosts.
+Parts that differ only in names are replayed once.
 """
 
 from dataclasses import dataclass
@@ -29,24 +30,25 @@
     ==========
 
     action : str
-        ``begin``: a host takes a keyed request. ``refuse``: it ends it as not
-        run, or releases its claim. ``repeat``: it ends it because another
-        holds the key. ``dispatch``: it hands the non-idempotent call over;
-        ``giveback``: it learns that this call did not run. ``open``: it sends
-        a new batch for the first time. ``apply``: the store has taken a
-        batch. ``crash``: the host is gone, with all it knew.
+        ``begin``: a host receives a keyed request. ``refuse``: the host ends
+        the request as not run, or releases its claim. ``repeat``: the host
+        ends the request because another one holds the key. ``dispatch``: the
+        host dispatches the non-idempotent call. ``giveback``: the host learns
+        that this call did not run. ``open``: the host sends a new batch for
+        the first time. ``apply``: the store has applied a batch. ``crash``:
+        the host has crashed and lost its memory.
     host : str
-        Which host acts; a host that was restarted keeps its name.
+        Host that acts; a restarted host keeps its name.
     shard : str
-        The claims log.
+        Shard of the claims log.
     place : int
-        Position in it, where the action has one.
+        Position in the log, if the action has one.
     append : str
-        Unique name of a batch that is tried at a position.
+        Unique name of a batch that is sent for a position.
     request : str
         Unique name of a request.
     key : str
-        Its key, for ``begin``.
+        Key of the request, for ``begin``.
     claims, frees : tuple of str
         Requests that an append claims for and releases, for ``open``.
     """
@@ -63,20 +65,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Departure:
-    """Where a recorded run departs from the specification.
+class Deviation:
+    """First event of a recorded run that violates the specification.
 
     Parameters
     ==========
 
     key : str
-        Of the part of the run that was replayed.
+        Key of the replayed part of the run.
     number : int
-        The event's place in the whole run.
+        Index of the event in the full run.
     event : TraceEvent
-        The event.
+        Event that violates the specification.
     reason : str
-        What did not hold.
+        Guard or property that does not hold.
     """
 
     key: str
@@ -85,98 +87,101 @@
     reason: str
 
 
-def departures(events):
-    """Return where a recorded run departs from the specification.
+def find_deviations(events):
+    """Return the first deviation from the specification for each key.
 
     Parameters
     ==========
 
     events : list of TraceEvent
-        In the order in which they happened.
+        Events of the run, in the order in which they occurred.
 
     Returns
     =======
 
     list of Departure
-        The first one of each key; empty when the run is one of the
-        specification.
+        Empty if the run conforms to the specification.
 
     Examples
     ========
 
-    >>> from spec.trace import TraceEvent, departures
+    >>> from spec.trace import TraceEvent, find_deviations
     >>> run = [
     ...     TraceEvent('begin', host='h1', request='r1', key='k'),
     ...     TraceEvent('dispatch', host='h1', request='r1'),
     ... ]
-    >>> [found.reason for found in departures(run)]
+    >>> [deviation.reason for deviation in find_deviations(run)]
     ['the guard of dispatch request=0 does not hold']
     """
-    numbered = _without_given_back(list(enumerate(events)))
+    numbered = _drop_undone_dispatches(list(enumerate(events)))
     found = []
     verdicts = {}
-    for key, part in _parts(numbered).items():
-        departure = _departure(key, part, verdicts)
-        if departure is not None:
-            found.append(departure)
+    for key, part in _split_by_key(numbered).items():
+        deviation = _find_deviation(key, part, verdicts)
+        if deviation is not None:
+            found.append(deviation)
     return found
 
 
-def _departure(key, part, verdicts):
-    plain = _plain(part)
-    if plain not in verdicts:
-        verdicts[plain] = _Replay(plain).first_departure()
-    if verdicts[plain] is None:
+def _find_deviation(key, part, verdicts):
+    normalized = _normalized(part)
+    if normalized not in verdicts:
+        verdicts[normalized] = _Replay(normalized).first_deviation()
+    if verdicts[normalized] is None:
         return None
-    place, reason = verdicts[plain]
-    number, event = part[place]
-    return Departure(key, number, event, reason)
+    index, reason = verdicts[normalized]
+    number, event = part[index]
+    return Deviation(key, number, event, reason)
 
 
-def _without_given_back(numbered):
-    """Leave out calls that were handed over and are known not to have run."""
-    given_back = {}
+def _drop_undone_dispatches(numbered):
+    """Leave out dispatched calls that are known not to have run."""
+    undone = {}
     kept = []
     for number, event in reversed(numbered):
-        before = given_back.get(event.request, 0)
+        before = undone.get(event.request, 0)
         if event.action == 'giveback':
-            given_back[event.request] = before + 1
+            undone[event.request] = before + 1
             continue
         if event.action == 'dispatch' and before:
-            given_back[event.request] = before - 1
+            undone[event.request] = before - 1
             continue
         kept.append((number, event))
     kept.reverse()
     return kept
 
 
-def _parts(numbered):
-    """Return the events that bear on each key."""
+def _split_by_key(numbered):
+    """Return the numbered events that concern each key."""
     keys = {}
     for _, event in numbered:
         if event.action == 'begin':
             keys.setdefault(event.key, set()).add(event.request)
     opened = [event for _, event in numbered if event.action == 'open']
     return {
-        key: _part(numbered, requests, _appends_of(opened, requests))
+        key: _select_events(
+            numbered, requests, _related_appends(opened, requests)
+        )
         for key, requests in keys.items()
     }
 
 
-def _appends_of(opened, requests):
-    """Return the appends that bear on a key, and where they were tried."""
-    spots = {
+def _related_appends(opened, requests):
+    """Return the appends that concern a key."""
+    positions = {
         (event.shard, event.place)
         for event in opened
         if requests.intersection(event.claims + event.frees)
     }
-    # What is put where one of them was to stand bears on the key too.
+    # Other appends that were sent for these positions concern the key too.
     return {
-        event.append for event in opened if (event.shard, event.place) in spots
+        event.append
+        for event in opened
+        if (event.shard, event.place) in positions
     }
 
 
-def _part(numbered, requests, appends):
+def _select_events(numbered, requests, appends):
     part = []
     for number, event in numbered:
         if event.request and event.request not in requests:
@@ -187,16 +192,18 @@
     return part
 
 
-def _plain(part):
-    """Return a part with numbers for names, in the order of appearance."""
+def _normalized(part):
+    """Replace names by numbers, in the order of their first appearance."""
     events = [event for _, event in part]
-    hosts = _numbers(event.host for event in events if event.action != 'crash')
-    requests = _numbers(event.request for event in events)
-    appends = _numbers(event.append for event in events)
+    hosts = _number_names(
+        event.host for event in events if event.action != 'crash'
+    )
+    requests = _number_names(event.request for event in events)
+    appends = _number_names(event.append for event in events)
     places = sorted({event.place for event in events if event.append})
-    plain = []
+    normalized = []
     for event in events:
-        plain.append(
+        normalized.append(
             (
                 event.action,
                 hosts.get(event.host, -1),
@@ -211,10 +218,10 @@
                 ),
             )
         )
-    return tuple(plain)
+    return tuple(normalized)
 
 
-def _numbers(names):
+def _number_names(names):
     numbers = {}
     for name in names:
         if name:
@@ -222,138 +229,148 @@
     return numbers
 
 
-class _DepartedError(Exception):
-    """The run is none of the specification."""
+class _DeviationError(Exception):
+    """The run does not conform to the specification."""
 
 
 class _Replay:
-    """The state of the specification along one part of a run."""
+    """Replay of one part of a run on the model."""
 
     __slots__ = (
         'actions',
         'applied',
         'model',
         'opened',
-        'plain',
+        'normalized',
         'sizes',
         'state',
     )
 
-    def __init__(self, plain):
-        self.plain = plain
-        owners = {event[2]: event[1] for event in plain if event[0] == 'begin'}
+    def __init__(self, normalized):
+        self.normalized = normalized
+        owners = {
+            event[2]: event[1] for event in normalized if event[0] == 'begin'
+        }
         self.sizes = Sizes(
-            max([event[1] for event in plain], default=0) + 2,
-            max([event[4] for event in plain], default=0) + 1,
-            max([event[3] for event in plain], default=0) + 1,
+            max([event[1] for event in normalized], default=0) + 2,
+            max([event[4] for event in normalized], default=0) + 1,
+            max([event[3] for event in normalized], default=0) + 1,
             [(owners[request], 0) for request in sorted(owners)],
         )
         self.model = claims_model(self.sizes)
         self.actions = {action.label: action for action in self.model.actions}
         self.state = State(self.model.initial)
         self.opened = {}
-        self.applied = {event[3] for event in plain if event[0] == 'apply'}
+        self.applied = {event[3] for event in normalized if event[0] == 'apply'}
 
     @property
     def observer(self):
-        """The host that stands for word of mouth."""
+        """Additional host that represents reports between hosts."""
         return self.sizes.hosts[-1]
 
-    def first_departure(self):
-        """Return the place and reason of the first departure, or None."""
-        for place, event in enumerate(self.plain):
+    def first_deviation(self):
+        """Return index and reason of the first deviation, or None."""
+        for index, event in enumerate(self.normalized):
             try:
-                self._take(*event)
-            except _DepartedError as error:
-                return place, str(error)
+                self._replay_event(*event)
+            except _DeviationError as error:
+                return index, str(error)
         return None
 
-    def _take(self, action, host, request, append, place, claims, frees):
+    def _replay_event(
+        self, action, host, request, append, place, claims, frees
+    ):
         if action == 'crash':
             if host >= 0:
-                self._do(f'crash host={host}')
+                self._require_step(f'crash host={host}')
         elif action == 'open':
             self._open(host, append, place, claims, frees)
         elif action == 'apply':
             self._apply(append)
         elif action == 'dispatch':
-            self._try(f'find host={self.observer} request={request}')
-            self._do(f'dispatch request={request}')
+            self._try_step(f'find host={self.observer} request={request}')
+            self._require_step(f'dispatch request={request}')
         else:
-            self._do(f'{action} request={request}')
+            self._require_step(f'{action} request={request}')
         self._check_properties()
 
     def _open(self, host, append, place, claims, frees):
         if append in self.opened:
             return
-        self._end_pending(host, place)
+        self._resolve_pending(host, place)
         for earlier in range(place):
-            self._try(f'read host={host} place={earlier}')
+            self._try_step(f'read host={host} place={earlier}')
         for request in claims:
             if self.sizes.owner(request) != host:
-                self._try(f'forward request={request} host={host}')
+                self._try_step(f'forward request={request} host={host}')
         self.opened[append] = place
         if not claims and not frees:
-            # The append says nothing of this key; only its place counts.
-            self._put_blank(host, append, place)
+            # The append has no records of this key; only its position matters.
+            self._add_empty_append(host, append, place)
             return
         chosen = {('takes', request): True for request in claims}
         chosen.update({('yields', request): True for request in frees})
-        self._do(f'open host={host} append={append} place={place}', chosen)
+        self._require_step(
+            f'open host={host} append={append} place={place}', chosen
+        )
         self._check_listed('claims', append, claims)
         self._check_listed('frees', append, frees)
 
     def _check_listed(self, name, append, requests):
         for request in requests:
             if not self.state[name, append, request]:
-                raise _DepartedError(
+                raise _DeviationError(
                     f'append {append} {name} request {request}, '
-                    'whose key is held or which is not queued there',
+                    'whose key is held or which is not queued at the host',
                 )
 
-    def _put_blank(self, host, append, place):
+    def _add_empty_append(self, host, append, place):
         self.opened[append] = place
-        blank = {
+        updates = {
             ('used', append): True,
             ('flying', append): True,
             ('pending', host, append): True,
             ('place', append, place): True,
             ('writer', append, host): True,
         }
-        self.state.update(blank)
+        self.state.update(updates)
 
-    def _end_pending(self, host, wanted):
-        """Let a host learn what became of the append that it waits for.
+    def _resolve_pending(self, host, next_place):
+        """Settle the pending append of a host.
 
         Explanation
         ===========
 
-        A host that tries the same position again was told that its write was
-        not applied, and has not read what stands there.
+        A host that sends another append for the same position knows that its
+        write was not applied, and has not read the object at this position.
         """
         for append, place in self.opened.items():
             if not self.state.pending(host, append):
                 continue
             if append not in self.applied:
-                self._try(f'drop append={append}')
-            spot = f'host={host} append={append} place={place}'
-            if place != wanted and self._reads(spot):
+                self._try_step(f'drop append={append}')
+            append_label = f'host={host} append={append} place={place}'
+            if place != next_place and self._read_back(append_label):
                 continue
-            self._do(f'abandon host={host} append={append}')
+            self._require_step(f'abandon host={host} append={append}')
 
-    def _reads(self, spot):
-        return self._try(f'settle {spot}') or self._try(f'supersede {spot}')
+    def _read_back(self, append_label):
+        return self._try_step(f'settle {append_label}') or self._try_step(
+            f'supersede {append_label}'
+        )
 
     def _apply(self, append):
         place = self.opened.get(append)
         if place is None:
-            raise _DepartedError(f'append {append} was never opened')
-        self._do(f'apply append={append} place={place}')
+            raise _DeviationError(
+                f'append {append} is applied before it is opened'
+            )
+        self._require_step(f'apply append={append} place={place}')
         for written in self.sizes.places:
-            self._try(f'read host={self.observer} place={written}')
+            self._try_step(f'read host={self.observer} place={written}')
 
-    def _try(self, label, chosen=()):
-        """Take a step if its guard holds; return whether it did."""
+    def _try_step(self, label, chosen=()):
+        """Take an action if its guard holds; return whether it was taken."""
         free = dict.fromkeys(self.model.free, False)
         free['releases'] = True
         free.update(chosen)
@@ -365,11 +382,11 @@
         self.state.update(action.updates(state))
         return True
 
-    def _do(self, label, chosen=()):
-        if not self._try(label, chosen):
-            raise _DepartedError(f'the guard of {label} does not hold')
+    def _require_step(self, label, chosen=()):
+        if not self._try_step(label, chosen):
+            raise _DeviationError(f'the guard of {label} does not hold')
 
     def _check_properties(self):
         for name, holds in self.model.properties.items():
             if not holds(self.state):
-                raise _DepartedError(f'{name} fails')
+                raise _DeviationError(f'{name} fails')
--- a/tools/check.py
+++ b/tools/check.py
@@ -1,12 +1,13 @@
-"""Runs every check of the project and prints one verdict.
+"""Run the checks of the project and print the total counts.
 
 Explanation
 ===========
 
 ``check.py`` runs the formatter, the linter, the doctests, behave and the
-specification; ``check.py NAME ...`` runs just these. Each step prints its own
-output; the last line is ``N passed, N failed``. Scenarios that a line of
-``KNOWN-RED.txt`` names by file and line are passed over, and the lines printed.
+specification; ``check.py NAME ...`` runs only the named checks. Each check
+prints its own output; the last line is ``N passed, N failed``. A failed
+scenario that a line of ``KNOWN-RED.txt`` names by file and line number does not
+count as failed, and these lines are printed.
 """
 
 import os
@@ -34,7 +35,7 @@
     return [name for name in SOURCES if (ROOT / name).is_dir()]
 
 
-def _output(command):
+def _run_command(command):
     environment = dict(
         os.environ,
         PYTHONHASHSEED='0',
@@ -54,24 +55,24 @@
     return completed.returncode, completed.stdout
 
 
-def _single(command):
-    code, _ = _output(command)
+def _run_single(command):
+    code, _ = _run_command(command)
     return (1, 0) if code == 0 else (0, 1)
 
 
 def check_format():
-    """Return passed and failed of the formatter."""
-    return _single([str(BIN / 'ruff'), 'format', '--check', *_sources()])
+    """Run the formatter; return the counts of passed and failed checks."""
+    return _run_single([str(BIN / 'ruff'), 'format', '--check', *_sources()])
 
 
 def check_lint():
-    """Return passed and failed of the linter."""
-    return _single([str(BIN / 'flake8'), *_sources()])
+    """Run the linter; return the counts of passed and failed checks."""
+    return _run_single([str(BIN / 'flake8'), *_sources()])
 
 
 def check_doctest():
-    """Return passed and failed of the examples in docstrings."""
-    code, text = _output([sys.executable, 'tools/doctests.py'])
+    """Run the doctests; return the counts of passed and failed modules."""
+    code, text = _run_command([sys.executable, 'tools/doctests.py'])
     found = MODULES.search(text)
     if not found:
         return 0, max(code, 1)
@@ -79,32 +80,35 @@
 
 
 def check_behave():
-    """Return passed and failed scenarios, known red ones apart."""
+    """Run behave; return the counts of passed and failed scenarios.
+
+    Known failures are not counted.
+    """
     command = [str(BIN / 'behave'), '--format', 'progress', '--no-capture']
-    code, text = _output([*command, 'features'])
+    code, text = _run_command([*command, 'features'])
     found = SUMMARY.search(text)
     if not found:
         return 0, max(code, 1)
     passed, failed, errors = (int(part or 0) for part in found.groups())
-    return passed, failed + errors - _passed_over(text)
+    return passed, failed + errors - _count_known_red(text)
 
 
-def _passed_over(text):
-    """Return how many of the failed scenarios are known to be red."""
+def _count_known_red(text):
+    """Return the number of failed scenarios that are known failures."""
     failed = set(FAILED.findall(text))
     known = 0
-    for place in failed:
-        if any(place in line for line in _known_red()):
+    for location in failed:
+        if any(location in line for line in _known_red()):
             known += 1
     return known
 
 
 def check_spec():
-    """Return passed and failed of the checked specification."""
+    """Check the specification; return its counts of passed and failed."""
     script = ROOT / 'spec' / 'run.py'
     if not script.exists():
         return 0, 0
-    return _single([sys.executable, str(script)])
+    return _run_single([sys.executable, str(script)])
 
 
 CHECKS = (
@@ -117,17 +121,20 @@
 
 
 def main(names):
-    """Run the named checks, all when none is named; return the exit code."""
+    """Run the named checks, or all if none is named; return the exit code."""
     passed = 0
     failed = 0
     for name, check in CHECKS:
         if names and name not in names:
             continue
         print(f'== {name}', flush=True)
-        good, bad = check()
-        print(f'== {name}: {good} passed, {bad} failed', flush=True)
-        passed += good
-        failed += bad
+        check_passed, check_failed = check()
+        print(
+            f'== {name}: {check_passed} passed, {check_failed} failed',
+            flush=True,
+        )
+        passed += check_passed
+        failed += check_failed
     for line in _known_red():
         print(f'known red: {line}')
     print(f'{passed} passed, {failed} failed')
--- a/tools/doctests.py
+++ b/tools/doctests.py
@@ -1,4 +1,4 @@
-"""Runs the examples in docstrings of every module of the package."""
+"""Run the doctests of all modules of the package."""
 
 import doctest
 import importlib
@@ -9,14 +9,14 @@
 
 
 def main():
-    """Run them all and print the counts; return the exit code."""
+    """Run all doctests and print the counts; return the exit code."""
     passed = 0
     failed = 0
     prefix = f'{pollenstile.__name__}.'
-    for found in pkgutil.walk_packages(pollenstile.__path__, prefix):
-        if found.name.endswith('.__main__'):
+    for module_info in pkgutil.walk_packages(pollenstile.__path__, prefix):
+        if module_info.name.endswith('.__main__'):
             continue
-        module = importlib.import_module(found.name)
+        module = importlib.import_module(module_info.name)
         if doctest.testmod(module).failed:
             failed += 1
             continue
--- a/tools/events.py
+++ b/tools/events.py
@@ -1,4 +1,4 @@
-"""Writes docs/EVENTS.md from the catalogue of log events."""
+"""Write docs/EVENTS.md from the catalogue of log events."""
 
 import importlib
 import pathlib
@@ -11,8 +11,8 @@
 PAGE = pathlib.Path(__file__).resolve().parent.parent / 'docs' / 'EVENTS.md'
 _HEAD = """# Log events
 
-Each log line carries one of these numbers. `make events` writes this page from
-the code; a test fails when they differ.
+Each log line has one of these numbers. `make events` generates this page from
+the code; a test fails if they differ.
 
 | Number | Name | Meaning | What to do |
 |---|---|---|---|
@@ -20,16 +20,16 @@
 
 
 def load_package():
-    """Import every module, so that all events are defined."""
+    """Import every module of the package, so that all events are defined."""
     prefix = f'{pollenstile.__name__}.'
-    for found in pkgutil.walk_packages(pollenstile.__path__, prefix):
-        if found.name.endswith('.__main__'):
+    for module_info in pkgutil.walk_packages(pollenstile.__path__, prefix):
+        if module_info.name.endswith('.__main__'):
             continue
-        importlib.import_module(found.name)
+        importlib.import_module(module_info.name)
 
 
 def events_page():
-    """Return the page's text."""
+    """Return the text of the page."""
     load_package()
     rows = []
     for event in catalogue():
--- a/tools/settings.py
+++ b/tools/settings.py
@@ -1,4 +1,4 @@
-"""Writes the table of settings into docs/OPERATIONS.md."""
+"""Write the tables of settings into docs/OPERATIONS.md."""
 
 import pathlib
 
@@ -21,7 +21,7 @@
 
 
 def settings_table(table):
-    """Return the table of a daemon's settings."""
+    """Return the table of the settings of a daemon."""
     lines = []
     for setting in table:
         default = setting.default
@@ -35,7 +35,7 @@
 
 
 def page_text():
-    """Return the page with the table of this version."""
+    """Return the text of the page with up-to-date tables."""
     text = PAGE.read_text()
     for begin, end, table in TABLES:
         head, _, tail = text.partition(begin)
--- a/tools/stats.py
+++ b/tools/stats.py
@@ -1,14 +1,15 @@
-"""Prints code lines by package and holds the project's shares of them.
+"""Print code lines by package and check the limits of their shares.
 
 Explanation
 ===========
 
-A code line is one that holds a token other than a comment or a docstring;
-docstrings are counted apart. Feature files count their lines that are neither
-blank nor comments. Tests are all of ``features``, and have no bound; the
-specification, which is no test of the code, is shown apart. Exits with 1 when
-the soak is more than a tenth of all, or when the code that decides under load
-and failure is less than a quarter of the package.
+A code line contains a token other than a comment or a docstring; docstrings
+are counted separately. In feature files, all lines except blank lines and
+comments count. Tests are all of ``features`` and have no limit; the
+specification does not test the code and is shown separately. The exit code is 1
+if the soak is more than a tenth of all code lines, or if the code that decides
+under load and failure (``CORE_PACKAGES``) is less than a quarter of the
+package.
 """
 
 import ast
@@ -21,7 +22,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 PACKAGE = 'pollenstile'
 # Routing, limits, retries, membership, state and recovery.
-CORE = (
+CORE_PACKAGES = (
     'routing',
     'limits',
     'claims',
@@ -35,9 +36,9 @@
     'stagework',
 )
 _SOAK = 'pollenstile.soak'
-_MOST_SOAK = 1 / 10
-_LEAST_CORE = 1 / 4
-_SILENT = frozenset(
+_MAX_SOAK_SHARE = 1 / 10
+_MIN_CORE_SHARE = 1 / 4
+_NON_CODE_TOKENS = frozenset(
     (
         tokenize.COMMENT,
         tokenize.NL,
@@ -48,7 +49,7 @@
         tokenize.ENDMARKER,
     )
 )
-_DOCUMENTED = (
+_DOCUMENTED_NODES = (
     ast.Module,
     ast.ClassDef,
     ast.FunctionDef,
@@ -59,7 +60,7 @@
 def _docstring_lines(text):
     lines = set()
     for node in ast.walk(ast.parse(text)):
-        if not isinstance(node, _DOCUMENTED):
+        if not isinstance(node, _DOCUMENTED_NODES):
             continue
         if ast.get_docstring(node, clean=False) is None:
             continue
@@ -69,17 +70,17 @@
 
 
 def python_lines(text):
-    """Return the numbers of code lines and of docstring lines of a module."""
+    """Return the counts of code lines and of docstring lines of a module."""
     code = set()
     for token in tokenize.generate_tokens(io.StringIO(text).readline):
-        if token.type not in _SILENT:
+        if token.type not in _NON_CODE_TOKENS:
             code.update(range(token.start[0], token.end[0] + 1))
     docstrings = _docstring_lines(text)
     return len(code - docstrings), len(docstrings)
 
 
 def feature_lines(text):
-    """Return the number of a feature's lines, blank and comments apart."""
+    """Return the number of lines of a feature except blanks and comments."""
     lines = (line.strip() for line in text.splitlines())
     return sum(1 for line in lines if line and not line.startswith('#'))
 
@@ -93,8 +94,8 @@
     return PACKAGE
 
 
-def counted():
-    """Return code lines and docstring lines by group."""
+def count_lines():
+    """Return the counts of code lines and of docstring lines by group."""
     code = Counter()
     docstrings = Counter()
     for top in (PACKAGE, 'features', 'spec', 'tools'):
@@ -118,10 +119,11 @@
     print(f'{"all":<26}{total:>8}{sum(docstrings.values()):>12}')
 
 
-def shares(code):
+def compute_shares(code):
     """Return the shares of features, specification, soak and core.
 
-    The first three are of all code lines, the last is of the package's.
+    The first three are shares of all code lines, the last one is a share of
+    the code lines of the package.
     """
     total = sum(code.values())
     package = 0
@@ -130,7 +132,7 @@
         if not group.startswith(PACKAGE):
             continue
         package += lines
-        if group.rpartition('.')[2] in CORE:
+        if group.rpartition('.')[2] in CORE_PACKAGES:
             core += lines
     parts = [code[group] / total for group in ('features', 'spec', _SOAK)]
     return *parts, core / package
@@ -138,19 +140,19 @@
 
 def main():
     """Print the table and the shares; return the exit code."""
-    code, docstrings = counted()
+    code, docstrings = count_lines()
     _print_table(code, docstrings)
-    features, spec, soak, core = shares(code)
+    features, spec, soak, core = compute_shares(code)
     print(
         f'tests: {features:.1%} of all code lines; '
         f'with the specification ({spec:.1%}): {features + spec:.1%}',
     )
-    print(f'soak: {soak:.1%} of all code lines, at most {_MOST_SOAK:.0%}')
+    print(f'soak: {soak:.1%} of all code lines, at most {_MAX_SOAK_SHARE:.0%}')
     print(
-        f'{", ".join(CORE)}: {core:.1%} of the package, '
-        f'at least {_LEAST_CORE:.1%}',
+        f'{", ".join(CORE_PACKAGES)}: {core:.1%} of the package, '
+        f'at least {_MIN_CORE_SHARE:.1%}',
     )
-    return 1 if soak > _MOST_SOAK or core < _LEAST_CORE else 0
+    return 1 if soak > _MAX_SOAK_SHARE or core < _MIN_CORE_SHARE else 0
 
 
 if __name__ == '__main__':
