--- a/spec/claims.py
+++ b/spec/claims.py
@@ -58,8 +58,8 @@
 
 def _is_release_written(state, sizes, request):
     return any_of(
-        conj(state.at(place, append), state.frees(append, request))
-        for place in sizes.places
+        conj(state.at(position, append), state.frees(append, request))
+        for position in sizes.positions
         for append in sizes.appends
     )
 
--- a/spec/claims_proof.py
+++ b/spec/claims_proof.py
@@ -26,13 +26,13 @@
     }
 
 
-def _is_positioned(state, sizes, place, append):
-    """Return whether an append at a position is used, unique and contiguous."""
-    others = [other for other in sizes.places if other != place]
+def _is_positioned(state, sizes, position, append):
+    """Return whether an append is used, at one position, after written ones."""
+    others = [other for other in sizes.positions if other != position]
     return conj(
         state.used(append),
         *(neg(state.place(append, other)) for other in others),
-        *(is_written(state, sizes, earlier) for earlier in range(place)),
+        *(is_written(state, sizes, earlier) for earlier in range(position)),
     )
 
 
@@ -50,30 +50,30 @@
 
 def _log_invariants(sizes):
     pairs = list(itertools.combinations(sizes.appends, 2))
-    placements = list(itertools.product(sizes.places, sizes.appends))
+    placements = list(itertools.product(sizes.positions, sizes.appends))
     return {
         'one object at a position': lambda state: all_of(
-            neg(conj(state.at(place, one), state.at(place, two)))
-            for place in sizes.places
+            neg(conj(state.at(position, one), state.at(position, two)))
+            for position in sizes.positions
             for one, two in pairs
         ),
         'an object is at the position of its append': lambda state: all_of(
             implies(
-                state.at(place, append),
+                state.at(position, append),
                 conj(
-                    state.place(append, place),
+                    state.place(append, position),
                     neg(state.flying(append)),
                 ),
             )
-            for place, append in placements
+            for position, append in placements
         ),
         'an append has one position, and all earlier ones are written': (
             lambda state: all_of(
                 implies(
-                    state.place(append, place),
-                    _is_positioned(state, sizes, place, append),
+                    state.place(append, position),
+                    _is_positioned(state, sizes, position, append),
                 )
-                for place, append in placements
+                for position, append in placements
             )
         ),
         'an unused append has no state': lambda state: all_of(
@@ -94,8 +94,10 @@
         state.writer(append, host),
         *(neg(state.pending(host, other)) for other in others),
         *(
-            implies(state.place(append, place), is_next(state, host, place))
-            for place in sizes.places
+            implies(
+                state.place(append, position), is_next(state, host, position)
+            )
+            for position in sizes.positions
         ),
     )
 
@@ -104,14 +106,14 @@
     return {
         'a host has read a written prefix': lambda state: all_of(
             implies(
-                state.known(host, place),
+                state.known(host, position),
                 conj(
-                    is_written(state, sizes, place),
-                    *(state.known(host, other) for other in range(place)),
+                    is_written(state, sizes, position),
+                    *(state.known(host, other) for other in range(position)),
                 ),
             )
             for host in sizes.hosts
-            for place in sizes.places
+            for position in sizes.positions
         ),
         "a pending append is the host's own, at its first unread position": (
             lambda state: all_of(
--- a/spec/claims_state.py
+++ b/spec/claims_state.py
@@ -18,17 +18,17 @@
     Parameters
     ==========
 
-    hosts, places, appends : int
+    hosts, positions, appends : int
         Number of hosts, of positions in the log, and of appends.
     requests : list of tuple
         Owner and key of each request.
     """
 
-    __slots__ = ('appends', 'hosts', 'places', 'requests', 'owners_and_keys')
+    __slots__ = ('appends', 'hosts', 'owners_and_keys', 'positions', 'requests')
 
-    def __init__(self, hosts, places, appends, requests):
+    def __init__(self, hosts, positions, appends, requests):
         self.hosts = range(hosts)
-        self.places = range(places)
+        self.positions = range(positions)
         self.appends = range(appends)
         self.requests = range(len(requests))
         self.owners_and_keys = requests
@@ -62,14 +62,14 @@
 def variables(sizes):
     """Return the sort of each variable."""
     shapes = {
-        'at': (sizes.places, sizes.appends),
+        'at': (sizes.positions, sizes.appends),
         'used': (sizes.appends,),
-        'place': (sizes.appends, sizes.places),
+        'place': (sizes.appends, sizes.positions),
         'writer': (sizes.appends, sizes.hosts),
         'claims': (sizes.appends, sizes.requests),
         'frees': (sizes.appends, sizes.requests),
         'flying': (sizes.appends,),
-        'known': (sizes.hosts, sizes.places),
+        'known': (sizes.hosts, sizes.positions),
         'pending': (sizes.hosts, sizes.appends),
         **dict.fromkeys(WAITING, (sizes.hosts, sizes.requests)),
         'begun': (sizes.requests,),
@@ -79,9 +79,9 @@
         'told': (sizes.requests,),
     }
     return {
-        (name, *place): BOOL
+        (name, *indices): BOOL
         for name, ranges in shapes.items()
-        for place in itertools.product(*ranges)
+        for indices in itertools.product(*ranges)
     }
 
 
@@ -102,19 +102,19 @@
     return sorts
 
 
-def is_written(state, sizes, place):
+def is_written(state, sizes, position):
     """Return whether a position is written."""
-    return any_of(state.at(place, append) for append in sizes.appends)
+    return any_of(state.at(position, append) for append in sizes.appends)
 
 
-def _is_recorded(state, sizes, place, listed, request):
+def _is_recorded(state, sizes, position, listed, request):
     return any_of(
-        conj(state.at(place, append), listed(append, request))
+        conj(state.at(position, append), listed(append, request))
         for append in sizes.appends
     )
 
 
-def _holders_after(state, sizes, before, place):
+def _holders_after(state, sizes, before, position):
     """Return the requests that hold their keys after a position.
 
     Explanation
@@ -126,10 +126,10 @@
     still_held = {}
     claimed = {}
     for request in sizes.requests:
-        released = _is_recorded(state, sizes, place, state.frees, request)
+        released = _is_recorded(state, sizes, position, state.frees, request)
         still_held[request] = conj(before[request], neg(released))
         claimed[request] = _is_recorded(
-            state, sizes, place, state.claims, request
+            state, sizes, position, state.claims, request
         )
     return {
         request: disj(
@@ -161,12 +161,12 @@
         Host whose read positions count; None for the full log.
     """
     found = dict.fromkeys(sizes.requests, False)
-    for place in sizes.places:
-        after = _holders_after(state, sizes, found, place)
+    for position in sizes.positions:
+        after = _holders_after(state, sizes, found, position)
         if host is None:
             found = after
             continue
-        read = state.known(host, place)
+        read = state.known(host, position)
         found = {
             request: if_then_else(read, after[request], found[request])
             for request in sizes.requests
@@ -179,7 +179,7 @@
     return holders(state, sizes, host)[request]
 
 
-def is_next(state, host, place):
+def is_next(state, host, position):
     """Return whether a position is the first one that a host has not read."""
-    earlier = [state.known(host, other) for other in range(place)]
-    return conj(*earlier, neg(state.known(host, place)))
+    earlier = [state.known(host, other) for other in range(position)]
+    return conj(*earlier, neg(state.known(host, position)))
--- a/spec/claims_steps.py
+++ b/spec/claims_steps.py
@@ -134,12 +134,12 @@
     return conj(state.yields(request), state.letgo(host, request))
 
 
-def _open(sizes, host, append, place, without):
+def _open(sizes, host, append, position, without):
     def guard(state):
         known = holders(state, sizes, host)
-        fits = is_next(state, host, place)
+        fits = is_next(state, host, position)
         if without == 'append-after-known-prefix':
-            fits = neg(state.known(host, place))
+            fits = neg(state.known(host, position))
         return conj(
             fits,
             neg(state.used(append)),
@@ -159,7 +159,7 @@
             ('used', append): True,
             ('flying', append): True,
             ('pending', host, append): True,
-            ('place', append, place): True,
+            ('place', append, position): True,
             ('writer', append, host): True,
         }
         known = holders(state, sizes, host)
@@ -176,26 +176,26 @@
         return changed
 
     return Action(
-        f'open host={host} append={append} place={place}',
+        f'open host={host} append={append} place={position}',
         guard,
         updates,
     )
 
 
-def _apply(sizes, append, place, without):
+def _apply(sizes, append, position, without):
     def guard(state):
-        is_in_flight = conj(state.flying(append), state.place(append, place))
+        is_in_flight = conj(state.flying(append), state.place(append, position))
         if without == 'create-if-absent':
             return is_in_flight
-        return conj(is_in_flight, neg(is_written(state, sizes, place)))
+        return conj(is_in_flight, neg(is_written(state, sizes, position)))
 
     def updates(state):
-        changed = {('at', place, other): False for other in sizes.appends}
-        changed['at', place, append] = True
+        changed = {('at', position, other): False for other in sizes.appends}
+        changed['at', position, append] = True
         changed['flying', append] = False
         return changed
 
-    return Action(f'apply append={append} place={place}', guard, updates)
+    return Action(f'apply append={append} place={position}', guard, updates)
 
 
 def _drop(append):
@@ -206,25 +206,25 @@
     )
 
 
-def _read(sizes, host, place):
+def _read(sizes, host, position):
     return Action(
-        f'read host={host} place={place}',
+        f'read host={host} place={position}',
         lambda state: conj(
-            is_next(state, host, place),
-            is_written(state, sizes, place),
+            is_next(state, host, position),
+            is_written(state, sizes, position),
             _has_no_pending_append(state, sizes, host),
         ),
-        lambda state: {('known', host, place): True},
+        lambda state: {('known', host, position): True},
     )
 
 
-def _settle(sizes, host, append, place, without):
+def _settle(sizes, host, append, position, without):
     """Return the action: an answer or a read-back confirms an append."""
 
     def updates(state):
         changed = {
             ('pending', host, append): False,
-            ('known', host, place): True,
+            ('known', host, position): True,
         }
         for request in sizes.requests:
             batched = state.batched(host, request)
@@ -239,11 +239,11 @@
         return changed
 
     return Action(
-        f'settle host={host} append={append} place={place}',
+        f'settle host={host} append={append} place={position}',
         lambda state: conj(
             state.pending(host, append),
-            state.place(append, place),
-            state.at(place, append),
+            state.place(append, position),
+            state.at(position, append),
         ),
         updates,
     )
@@ -265,19 +265,19 @@
     return changed
 
 
-def _supersede(sizes, host, append, place):
+def _supersede(sizes, host, append, position):
     """Return the action: a host reads another append at its position."""
     return Action(
-        f'supersede host={host} append={append} place={place}',
+        f'supersede host={host} append={append} place={position}',
         lambda state: conj(
             state.pending(host, append),
-            state.place(append, place),
-            is_written(state, sizes, place),
-            neg(state.at(place, append)),
+            state.place(append, position),
+            is_written(state, sizes, position),
+            neg(state.at(position, append)),
         ),
         lambda state: {
             **_requeue_batch(state, sizes, host, append),
-            ('known', host, place): True,
+            ('known', host, position): True,
         },
     )
 
@@ -289,7 +289,7 @@
         lambda state: conj(
             state.pending(host, append),
             neg(state.flying(append)),
-            *(neg(state.at(place, append)) for place in sizes.places),
+            *(neg(state.at(position, append)) for position in sizes.positions),
         ),
         lambda state: _requeue_batch(state, sizes, host, append),
     )
@@ -297,7 +297,7 @@
 
 def _crash(sizes, host):
     def updates(state):
-        cleared = [('known', host, place) for place in sizes.places]
+        cleared = [('known', host, position) for position in sizes.positions]
         cleared.extend(('pending', host, append) for append in sizes.appends)
         for request in sizes.requests:
             cleared.extend((name, host, request) for name in WAITING)
@@ -354,20 +354,22 @@
     actions = [_drop(append) for append in sizes.appends]
     for request in sizes.requests:
         actions.extend(_request_actions(sizes, request, without))
-    for append, place in itertools.product(sizes.appends, sizes.places):
-        actions.append(_apply(sizes, append, place, without))
+    for append, position in itertools.product(sizes.appends, sizes.positions):
+        actions.append(_apply(sizes, append, position, without))
     for host in sizes.hosts:
         actions.append(_crash(sizes, host))
-        actions.extend(_read(sizes, host, place) for place in sizes.places)
+        actions.extend(
+            _read(sizes, host, position) for position in sizes.positions
+        )
         actions.extend(
             _abandon(sizes, host, append) for append in sizes.appends
         )
-    for host, append, place in itertools.product(
+    for host, append, position in itertools.product(
         sizes.hosts,
         sizes.appends,
-        sizes.places,
+        sizes.positions,
     ):
-        actions.append(_open(sizes, host, append, place, without))
-        actions.append(_settle(sizes, host, append, place, without))
-        actions.append(_supersede(sizes, host, append, place))
+        actions.append(_open(sizes, host, append, position, without))
+        actions.append(_settle(sizes, host, append, position, without))
+        actions.append(_supersede(sizes, host, append, position))
     return actions
--- a/spec/configuration.py
+++ b/spec/configuration.py
@@ -29,7 +29,7 @@
 from spec.model import BOOL, INT, Action, Model
 
 GUARDS = {
-    'conditional-update': 'an accepted change is replaced only by one reviewed against it',
+    'conditional-update': 'no change with an older base replaces an accepted one',
     'read-back-when-in-doubt': 'an applier that gets a conflict has changed nothing',
     'only-higher-versions': 'no host goes back to a lower version',
     'validate-before-use': 'only valid documents are in force',
@@ -247,7 +247,7 @@
         'no host goes back to a lower version': lambda state: all_of(
             z3.Not(state.reverted(host)) for host in hosts
         ),
-        'an accepted change is replaced only by one reviewed against it': lambda state: (
+        'no change with an older base replaces an accepted one': lambda state: (
             all_of(
                 z3.Implies(
                     z3.And(
@@ -277,15 +277,17 @@
                 for one in appliers
             )
         ),
-        'at most one change of a version is accepted': lambda state: all_of(
-            z3.Not(
-                z3.And(
-                    state.accepted(one),
-                    state.accepted(two),
-                    state.base(one) == state.base(two),
+        'at most one of the changes with one base is accepted': lambda state: (
+            all_of(
+                z3.Not(
+                    z3.And(
+                        state.accepted(one),
+                        state.accepted(two),
+                        state.base(one) == state.base(two),
+                    )
                 )
+                for one, two in pairs
             )
-            for one, two in pairs
         ),
         'the same version is the same document': lambda state: all_of(
             z3.Implies(
--- a/spec/lease.py
+++ b/spec/lease.py
@@ -57,7 +57,7 @@
     'engine-refuses-old-numbers': 'the checking engine obeys the highest number',
     'conditional-intent': 'the intent is never replaced by an older one',
     'intent-before-order': 'an intent is recorded before any order under its number',
-    'read-back': 'an engine with a wrong order is sent a new one',
+    'read-back': 'a new order is due for an engine with a wrong one',
 }
 
 
--- a/spec/lease_proof.py
+++ b/spec/lease_proof.py
@@ -7,7 +7,7 @@
 from spec.lease_steps import (
     FASTEST_RATE,
     SLOWEST_RATE,
-    TERM_SECONDS,
+    TERM,
     is_order_due,
     in_term,
 )
@@ -53,16 +53,18 @@
                 ]
             )
         ),
-        'an engine with a wrong order is sent a new one': lambda state: all_of(
-            z3.Implies(
-                z3.And(
-                    in_term(state, host),
-                    state.loose() != state.mine(host),
-                    *(z3.Not(state.order(order)) for order in orders),
-                ),
-                is_order_due(state, host, without),
+        'a new order is due for an engine with a wrong one': lambda state: (
+            all_of(
+                z3.Implies(
+                    z3.And(
+                        in_term(state, host),
+                        state.loose() != state.mine(host),
+                        *(z3.Not(state.order(order)) for order in orders),
+                    ),
+                    is_order_due(state, host, without),
+                )
+                for host in hosts
             )
-            for host in hosts
         ),
     }
 
@@ -177,7 +179,7 @@
         (
             state.landed(host),
             state.got(host),
-            state.sent(host) + TERM_SECONDS,
+            state.sent(host) + TERM,
             state.spoke(host),
         ),
     )
@@ -202,9 +204,7 @@
             )
             bounds.append(z3.Implies(state.wrote(host), sent))
             for has, _, until, start in _terms_of(state, host):
-                term = _is_clock_fast_enough(
-                    state, host, until - TERM_SECONDS, start
-                )
+                term = _is_clock_fast_enough(state, host, until - TERM, start)
                 bounds.append(z3.Implies(has, term))
             passed = state.clock(host) - state.since(host)
             longest = FASTEST_RATE * (state.now() - state.watched(host))
@@ -275,7 +275,7 @@
                 for host in hosts
             )
         ),
-        'a recorded intent is not replaced by an older one': lambda state: (
+        'the intent is not older than one a host has recorded': lambda state: (
             all_of(
                 z3.Implies(
                     state.intended(host),
--- a/spec/lease_steps.py
+++ b/spec/lease_steps.py
@@ -8,13 +8,13 @@
 from spec.logic import all_of
 from spec.model import BOOL, INT, REAL, Action
 
-TERM_SECONDS = 10
+TERM = 10
 DRIFT = Fraction(1, 100)
 SLOWEST_RATE = 1 - DRIFT
 FASTEST_RATE = 1 + DRIFT
 # Time that the successor waits by its own clock. It is long enough even if the
 # successor's clock is the fastest and the holder's clock is the slowest.
-TAKEOVER_WAIT_SECONDS = Fraction(1021, 100)
+TAKEOVER_WAIT = Fraction(1021, 100)
 
 _HOST_SORTS = {
     'clock': REAL,
@@ -82,7 +82,7 @@
             ('holds', 0): True,
             ('mine', 0): 1,
             ('known', 0): 1,
-            ('until', 0): TERM_SECONDS,
+            ('until', 0): TERM,
             ('intended', 0): True,
             'intent': 1,
         }
@@ -152,9 +152,9 @@
 
 def _take_over(host, without):
     wait = {
-        'wait-whole-term': TERM_SECONDS / 2,
-        'margin-for-drift': TERM_SECONDS,
-    }.get(without, TAKEOVER_WAIT_SECONDS)
+        'wait-whole-term': TERM / 2,
+        'margin-for-drift': TERM,
+    }.get(without, TAKEOVER_WAIT)
 
     def guard(state):
         return z3.And(
@@ -236,7 +236,7 @@
             ('holds', host): True,
             ('mine', host): state.gotnumber(host),
             ('known', host): state.got(host),
-            ('until', host): start + TERM_SECONDS,
+            ('until', host): start + TERM,
             ('renewed', host): state.spoke(host),
             ('intended', host): z3.And(same, state.intended(host)),
             ('placed', host): z3.And(same, state.placed(host)),
--- a/spec/model.py
+++ b/spec/model.py
@@ -30,8 +30,8 @@
         """Return a function that looks up the variables with this name."""
         return functools.partial(self._lookup, name)
 
-    def _lookup(self, name, *place):
-        return self[(name, *place) if place else name]
+    def _lookup(self, name, *indices):
+        return self[(name, *indices) if indices else name]
 
 
 class Action:
--- a/spec/run.py
+++ b/spec/run.py
@@ -68,11 +68,11 @@
         'build',
         'depth',
         'guards',
+        'proof_model',
+        'reach_model',
         'reachable',
         'size',
-        'reach_model',
         'title',
-        'proof_model',
     )
 
     def __init__(
--- a/spec/trace.py
+++ b/spec/trace.py
@@ -200,7 +200,7 @@
     )
     requests = _number_names(event.request for event in events)
     appends = _number_names(event.append for event in events)
-    places = sorted({event.place for event in events if event.append})
+    positions = sorted({event.place for event in events if event.append})
     normalized = []
     for event in events:
         normalized.append(
@@ -209,7 +209,7 @@
                 hosts.get(event.host, -1),
                 requests.get(event.request, -1),
                 appends.get(event.append, -1),
-                places.index(event.place) if event.append else -1,
+                positions.index(event.place) if event.append else -1,
                 tuple(
                     requests[name] for name in event.claims if name in requests
                 ),
@@ -240,8 +240,8 @@
         'actions',
         'applied',
         'model',
-        'opened',
         'normalized',
+        'opened',
         'sizes',
         'state',
     )
@@ -278,13 +278,13 @@
         return None
 
     def _replay_event(
-        self, action, host, request, append, place, claims, frees
+        self, action, host, request, append, position, claims, frees
     ):
         if action == 'crash':
             if host >= 0:
                 self._require_step(f'crash host={host}')
         elif action == 'open':
-            self._open(host, append, place, claims, frees)
+            self._open(host, append, position, claims, frees)
         elif action == 'apply':
             self._apply(append)
         elif action == 'dispatch':
@@ -294,24 +294,24 @@
             self._require_step(f'{action} request={request}')
         self._check_properties()
 
-    def _open(self, host, append, place, claims, frees):
+    def _open(self, host, append, position, claims, frees):
         if append in self.opened:
             return
-        self._resolve_pending(host, place)
-        for earlier in range(place):
+        self._resolve_pending(host, position)
+        for earlier in range(position):
             self._try_step(f'read host={host} place={earlier}')
         for request in claims:
             if self.sizes.owner(request) != host:
                 self._try_step(f'forward request={request} host={host}')
-        self.opened[append] = place
+        self.opened[append] = position
         if not claims and not frees:
             # The append has no records of this key; only its position matters.
-            self._add_empty_append(host, append, place)
+            self._add_empty_append(host, append, position)
             return
         chosen = {('takes', request): True for request in claims}
         chosen.update({('yields', request): True for request in frees})
         self._require_step(
-            f'open host={host} append={append} place={place}', chosen
+            f'open host={host} append={append} place={position}', chosen
         )
         self._check_listed('claims', append, claims)
         self._check_listed('frees', append, frees)
@@ -324,18 +324,18 @@
                     'whose key is held or which is not queued at the host',
                 )
 
-    def _add_empty_append(self, host, append, place):
-        self.opened[append] = place
+    def _add_empty_append(self, host, append, position):
+        self.opened[append] = position
         updates = {
             ('used', append): True,
             ('flying', append): True,
             ('pending', host, append): True,
-            ('place', append, place): True,
+            ('place', append, position): True,
             ('writer', append, host): True,
         }
         self.state.update(updates)
 
-    def _resolve_pending(self, host, next_place):
+    def _resolve_pending(self, host, next_position):
         """Settle the pending append of a host.
 
         Explanation
@@ -344,13 +344,13 @@
         A host that sends another append for the same position knows that its
         write was not applied, and has not read the object at this position.
         """
-        for append, place in self.opened.items():
+        for append, position in self.opened.items():
             if not self.state.pending(host, append):
                 continue
             if append not in self.applied:
                 self._try_step(f'drop append={append}')
-            append_label = f'host={host} append={append} place={place}'
-            if place != next_place and self._read_back(append_label):
+            append_label = f'host={host} append={append} place={position}'
+            if position != next_position and self._read_back(append_label):
                 continue
             self._require_step(f'abandon host={host} append={append}')
 
@@ -360,13 +360,13 @@
         )
 
     def _apply(self, append):
-        place = self.opened.get(append)
-        if place is None:
+        position = self.opened.get(append)
+        if position is None:
             raise _DeviationError(
                 f'append {append} is applied before it is opened'
             )
-        self._require_step(f'apply append={append} place={place}')
-        for written in self.sizes.places:
+        self._require_step(f'apply append={append} place={position}')
+        for written in self.sizes.positions:
             self._try_step(f'read host={self.observer} place={written}')
 
     def _try_step(self, label, chosen=()):
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -148,7 +148,7 @@
     return Row(
         f'models loaded on {engines:.0f} engines',
         f'{state_reads:.0f} state reads a second',
-        'one lease holder a domain; other hosts have no part in this',
+        'one lease holder a domain; no cost for other hosts',
         state_reads * _value(measured, 'look_cpu_ms'),
         state_reads * _value(measured, 'poll_bytes'),
     )
@@ -167,7 +167,7 @@
 def _reader(size, measured):
     followers = _nodes(size) / size['domains'] - 1
     return Row(
-        f'change numbers sent to {followers:.0f} followers',
+        f'numbers of the changes sent to {followers:.0f} followers',
         f'{1.6 * followers:.0f} answers a second',
         'one reader a domain; it alone calls the store',
         followers * _value(measured, 'follower_cpu_ms_s') / 2,
