--- a/spec/__init__.py
+++ b/spec/__init__.py
@@ -3,7 +3,7 @@
 Explanation
 ===========
 
-``run.py`` checks the whole specification and prints the result. ``trace.py``
+``run.py`` checks the specification and prints the result. ``trace.py``
 checks recorded runs against the transition relation of the claims log.
 ``docs/design/specification.md`` maps each action to the code.
 """
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -109,7 +109,7 @@
     changes = size['changes_day'] / _DAY
     return Row(
         'no additional state',
-        'the whole manifest at each change',
+        'the full manifest at each change',
         'three watching hosts a domain; others get patches',
         0,
         changes * _value(measured, 'manifest_bytes'),
