--- a/features/builders/spec.py
+++ b/features/builders/spec.py
@@ -8,22 +8,22 @@
     return TraceEvent('begin', host=host, request=request, key=key)
 
 
-def open_append(append, host='h1', place=1, claims=(), frees=()):
+def open_append(append, host='h1', position=1, claims=(), frees=()):
     """Return the event of a batch that is sent for the first time."""
     return TraceEvent(
         'open',
         host=host,
         shard='7',
-        place=place,
+        position=position,
         append=append,
         claims=tuple(claims),
         frees=tuple(frees),
     )
 
 
-def apply_append(append, place=1):
+def apply_append(append, position=1):
     """Return the event of a batch that the store applies."""
-    return TraceEvent('apply', shard='7', place=place, append=append)
+    return TraceEvent('apply', shard='7', position=position, append=append)
 
 
 def request_event(action, request, host='h1'):
@@ -51,9 +51,9 @@
         crash('h1'),
         begin('r2', host='h2'),
         begin('other', host='h2', key='k2'),
-        open_append('a2', host='h2', place=2, claims=['other']),
+        open_append('a2', host='h2', position=2, claims=['other']),
         request_event('repeat', 'r2', host='h2'),
-        apply_append('a2', place=2),
+        apply_append('a2', position=2),
         request_event('dispatch', 'other', host='h2'),
     ],
     'a race for a position': [
@@ -63,8 +63,8 @@
         open_append('a2', host='h2', claims=['r2']),
         apply_append('a1'),
         request_event('dispatch', 'r1'),
-        open_append('a3', host='h2', place=2, claims=['r2']),
-        apply_append('a3', place=2),
+        open_append('a3', host='h2', position=2, claims=['r2']),
+        apply_append('a3', position=2),
         request_event('dispatch', 'r2', host='h2'),
     ],
     'a release and a repeat': [
@@ -72,11 +72,11 @@
         open_append('a1', host='h2', claims=['r1']),
         apply_append('a1'),
         request_event('refuse', 'r1'),
-        open_append('a2', place=2, frees=['r1']),
-        apply_append('a2', place=2),
+        open_append('a2', position=2, frees=['r1']),
+        apply_append('a2', position=2),
         begin('r2', host='h3'),
-        open_append('a3', host='h3', place=3, claims=['r2']),
-        apply_append('a3', place=3),
+        open_append('a3', host='h3', position=3, claims=['r2']),
+        apply_append('a3', position=3),
         request_event('dispatch', 'r2', host='h3'),
     ],
     'a call that did not run': [
@@ -94,13 +94,13 @@
         begin('r1'),
         begin('r2', host='h2'),
         open_append('a1', claims=['r1']),
-        open_append('a2', host='h2', place=2, claims=['r2']),
+        open_append('a2', host='h2', position=2, claims=['r2']),
     ],
     'an append in doubt': [
         begin('r1'),
         begin('r2', key='k1'),
         open_append('a1', claims=['r1']),
-        open_append('a2', place=1, claims=['r1', 'r2']),
+        open_append('a2', position=1, claims=['r1', 'r2']),
         apply_append('a1'),
     ],
     'an overwritten object': [
@@ -115,7 +115,7 @@
         *_claim_steps(),
         request_event('dispatch', 'r1'),
         begin('r2', host='h2'),
-        open_append('a2', host='h2', place=2, claims=['r2']),
+        open_append('a2', host='h2', position=2, claims=['r2']),
     ],
     'dispatch after refusal': [
         begin('r1'),
--- a/spec/trace.py
+++ b/spec/trace.py
@@ -41,7 +41,7 @@
         Host that acts; a restarted host keeps its name.
     shard : str
         Shard of the claims log.
-    place : int
+    position : int
         Position in the log, if the action has one.
     append : str
         Unique name of a batch that is sent for a position.
@@ -56,7 +56,7 @@
     action: str
     host: str = ''
     shard: str = ''
-    place: int = 0
+    position: int = 0
     append: str = ''
     request: str = ''
     key: str = ''
@@ -169,7 +169,7 @@
 def _related_appends(opened, requests):
     """Return the appends that concern a key."""
     positions = {
-        (event.shard, event.place)
+        (event.shard, event.position)
         for event in opened
         if requests.intersection(event.claims + event.frees)
     }
@@ -177,7 +177,7 @@
     return {
         event.append
         for event in opened
-        if (event.shard, event.place) in positions
+        if (event.shard, event.position) in positions
     }
 
 
@@ -200,7 +200,7 @@
     )
     requests = _number_names(event.request for event in events)
     appends = _number_names(event.append for event in events)
-    positions = sorted({event.place for event in events if event.append})
+    positions = sorted({event.position for event in events if event.append})
     normalized = []
     for event in events:
         normalized.append(
@@ -209,7 +209,7 @@
                 hosts.get(event.host, -1),
                 requests.get(event.request, -1),
                 appends.get(event.append, -1),
-                positions.index(event.place) if event.append else -1,
+                positions.index(event.position) if event.append else -1,
                 tuple(
                     requests[name] for name in event.claims if name in requests
                 ),
