--- a/features/builders/entryhost.py
+++ b/features/builders/entryhost.py
@@ -8,7 +8,7 @@
 from pollenstile.manifest import manifest_from_text, text_from_manifest
 from pollenstile.ops.http import site_for
 from pollenstile.ops.settings import ENTRY, settings_from
-from pollenstile.standin.fleet import started_anywhere
+from pollenstile.standin.fleet import start_on_free_ports
 from pollenstile.upstream import http_transport
 
 _LOCAL = '127.0.0.1'
@@ -23,7 +23,7 @@
     def __init__(self, path):
         with open(path, encoding='utf-8') as source:
             manifest = manifest_from_text(source.read())
-        started = started_anywhere(reactor, manifest, _TIME_SCALE)
+        started = start_on_free_ports(reactor, manifest, _TIME_SCALE)
         self.standins = started[0]
         self.manifest = started[1]
         environment = {
--- a/features/builders/limits.py
+++ b/features/builders/limits.py
@@ -23,7 +23,7 @@
 from pollenstile.standin.virtual import (
     Times,
     VirtualUpstream,
-    calm_network,
+    healthy_network,
 )
 
 WORK_SECONDS = 0.1
@@ -100,7 +100,7 @@
                 SLOTS,
                 Times(self._work, float),
             )
-        network = calm_network(self.clock, self.upstreams)
+        network = healthy_network(self.clock, self.upstreams)
         self.nodes = []
         for number in range(hosts):
             node = self._node(f'h{number}', network)
--- a/features/builders/placement.py
+++ b/features/builders/placement.py
@@ -37,7 +37,7 @@
 from pollenstile.standin.virtual import (
     Times,
     VirtualUpstream,
-    calm_network,
+    healthy_network,
 )
 from pollenstile.standin.weightstore import MemoryWeights
 
@@ -309,7 +309,7 @@
         times = Times(lambda: 0.05, lambda: 0.01)
         slots = upstream.slots
         engines[name] = VirtualUpstream(clock, name, 'engine', slots, times)
-    network = calm_network(clock, engines)
+    network = healthy_network(clock, engines)
     environment = {'POLLENSTILE_HOST': 'a', 'POLLENSTILE_DOMAIN': DOMAIN}
     node = build_node(
         clock,
--- a/features/builders/requests_http.py
+++ b/features/builders/requests_http.py
@@ -7,7 +7,7 @@
 from twisted.web.resource import Resource
 from twisted.web.server import Site
 
-from features.builders.loop import kept_result, turned_until
+from features.builders.loop import collect_result, run_reactor_until
 from features.builders.requests import (
     TEAM,
     TOKENS,
@@ -159,7 +159,7 @@
     def call_and_wait(self, **options):
         """Make a call; return its attempt and its last event."""
         made = self.call(**options)
-        turned_until(lambda: made.events)
+        run_reactor_until(lambda: made.events)
         self.ends.append((made.attempt, made.events[-1]))
         return self.ends[-1]
 
@@ -195,10 +195,10 @@
         node.core.clock.seconds() + 1.0,
     )
     sent = SentRequest(request)
-    sent.outcomes = kept_result(
+    sent.outcomes = collect_result(
         run_request(node.core, request, sent.tokens.append),
     )
-    turned_until(lambda: sent.outcomes)
+    run_reactor_until(lambda: sent.outcomes)
     return sent
 
 
--- a/pollenstile/bench/fleetworld.py
+++ b/pollenstile/bench/fleetworld.py
@@ -32,7 +32,7 @@
 from pollenstile.standin.clock import VirtualClock
 from pollenstile.standin.hostlist import MemoryHosts
 from pollenstile.standin.objectapi import MemoryStore
-from pollenstile.standin.reach import ReachedStore
+from pollenstile.standin.partition import PartitionedStore
 from pollenstile.upstream import Load
 
 STORE_LATENCY = 0.004
@@ -299,7 +299,7 @@
         )
 
     def _store(self, host, random, log):
-        store = ReachedStore(
+        store = PartitionedStore(
             self.store,
             lambda: host.domain in self.cut_platform,
         )
--- a/pollenstile/bench/floor.py
+++ b/pollenstile/bench/floor.py
@@ -155,7 +155,7 @@
 
 def _upstreams(reactor):
     """Return addresses of a stage's server and of an engine."""
-    plain = PlainServer(reactor, 'p1', work=0, most=_SLOTS)
+    plain = PlainServer(reactor, 'p1', work=0, max_running=_SLOTS)
     engine = Engine(reactor, 'e1', 0, 0, _SLOTS)
     return (
         _listening(reactor, _site(PlainResource(plain), reactor)),
--- a/pollenstile/soak/_hosts.py
+++ b/pollenstile/soak/_hosts.py
@@ -10,7 +10,7 @@
 from pollenstile.soak._gates import GatedHub, GatedStore, gated_connect
 from pollenstile.soak._process import Process
 from pollenstile.soak._wire import Wire
-from pollenstile.standin.reach import ReachedStore
+from pollenstile.standin.partition import PartitionedStore
 from pollenstile.standin.virtual import UP
 from pollenstile.upstream import Chunk, Reply
 
@@ -162,7 +162,7 @@
                 gate.wire.close()
 
     def _store(self):
-        reached = ReachedStore(
+        reached = PartitionedStore(
             self.world.store,
             lambda: self.name in self.world.links.no_platform,
         )
