--- a/spec/claims_state.py
+++ b/spec/claims_state.py
@@ -1,45 +1,48 @@
-"""The state of the claims' specification; see :mod:`spec.claims`."""
+"""State variables of the claims log model and values derived from them.
+
+See :mod:`spec.claims` for the meaning of the variables.
+"""
 
 import itertools
 
-from spec.logic import any_of, chosen, conj, disj, neg
+from spec.logic import any_of, conj, disj, if_then_else, neg
 from spec.model import BOOL
 
-# Where a claim or a release waits at a host.
+# Variables of claims and releases in the memory of a host.
 WAITING = ('queued', 'batched', 'letgo')
 
 
 class Sizes:
-    """How much of everything there is.
+    """Numbers of hosts, positions, appends and requests of a model.
 
     Parameters
     ==========
 
-    hosts, places, appends : int
-        Hosts, positions of the log, and appends in all.
+    hosts, positions, appends : int
+        Number of hosts, of positions in the log, and of appends.
     requests : list of tuple
-        Owner and key of each.
+        Owner and key of each request.
     """
 
-    __slots__ = ('appends', 'hosts', 'places', 'requests', 'wanted')
+    __slots__ = ('appends', 'hosts', 'owners_and_keys', 'positions', 'requests')
 
-    def __init__(self, hosts, places, appends, requests):
+    def __init__(self, hosts, positions, appends, requests):
         self.hosts = range(hosts)
-        self.places = range(places)
+        self.positions = range(positions)
         self.appends = range(appends)
         self.requests = range(len(requests))
-        self.wanted = requests
+        self.owners_and_keys = requests
 
     def owner(self, request):
-        """Return the host that would run a request."""
-        return self.wanted[request][0]
+        """Return the owner of a request, the host that would run it."""
+        return self.owners_and_keys[request][0]
 
     def key(self, request):
-        """Return a request's key."""
-        return self.wanted[request][1]
+        """Return the key of a request."""
+        return self.owners_and_keys[request][1]
 
-    def rivals(self, request):
-        """Return the other requests with a request's key."""
+    def same_key_requests(self, request):
+        """Return the other requests with the same key."""
         return [
             other
             for other in self.requests
@@ -47,22 +50,26 @@
         ]
 
 
-def keyed_pairs(sizes):
+def same_key_pairs(sizes):
     """Return the ordered pairs of requests with the same key."""
-    return [(one, two) for one in sizes.requests for two in sizes.rivals(one)]
+    return [
+        (one, two)
+        for one in sizes.requests
+        for two in sizes.same_key_requests(one)
+    ]
 
 
 def variables(sizes):
     """Return the sort of each variable."""
     shapes = {
-        'at': (sizes.places, sizes.appends),
+        'at': (sizes.positions, sizes.appends),
         'used': (sizes.appends,),
-        'place': (sizes.appends, sizes.places),
+        'place': (sizes.appends, sizes.positions),
         'writer': (sizes.appends, sizes.hosts),
         'claims': (sizes.appends, sizes.requests),
         'frees': (sizes.appends, sizes.requests),
         'flying': (sizes.appends,),
-        'known': (sizes.hosts, sizes.places),
+        'known': (sizes.hosts, sizes.positions),
         'pending': (sizes.hosts, sizes.appends),
         **dict.fromkeys(WAITING, (sizes.hosts, sizes.requests)),
         'begun': (sizes.requests,),
@@ -72,65 +79,71 @@
         'told': (sizes.requests,),
     }
     return {
-        (name, *place): BOOL
+        (name, *indices): BOOL
         for name, ranges in shapes.items()
-        for place in itertools.product(*ranges)
+        for indices in itertools.product(*ranges)
     }
 
 
 def choices(sizes):
-    """Return the sorts of what each step chooses.
+    """Return the sorts of the free variables of each step.
 
     Explanation
     ===========
 
-    Whether releases are written where they need not be, and which queued
-    claims and releases go into a batch.
+    ``releases`` decides whether a release is written that is not required;
+    ``takes`` and ``yields`` decide which queued claims and releases go into a
+    batch.
     """
-    chosen = {'releases': BOOL}
+    sorts = {'releases': BOOL}
     for request in sizes.requests:
-        chosen['takes', request] = BOOL
-        chosen['yields', request] = BOOL
-    return chosen
+        sorts['takes', request] = BOOL
+        sorts['yields', request] = BOOL
+    return sorts
 
 
-def written(state, sizes, place):
+def is_written(state, sizes, position):
     """Return whether a position is written."""
-    return any_of(state.at(place, append) for append in sizes.appends)
+    return any_of(state.at(position, append) for append in sizes.appends)
 
 
-def _stands(state, sizes, place, listed, request):
+def _is_recorded(state, sizes, position, listed, request):
     return any_of(
-        conj(state.at(place, append), listed(append, request))
+        conj(state.at(position, append), listed(append, request))
         for append in sizes.appends
     )
 
 
-def _folded(state, sizes, before, place):
-    """Return who holds each key after a position, from who held it before.
+def _holders_after(state, sizes, before, position):
+    """Return the requests that hold their keys after a position.
 
     Explanation
     ===========
 
-    Releases count before claims. Of two claims of a key in one object the
-    lower-numbered request's counts, which stands for any order.
+    Releases are applied before claims. Of two claims of a key in one object,
+    the claim of the lower-numbered request wins, which represents any order.
     """
-    kept = {}
+    still_held = {}
     claimed = {}
     for request in sizes.requests:
-        freed = _stands(state, sizes, place, state.frees, request)
-        kept[request] = conj(before[request], neg(freed))
-        claimed[request] = _stands(state, sizes, place, state.claims, request)
+        released = _is_recorded(state, sizes, position, state.frees, request)
+        still_held[request] = conj(before[request], neg(released))
+        claimed[request] = _is_recorded(
+            state, sizes, position, state.claims, request
+        )
     return {
         request: disj(
-            kept[request],
+            still_held[request],
             conj(
                 claimed[request],
-                *(neg(kept[rival]) for rival in sizes.rivals(request)),
                 *(
-                    neg(claimed[rival])
-                    for rival in sizes.rivals(request)
-                    if rival < request
+                    neg(still_held[other])
+                    for other in sizes.same_key_requests(request)
+                ),
+                *(
+                    neg(claimed[other])
+                    for other in sizes.same_key_requests(request)
+                    if other < request
                 ),
             ),
         )
@@ -139,23 +152,23 @@
 
 
 def holders(state, sizes, host=None):
-    """Return which requests hold their keys, by all that a host has read.
+    """Return the requests that hold their keys in the prefix a host has read.
 
     Parameters
     ==========
 
     host : int or None
-        None for the whole log.
+        Host whose read positions count; None for the full log.
     """
     found = dict.fromkeys(sizes.requests, False)
-    for place in sizes.places:
-        after = _folded(state, sizes, found, place)
+    for position in sizes.positions:
+        after = _holders_after(state, sizes, found, position)
         if host is None:
             found = after
             continue
-        read = state.known(host, place)
+        read = state.known(host, position)
         found = {
-            request: chosen(read, after[request], found[request])
+            request: if_then_else(read, after[request], found[request])
             for request in sizes.requests
         }
     return found
@@ -166,7 +179,7 @@
     return holders(state, sizes, host)[request]
 
 
-def is_next(state, host, place):
-    """Return whether a position is the first that a host has not read."""
-    earlier = [state.known(host, other) for other in range(place)]
-    return conj(*earlier, neg(state.known(host, place)))
+def is_next(state, host, position):
+    """Return whether a position is the first one that a host has not read."""
+    earlier = [state.known(host, other) for other in range(position)]
+    return conj(*earlier, neg(state.known(host, position)))
--- a/spec/claims_steps.py
+++ b/spec/claims_steps.py
@@ -1,4 +1,4 @@
-"""The steps of the claims' specification; see :mod:`spec.claims`."""
+"""Actions of the claims log model; see :mod:`spec.claims`."""
 
 import itertools
 
@@ -7,13 +7,13 @@
     holders,
     holds_at,
     is_next,
-    written,
+    is_written,
 )
 from spec.logic import all_of, any_of, conj, disj, neg
 from spec.model import Action
 
 
-def _is_settled(state, sizes, host):
+def _has_no_pending_append(state, sizes, host):
     return all_of(
         [neg(state.pending(host, append)) for append in sizes.appends]
     )
@@ -32,7 +32,7 @@
 
 
 def _forward(host, request):
-    """Return the arrival of a forwarded claim, maybe late or again."""
+    """Return the action: a forwarded claim arrives, maybe late or repeated."""
     return Action(
         f'forward request={request} host={host}',
         lambda state: conj(
@@ -43,7 +43,7 @@
     )
 
 
-def _withdrawn(host, request):
+def _withdraw_claim(host, request):
     return {
         ('queued', host, request): False,
         ('batched', host, request): False,
@@ -51,7 +51,7 @@
 
 
 def _refuse(sizes, request, without):
-    """Return the refusal of a request that was not dispatched."""
+    """Return the action: an owner refuses a request it has not dispatched."""
     owner = sizes.owner(request)
 
     def updates(state):
@@ -60,7 +60,7 @@
         return {
             ('told', request): True,
             ('live', request): False,
-            **_withdrawn(owner, request),
+            **_withdraw_claim(owner, request),
             ('letgo', owner, request): disj(
                 state.batched(owner, request),
                 state.releases(),
@@ -75,9 +75,9 @@
 
 
 def _repeat(sizes, request):
-    """Return the truthful end of a request whose key another one holds.
+    """Return the action: a request ends since another holds its key.
 
-    Its owner has read so, or was told by a host that has.
+    The owner, or a host that reports to the owner, has read this in the log.
     """
     owner = sizes.owner(request)
     return Action(
@@ -85,20 +85,20 @@
         lambda state: conj(
             state.live(request),
             any_of(
-                holds_at(state, sizes, host, rival)
-                for rival in sizes.rivals(request)
+                holds_at(state, sizes, host, other)
+                for other in sizes.same_key_requests(request)
                 for host in sizes.hosts
             ),
         ),
         lambda state: {
             ('live', request): False,
-            **_withdrawn(owner, request),
+            **_withdraw_claim(owner, request),
         },
     )
 
 
 def _find(sizes, host, request):
-    """Return the word of a host that a request holds its key."""
+    """Return the action: a host reports that a request holds its key."""
     return Action(
         f'find host={host} request={request}',
         lambda state: holds_at(state, sizes, host, request),
@@ -120,9 +120,9 @@
     )
 
 
-def _goes(state, sizes, host, known, request):
-    """Return whether a queued claim goes into the batch that is opened."""
-    same_key = [request, *sizes.rivals(request)]
+def _is_claim_selected(state, sizes, host, known, request):
+    """Return whether a queued claim goes into the new batch."""
+    same_key = [request, *sizes.same_key_requests(request)]
     return conj(
         state.takes(request),
         state.queued(host, request),
@@ -130,25 +130,25 @@
     )
 
 
-def _yields(state, host, request):
+def _is_release_selected(state, host, request):
     return conj(state.yields(request), state.letgo(host, request))
 
 
-def _open(sizes, host, append, place, without):
+def _open(sizes, host, append, position, without):
     def guard(state):
         known = holders(state, sizes, host)
-        fits = is_next(state, host, place)
+        fits = is_next(state, host, position)
         if without == 'append-after-known-prefix':
-            fits = neg(state.known(host, place))
+            fits = neg(state.known(host, position))
         return conj(
             fits,
             neg(state.used(append)),
             *(state.used(other) for other in range(append)),
-            _is_settled(state, sizes, host),
+            _has_no_pending_append(state, sizes, host),
             any_of(
                 disj(
-                    _yields(state, host, request),
-                    _goes(state, sizes, host, known, request),
+                    _is_release_selected(state, host, request),
+                    _is_claim_selected(state, sizes, host, known, request),
                 )
                 for request in sizes.requests
             ),
@@ -159,43 +159,43 @@
             ('used', append): True,
             ('flying', append): True,
             ('pending', host, append): True,
-            ('place', append, place): True,
+            ('place', append, position): True,
             ('writer', append, host): True,
         }
         known = holders(state, sizes, host)
         for request in sizes.requests:
-            goes = _goes(state, sizes, host, known, request)
-            stays = conj(state.queued(host, request), neg(goes))
-            changed['claims', append, request] = goes
-            freed = _yields(state, host, request)
-            left = conj(state.letgo(host, request), neg(freed))
-            changed['frees', append, request] = freed
-            changed['batched', host, request] = goes
-            changed['queued', host, request] = stays
-            changed['letgo', host, request] = left
+            selected = _is_claim_selected(state, sizes, host, known, request)
+            still_queued = conj(state.queued(host, request), neg(selected))
+            changed['claims', append, request] = selected
+            released = _is_release_selected(state, host, request)
+            still_waiting = conj(state.letgo(host, request), neg(released))
+            changed['frees', append, request] = released
+            changed['batched', host, request] = selected
+            changed['queued', host, request] = still_queued
+            changed['letgo', host, request] = still_waiting
         return changed
 
     return Action(
-        f'open host={host} append={append} place={place}',
+        f'open host={host} append={append} place={position}',
         guard,
         updates,
     )
 
 
-def _apply(sizes, append, place, without):
+def _apply(sizes, append, position, without):
     def guard(state):
-        flies = conj(state.flying(append), state.place(append, place))
+        is_in_flight = conj(state.flying(append), state.place(append, position))
         if without == 'create-if-absent':
-            return flies
-        return conj(flies, neg(written(state, sizes, place)))
+            return is_in_flight
+        return conj(is_in_flight, neg(is_written(state, sizes, position)))
 
     def updates(state):
-        changed = {('at', place, other): False for other in sizes.appends}
-        changed['at', place, append] = True
+        changed = {('at', position, other): False for other in sizes.appends}
+        changed['at', position, append] = True
         changed['flying', append] = False
         return changed
 
-    return Action(f'apply append={append} place={place}', guard, updates)
+    return Action(f'apply append={append} place={position}', guard, updates)
 
 
 def _drop(append):
@@ -206,30 +206,30 @@
     )
 
 
-def _read(sizes, host, place):
+def _read(sizes, host, position):
     return Action(
-        f'read host={host} place={place}',
+        f'read host={host} place={position}',
         lambda state: conj(
-            is_next(state, host, place),
-            written(state, sizes, place),
-            _is_settled(state, sizes, host),
+            is_next(state, host, position),
+            is_written(state, sizes, position),
+            _has_no_pending_append(state, sizes, host),
         ),
-        lambda state: {('known', host, place): True},
+        lambda state: {('known', host, position): True},
     )
 
 
-def _settle(sizes, host, append, place, without):
-    """Return the answer of success, or a read-back that finds the mark."""
+def _settle(sizes, host, append, position, without):
+    """Return the action: an answer or a read-back confirms an append."""
 
     def updates(state):
         changed = {
             ('pending', host, append): False,
-            ('known', host, place): True,
+            ('known', host, position): True,
         }
         for request in sizes.requests:
             batched = state.batched(host, request)
             changed['batched', host, request] = False
-            # A host may write its releases again, though they stand.
+            # A host may write its releases again although they are in the log.
             again = conj(state.releases(), state.frees(append, request))
             released = disj(state.letgo(host, request), again)
             changed['letgo', host, request] = released
@@ -239,18 +239,18 @@
         return changed
 
     return Action(
-        f'settle host={host} append={append} place={place}',
+        f'settle host={host} append={append} place={position}',
         lambda state: conj(
             state.pending(host, append),
-            state.place(append, place),
-            state.at(place, append),
+            state.place(append, position),
+            state.at(position, append),
         ),
         updates,
     )
 
 
-def _returned(state, sizes, host, append):
-    """Return the updates that put a batch back into its host's queue."""
+def _requeue_batch(state, sizes, host, append):
+    """Return the updates that put a batch back into the queue of its host."""
     changed = {('pending', host, append): False}
     for request in sizes.requests:
         changed['queued', host, request] = disj(
@@ -265,45 +265,45 @@
     return changed
 
 
-def _supersede(sizes, host, append, place):
-    """Return the finding that another append stands at the position."""
+def _supersede(sizes, host, append, position):
+    """Return the action: a host reads another append at its position."""
     return Action(
-        f'supersede host={host} append={append} place={place}',
+        f'supersede host={host} append={append} place={position}',
         lambda state: conj(
             state.pending(host, append),
-            state.place(append, place),
-            written(state, sizes, place),
-            neg(state.at(place, append)),
+            state.place(append, position),
+            is_written(state, sizes, position),
+            neg(state.at(position, append)),
         ),
         lambda state: {
-            **_returned(state, sizes, host, append),
-            ('known', host, place): True,
+            **_requeue_batch(state, sizes, host, append),
+            ('known', host, position): True,
         },
     )
 
 
 def _abandon(sizes, host, append):
-    """Return the end of an append that surely was and will not be applied."""
+    """Return the action: a host gives up an append that can't be applied."""
     return Action(
         f'abandon host={host} append={append}',
         lambda state: conj(
             state.pending(host, append),
             neg(state.flying(append)),
-            *(neg(state.at(place, append)) for place in sizes.places),
+            *(neg(state.at(position, append)) for position in sizes.positions),
         ),
-        lambda state: _returned(state, sizes, host, append),
+        lambda state: _requeue_batch(state, sizes, host, append),
     )
 
 
 def _crash(sizes, host):
     def updates(state):
-        gone = [('known', host, place) for place in sizes.places]
-        gone.extend(('pending', host, append) for append in sizes.appends)
+        cleared = [('known', host, position) for position in sizes.positions]
+        cleared.extend(('pending', host, append) for append in sizes.appends)
         for request in sizes.requests:
-            gone.extend((name, host, request) for name in WAITING)
+            cleared.extend((name, host, request) for name in WAITING)
             if sizes.owner(request) == host:
-                gone.append(('live', request))
-        return dict.fromkeys(gone, False)
+                cleared.append(('live', request))
+        return dict.fromkeys(cleared, False)
 
     return Action(
         f'crash host={host}',
@@ -313,7 +313,7 @@
 
 
 def _wrong_release(host, request, without):
-    """Return a release that one of the guards rules out."""
+    """Return the action: a release that the omitted guard would prevent."""
 
     def guard(state):
         if without == 'release-only-what-has-not-run':
@@ -350,24 +350,26 @@
 
 
 def all_actions(sizes, without):
-    """Return every step, without one of the guards."""
+    """Return all actions, optionally without one of the guards."""
     actions = [_drop(append) for append in sizes.appends]
     for request in sizes.requests:
         actions.extend(_request_actions(sizes, request, without))
-    for append, place in itertools.product(sizes.appends, sizes.places):
-        actions.append(_apply(sizes, append, place, without))
+    for append, position in itertools.product(sizes.appends, sizes.positions):
+        actions.append(_apply(sizes, append, position, without))
     for host in sizes.hosts:
         actions.append(_crash(sizes, host))
-        actions.extend(_read(sizes, host, place) for place in sizes.places)
+        actions.extend(
+            _read(sizes, host, position) for position in sizes.positions
+        )
         actions.extend(
             _abandon(sizes, host, append) for append in sizes.appends
         )
-    for host, append, place in itertools.product(
+    for host, append, position in itertools.product(
         sizes.hosts,
         sizes.appends,
-        sizes.places,
+        sizes.positions,
     ):
-        actions.append(_open(sizes, host, append, place, without))
-        actions.append(_settle(sizes, host, append, place, without))
-        actions.append(_supersede(sizes, host, append, place))
+        actions.append(_open(sizes, host, append, position, without))
+        actions.append(_settle(sizes, host, append, position, without))
+        actions.append(_supersede(sizes, host, append, position))
     return actions
