--- a/pollenstile/forward/_admission.py
+++ b/pollenstile/forward/_admission.py
@@ -5,7 +5,7 @@
 from pollenstile.forward._types import Refusal
 from pollenstile.routes import Route, Team, pick_service, route_of, team_of
 
-# The step that refusals of this module name.
+# Step that is named in refusals of this module.
 _STEP = 'entry'
 _UNAUTHORIZED = 401
 _NOT_FOUND = 404
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Admission:
-    """The route and the team of an admitted request.
+    """The route and the calling team of an admitted request.
 
     Parameters
     ==========
@@ -53,7 +53,7 @@
 
 
 def _match_table(table, query):
-    """Admit or refuse a request by a route table, regardless of its age."""
+    """Admit or refuse a request by a route table of any age."""
     route = route_of(table, query.host, query.path)
     if route is None:
         return Refusal(_NOT_FOUND, 'no such route', _STEP)
--- a/pollenstile/forward/_attempt.py
+++ b/pollenstile/forward/_attempt.py
@@ -25,7 +25,7 @@
 # Answers up to this size are buffered until they are complete, so that the
 # request can be retried after an incomplete one. Larger ones are streamed.
 _MAX_BUFFERED_BYTES = 65536
-# Engines take urgencies from 0 to 9; the most urgent request is sent with 3.
+# Engines accept urgencies from 0 to 9; the most urgent request is sent with 3.
 _TOP_ENGINE_URGENCY = 3
 _LOWEST_ENGINE_URGENCY = 9
 
@@ -94,7 +94,7 @@
     first_at : float
         Time on the clock at which the first bytes of a stream arrived.
     longest_pause : float
-        Seconds of the longest silence after them.
+        Seconds of the longest silence after the first bytes.
     """
 
     __slots__ = (
@@ -141,7 +141,7 @@
         return self.core.clock.seconds() - began
 
     async def outcome(self, silence_limits, last_event):
-        """Return ``Delivered``, ``UpstreamFailure``, ``NotRun`` or ``Lost``.
+        """Send the request to the upstream; return how the attempt ended.
 
         Parameters
         ==========
@@ -151,6 +151,11 @@
         last_event : str
             Event after which a stream continues; empty to start at the
             beginning.
+
+        Returns
+        =======
+
+        Delivered, UpstreamFailure, NotRun or Lost
         """
         tokens = sum(size for _, size in self.exchange.prompt)
         self.view.in_flight += 1
--- a/pollenstile/forward/_client.py
+++ b/pollenstile/forward/_client.py
@@ -152,10 +152,10 @@
     def attach(self, protocol):
         """Send the request once the protocol is connected."""
         self.protocol = protocol
-        made = protocol.connectionMade
+        connection_made = protocol.connectionMade
 
         def connected():
-            made()
+            connection_made()
             protocol.transport.setTcpNoDelay(True)
             if self.cancelled:
                 protocol.transport.abortConnection()
@@ -258,11 +258,13 @@
         body : bytes
             Empty for a request without a body.
         """
-        lines = Headers()
+        raw_headers = Headers()
         for name, content in headers:
-            lines.addRawHeader(name, content)
+            raw_headers.addRawHeader(name, content)
         producer = BytesProducer(body) if body else None
-        request = Request(method, target, lines, producer, persistent=False)
+        request = Request(
+            method, target, raw_headers, producer, persistent=False
+        )
         call = Call(request, address)
         host, _, port = address.rpartition(':')
         connector = self.reactor.connectTCP(
--- a/pollenstile/forward/_cold.py
+++ b/pollenstile/forward/_cold.py
@@ -5,7 +5,7 @@
 
 An upstream that has just started, or became cold later, accepts a limited
 number of requests a second and crashes well above it. All hosts together must
-respect this limit, also hosts that are partitioned from each other, and a
+respect this limit, including hosts that are partitioned from each other, and a
 round trip for each request would be too slow. So each upstream's rate is
 divided among the hosts of its domain by rendezvous hashing: hosts with the same
 list of hosts compute the same shares. Hosts with different lists may claim the
@@ -36,6 +36,8 @@
     peers : dict
         Failure domain of each other host by name; None while unknown, so that
         a host without the list does not use the full rate alone.
+    shares : dict
+        Computed shares, by identifier and rate of the upstream.
     """
 
     __slots__ = ('domain', 'host', 'peers', 'shares')
@@ -100,7 +102,7 @@
             return ()
         domains = {**self.peers, self.host: self.domain}
         same_domain = [
-            host for host, one in domains.items() if one == view.domain
+            host for host, domain in domains.items() if domain == view.domain
         ]
         return same_domain or list(domains)
 
@@ -140,8 +142,8 @@
     """
     sharers = max(1, min(len(hosts), int(rate)))
 
-    def weight(one):
-        return rendezvous_weight(upstream, one)
+    def weight(sharer):
+        return rendezvous_weight(upstream, sharer)
 
     selected = sorted(hosts, key=weight)[:sharers]
     if host not in selected:
--- a/pollenstile/forward/_configloop.py
+++ b/pollenstile/forward/_configloop.py
@@ -13,17 +13,19 @@
 # Time between reads. A change must be in force within 2 s of its write; this
 # period leaves time for one failed read and for the transfer of the answer.
 _READ_PERIOD_SECONDS = 1.2
-# The period while other hosts follow this one. An update is accepted for 1.2 s
-# after the read was sent, including the latency of a slow store and the jitter.
+# The period while other hosts follow this one. They accept an update for 1.2 s
+# after its read was sent, and this time includes the answer of a slow store and
+# the jitter.
 _FOLLOWED_PERIOD_SECONDS = 0.8
-# Time for which the store may hold a read while nothing has changed. It need
-# not hold the read, as an answer without changes is a verification at any time.
+# Time for which the store may hold a read while nothing has changed. The store
+# need not hold it, as an answer without changes is a verification at any time.
 _MIN_HOLD_SECONDS = 0.001
 # The hold for a large configuration, whose reads follow one another without a
 # pause. The store answers each change at once, so rapid changes arrive one by
 # one. Otherwise 25 versions of 350 kB in 1.5 s would arrive in one answer of
 # nine megabytes.
 _LARGE_HOLD_SECONDS = 0.9
+# The hold for a large configuration while other hosts follow this one.
 _FOLLOWED_HOLD_SECONDS = 0.4
 # Length of the encoded text above which a configuration counts as large.
 _LARGE_TEXT_CHARACTERS = 64_000
@@ -37,7 +39,7 @@
 # transfer of 350 kB takes 0.6 s on a 5 Mbit/s link.
 _FULL_READ_SECONDS = 1.2
 # Time between checks whether a host that follows a reader must read itself.
-_COVERED_CHECK_SECONDS = 0.1
+_SKIPPED_READ_CHECK_SECONDS = 0.1
 # Time beyond the hold within which a healthy store answers a read. A slow
 # store takes 0.24 s.
 _ANSWER_SECONDS = 0.2
@@ -144,9 +146,9 @@
         Explanation
         ===========
 
-        A read in flight when the store becomes unresponsive times out late.
-        Other reads are sent meanwhile, and the first answered one detects that
-        the store is available again.
+        A read that is in flight when the store becomes unresponsive times out
+        late. Other reads are sent meanwhile, so that the first answer shows
+        that the store is available again.
         """
         while self.running:
             if self.can_skip_reads():
@@ -169,7 +171,9 @@
         """Return a Deferred that fires when a read may be needed again."""
         self.next_check = Deferred()
         return self.next_check.addTimeout(
-            _COVERED_CHECK_SECONDS, self.clock, onTimeoutCancel=_ignore_timeout
+            _SKIPPED_READ_CHECK_SECONDS,
+            self.clock,
+            onTimeoutCancel=_ignore_timeout,
         )
 
     def is_failing(self):
@@ -234,8 +238,8 @@
         if self.reads_in_flight >= _MAX_READS_IN_FLIGHT:
             return False
         if self.reads_in_flight and self.is_answering():
-            # A large answer is being received over a saturated link. A second
-            # one would double the traffic on this link.
+            # The store is not silent: a large answer is being received over a
+            # saturated link. A second answer would double the traffic there.
             return False
         is_recent = (
             self.configuration.suspend_clock() - self.full_read_at
@@ -247,8 +251,8 @@
         configuration = self.configuration
         if configuration.known_revision is None or configuration.in_storm:
             return True
-        # On a link where a full read takes seconds, its result is as old as
-        # that when it arrives.
+        # On a slow link, the result of a full read is already as old as the
+        # read took, which may be seconds. This part of the gap does not count.
         gap = configuration.suspend_clock() - configuration.known_at
         return gap - self.full_read_seconds > _LONG_GAP_SECONDS
 
--- a/pollenstile/forward/_configuration.py
+++ b/pollenstile/forward/_configuration.py
@@ -8,7 +8,7 @@
 
 # Share of the revocation bound for which a verification is valid. The rest
 # allows for the time between the sending of a request and its handling here.
-_PROOF_SHARE = 0.9
+_VERIFIED_SHARE = 0.9
 # Share of the bound after which callers should be sent to other hosts. By then
 # two reads have failed, and the load balancer takes two seconds to react.
 _FRESH_SHARE = 0.45
@@ -25,7 +25,7 @@
 
     A revoked key must stop working within a bound on every host, including
     hosts that are partitioned from the store. Requests with a key are therefore
-    accepted only while the table was verified recently to be the newest. An
+    accepted only if the table was recently verified to be the newest. An
     answered linearizable read verifies the table as of the moment before the
     read was sent; it may be a full read or a read of the changes after a
     revision. An unanswered watch verifies nothing.
@@ -123,7 +123,7 @@
 
     def is_verified(self):
         """Return whether keys may be trusted now."""
-        return self.age() < _PROOF_SHARE * self.revoke_seconds
+        return self.age() < _VERIFIED_SHARE * self.revoke_seconds
 
     def is_fresh(self):
         """Return whether keys may also be trusted for the next seconds.
@@ -154,11 +154,11 @@
         return is_unreachable or self.age() < self.apply_seconds
 
     def age(self):
-        """Return the seconds since the table was last known to be newest."""
+        """Return the seconds since the last verification of the table."""
         return self.suspend_clock() - self.verified_at
 
     def age_ms(self):
-        """Return the age in full milliseconds, as written to log lines."""
+        """Return the age in whole milliseconds, as written to log lines."""
         return int(self.age() * _MS)
 
     def apply_read(self, read, began, *, is_full):
@@ -180,7 +180,8 @@
         if read.found is not None:
             self.apply(read.found, began)
         elif read.changed:
-            # Deleted: the table in force here is not the newest any more.
+            # The configuration was deleted, so the table in force here is not
+            # the newest any more.
             self.newest_revision = max(self.newest_revision, read.revision)
         elif self.newest_revision == self.revision:
             self.verified_at = max(self.verified_at, began)
@@ -220,7 +221,7 @@
         Parameters
         ==========
 
-        update : Word
+        update : RelayUpdate
             Contains the configuration if it is newer than the one here.
         began : float
             Time on the suspend clock before the reader was asked.
@@ -248,9 +249,9 @@
         Explanation
         ===========
 
-        0 when a configuration newer than the one in force is known and could
-        not be decoded. A later answer without changes would otherwise verify
-        the old configuration.
+        The result is 0 while a configuration newer than the one in force is
+        known that could not be decoded. A later answer without changes would
+        otherwise verify the old configuration.
         """
         return (
             self.known_revision
--- a/pollenstile/forward/_core.py
+++ b/pollenstile/forward/_core.py
@@ -11,7 +11,7 @@
 
 
 def _empty_shares():
-    """Return the shares of a host that does not know the other hosts: none."""
+    """Return shares that are empty, as no other hosts are known."""
     return ColdShares('', '')
 
 
--- a/pollenstile/forward/_crash_evidence.py
+++ b/pollenstile/forward/_crash_evidence.py
@@ -16,8 +16,8 @@
     Explanation
     ===========
 
-    The same request has run before, so the answer is neither 429 nor 503 and
-    has no retry advice: either would have the caller send it again.
+    The same request has run before. Status 429 or 503, or advice on when to
+    retry, would make its caller send it again, so the refusal has neither.
     """
     if not core.quarantine.is_held(exchange.fingerprint):
         return None
@@ -25,14 +25,15 @@
 
 
 def record_outcome(core, exchange, attempt, outcome):
-    """Record an attempt's outcome; return a Deferred that precedes a retry.
+    """Record an attempt's outcome; return a Deferred that a retry awaits.
 
     Returns
     =======
 
     Deferred
-        Fires at once for most requests. A request that already was in flight
-        at another crashed upstream waits for the crash check of this one.
+        Fires at once for most requests. For a request that was in flight at
+        another upstream when that crashed, it fires after this upstream was
+        checked for a crash.
     """
     quarantine = core.quarantine
     fingerprint = exchange.fingerprint
--- a/pollenstile/forward/_crashes.py
+++ b/pollenstile/forward/_crashes.py
@@ -173,7 +173,9 @@
             self.ended.pop(next(iter(self.ended)))
 
     def _report(self, upstream, suspects):
-        identified = tuple(one for one in suspects if one.fingerprint)
+        identified = tuple(
+            suspect for suspect in suspects if suspect.fingerprint
+        )
         self.log(
             events.UPSTREAM_CRASHED,
             level='warning',
--- a/pollenstile/forward/_daemon.py
+++ b/pollenstile/forward/_daemon.py
@@ -29,11 +29,12 @@
 _IDLE_CHECK_SECONDS = 0.05
 # Time between checks whether another host now owns a queue of this one.
 _REVIEW_PERIOD_SECONDS = 0.25
-# Time for connections to send their buffered data.
+# Time for connections to send their buffered data before the host stops.
 _FLUSH_SECONDS = 0.3
 # Time between checks whether a starting host has the state it needs to join.
 _JOIN_CHECK_SECONDS = 0.05
-# Length of the queue of connections to accept; a burst must not overflow it.
+# Number of connections that may wait to be accepted; a burst of connections
+# must not exceed it.
 _BACKLOG = 512
 _NOT_READY = 503
 
@@ -334,6 +335,6 @@
 
 
 def _bound_address(port):
-    """Return IP number and port; port 0 lets the system choose one."""
+    """Return the address of a listening port, with the number in use."""
     bound = port.getHost()
     return bound.host, bound.port
--- a/pollenstile/forward/_decisions.py
+++ b/pollenstile/forward/_decisions.py
@@ -24,7 +24,7 @@
 # A resumable stream counts as lost after a silence of this multiple of the
 # longest pause that its route allows; without this limit, an engine that
 # crashed without closing its connection is noticed only at the deadline. The
-# second constant replaces a pause that the route does not set.
+# second constant is the pause for routes that set none.
 _PAUSE_FACTOR = 2.0
 _DEFAULT_PAUSE_SECONDS = 0.75
 
@@ -43,7 +43,7 @@
     ===========
 
     A request that may run only once is sent again only when it certainly did
-    not run. The retry budget is checked afterwards.
+    not run. The caller of this function checks the retry budget afterwards.
 
     Parameters
     ==========
--- a/pollenstile/forward/_dispatch.py
+++ b/pollenstile/forward/_dispatch.py
@@ -89,13 +89,13 @@
 
 
 def cold_rate(exchange):
-    """Return the requests a second of a cold upstream; 0 for no limit."""
+    """Return a cold upstream's limit in requests a second; 0 if unlimited."""
     service = exchange.table.services.get(exchange.service)
     return service.cold_rate if service else 0.0
 
 
 def _unavailable_reason(core, exchange, views, rate):
-    """Return why no upstream can take a request."""
+    """Return a ``NotRun`` that states why no upstream can accept a request."""
     service = exchange.service
     if views:
         now = core.clock.seconds()
--- a/pollenstile/forward/_drained.py
+++ b/pollenstile/forward/_drained.py
@@ -1,4 +1,4 @@
-"""Failure domains that an operator drained: no new requests are sent there."""
+"""Tracks failure domains that an operator drained; they get no new work."""
 
 from pollenstile.forward import events
 from pollenstile.ops.logs import silent_log
--- a/pollenstile/forward/_input_release.py
+++ b/pollenstile/forward/_input_release.py
@@ -11,8 +11,8 @@
         Releases the results; may be called more than once.
     fetch_seconds : float or None
         Seconds after the send at which the upstream has fetched the results.
-        None when only the first token shows it: an upstream with a full batch
-        fetches them when it starts the request.
+        None when only the first token shows that it has: an upstream with a
+        full batch fetches them when it starts the request.
     """
 
     __slots__ = ('fetch_seconds', 'release', 'timer')
@@ -23,7 +23,7 @@
         self.timer = None
 
     def start(self, clock):
-        """Start the timer at the time of the send."""
+        """Start the timer; called when the request is sent."""
         if self.fetch_seconds is not None:
             self.timer = clock.callLater(self.fetch_seconds, self.release)
 
--- a/pollenstile/forward/_members.py
+++ b/pollenstile/forward/_members.py
@@ -9,7 +9,9 @@
 from pollenstile.ops.logs import silent_log
 from pollenstile.platform import Absent, Conflict, Found, Written, paused
 
+# Kind of the store's entries of hosts, one per host, named after it.
 HOSTS = 'pollenstile-hosts'
+# Kind and name of the stored key that the hosts share, and its length.
 _KEYS = 'pollenstile-keys'
 _KEY = 'peers'
 _KEY_BYTES = 32
@@ -121,12 +123,12 @@
         self._notify_listeners()
 
     async def register(self):
-        """Write the entry of this host until the store has it.
+        """Write the entry of this host, repeatedly until the store has it.
 
         Explanation
         ===========
 
-        Calls of the store are billed, and a restart of the fleet needs some of
+        Calls to the store are billed, and a restart of the fleet needs some of
         them for each host. An identical entry from before a crash is therefore
         not written again, and a new entry is created without a read.
         """
--- a/pollenstile/forward/_parse.py
+++ b/pollenstile/forward/_parse.py
@@ -1,4 +1,4 @@
-"""Validates a caller's request and converts it to an exchange."""
+"""Validates a caller's request and converts it to an ``Exchange``."""
 
 from pollenstile.forward._admission import admit_request
 from pollenstile.forward._types import RouteQuery, Exchange, Refusal
@@ -13,7 +13,8 @@
 # Retry delay for callers: a host that has just started receives its
 # configuration within this time.
 _START_RETRY_SECONDS = 0.5
-# Limits of the pieces of one step of a request, and of the parts of a prompt.
+# Maximum number of pieces in one step of a request, and of the prompt parts
+# that are read.
 _MAX_PIECES = 256
 _MAX_PROMPT_PARTS = 64
 # Headers that concern one connection only (RFC 9110, section 7.6.1).
--- a/pollenstile/forward/_registry.py
+++ b/pollenstile/forward/_registry.py
@@ -127,11 +127,11 @@
             return
         if ident not in self.upstreams:
             return
-        away = self.clock.seconds() - self.store_failed_at
-        if away < _RETURN_SECONDS:
+        since_failure = self.clock.seconds() - self.store_failed_at
+        if since_failure < _RETURN_SECONDS:
             # If missing entries were removed at once, all upstreams would
             # disappear after an outage that outlasts their heartbeats.
-            wait = _RETURN_SECONDS - away
+            wait = _RETURN_SECONDS - since_failure
             self.missing_timers[ident] = self.clock.callLater(
                 wait, self.drop, ident
             )
@@ -178,7 +178,7 @@
         return self.by_service.get(service, ())
 
     def count(self, service):
-        """Return the number of upstreams of a service, with leaving ones."""
+        """Return the number of upstreams of a service, also of leaving ones."""
         return sum(
             upstream.service == service for upstream in self.upstreams.values()
         )
@@ -191,7 +191,7 @@
         )
 
     def stage_upstreams(self, service):
-        """Return the upstreams of a service that accept new work."""
+        """Return a service's upstreams that accept new work, as registered."""
         return [self.upstreams[view.ident] for view in self.usable(service)]
 
     def _store_entry(self, upstream):
@@ -200,8 +200,8 @@
             self._record_cold(upstream)
             return
         if before is not None and upstream.born < before.born:
-            # An entry of a previous incarnation, delayed by a slow write or
-            # read.
+            # The entry is that of a previous incarnation. A slow write or read
+            # has delayed it.
             return
         self.upstreams[upstream.ident] = upstream
         if before is None or before.born != upstream.born:
--- a/pollenstile/forward/_request_log.py
+++ b/pollenstile/forward/_request_log.py
@@ -6,7 +6,7 @@
 
 
 def log_send(run, view):
-    """Log a send of a request with the state that the choice was based on."""
+    """Log a send of a request, and the state on which it was decided."""
     exchange = run.exchange
     core = run.core
     now = core.clock.seconds()
@@ -51,7 +51,7 @@
         staged_ms=_since_arrival(exchange, run.staged_at),
         first_ms=_since_arrival(exchange, attempt.first_at if attempt else 0),
         aim_ms=int((exchange.aim - exchange.arrived) * _MS),
-        # Since the caller's first request; 0 for a new one.
+        # Time since the caller's first request; 0 for a new request.
         came_ms=int(run.chain.waited * _MS) if run.chain else 0,
         pause_ms=int(attempt.longest_pause * _MS) if attempt else 0,
         pause_limit_ms=int(exchange.route.pause * _MS),
--- a/pollenstile/forward/_run.py
+++ b/pollenstile/forward/_run.py
@@ -46,7 +46,8 @@
     Explanation
     ===========
 
-    Cancelling the Deferred stops the request's stage work and attempt.
+    Cancelling the Deferred stops the request's attempt, and its stage work as
+    far as that may be stopped.
 
     Parameters
     ==========
@@ -269,12 +270,12 @@
         if isinstance(outcome, UpstreamFailure):
             if outcome.status not in _SERVER_ERRORS:
                 return False
-            lost = Lost(f'status {outcome.status}', self.attempt.view.ident)
+            failed = Lost(f'status {outcome.status}', self.attempt.view.ident)
         else:
-            lost = outcome
+            failed = outcome
         decision = decide_retry(
             self.exchange.route,
-            lost,
+            failed,
             self.sends,
             self.runs,
             resumed=self.answer.begun,
@@ -290,7 +291,7 @@
             events.ATTEMPT_FAILED,
             request=self.exchange.ident,
             peer=self.attempt.view.ident,
-            reason=lost.reason,
+            reason=failed.reason,
             arrived=arrived,
             again=resend,
         )
@@ -305,13 +306,13 @@
             return
         self._refuse(final_refusal(outcome, self.runs, self.core.rng))
 
-    def _pass_on(self, failing):
+    def _pass_on(self, failure):
         if self.answer.begun:
             self.answer.abort()
             return
-        self.outcome = f'upstream {failing.status}'
-        self.answer.begin(failing.status, failing.phrase, failing.headers)
-        self.answer.write(failing.body)
+        self.outcome = f'upstream {failure.status}'
+        self.answer.begin(failure.status, failure.phrase, failure.headers)
+        self.answer.write(failure.body)
         self.answer.finish()
 
     def _refuse(self, refusal):
--- a/pollenstile/forward/_selection.py
+++ b/pollenstile/forward/_selection.py
@@ -11,8 +11,8 @@
 # faults.
 _LOAD_DELAY_SECONDS = 0.004
 # Cost of reading a shared prompt part at an engine other than its home engine,
-# as a multiple of its reading time beside other requests: the extra reading is
-# billed and delays all requests that run there.
+# as a multiple of the part's reading time in a batch with other requests: the
+# extra reading is billed and delays all requests that run at that engine.
 _REREAD_FACTOR = 3.0
 # Wait that each request queued at an engine adds.
 _QUEUE_DELAY_SECONDS = 0.3
@@ -44,7 +44,7 @@
     in_flight : int
         This host's requests in flight there.
     in_flight_tokens : int
-        Prompt tokens of this host's unanswered requests.
+        Prompt tokens of this host's unanswered requests there.
     running, queued, slots : int
         The load that it reported last.
     load_at : float
@@ -58,7 +58,7 @@
     backoff_until : float
         Time before which it is not used while there are others.
     backoff_count : int
-        Consecutive back-offs; doubles the next one.
+        Number of consecutive back-offs; each one doubles the next.
     cold_until : float
         Time until which it is cold and accepts few requests a second; 0 when
         it last reported that it is warm.
@@ -129,12 +129,12 @@
     """
     untried = [view for view in views if view.ident not in tried]
     shares = sorted(view.failures for view in untried)
-    usual = shares[len(shares) // 2] if shares else 0
+    median_share = shares[len(shares) // 2] if shares else 0
     healthy = [
         view
         for view in untried
         if view.backoff_until <= now
-        and view.failures < usual + _UNHEALTHY_MARGIN
+        and view.failures < median_share + _UNHEALTHY_MARGIN
     ]
     if len(healthy) * 2 >= len(untried):
         return healthy
@@ -174,10 +174,10 @@
     if not views:
         return None
     times = sorted(view.seconds for view in views if view.seconds)
-    usual = times[len(times) // 2] if times else 0.05
+    median_seconds = times[len(times) // 2] if times else 0.05
 
     def cost(view):
-        seconds = view.seconds or usual
+        seconds = view.seconds or median_seconds
         relative_load = current_load(view, now) / max(1, view.slots)
         crossing_seconds = _CROSS_DOMAIN_SECONDS if view.domain != domain else 0
         failure_factor = 1 + 4 * view.failures
@@ -240,7 +240,7 @@
     prompt : tuple
         Identifier and token count of each part, in order.
     token_seconds : float
-        Delay of an answer by each further token to read.
+        Seconds by which each further token to read delays an answer.
     inputs : dict or None
         Bytes of the request's stage results by failure domain. Bytes outside
         the engine's domain cross between domains, which is billed.
--- a/pollenstile/forward/_silence.py
+++ b/pollenstile/forward/_silence.py
@@ -8,7 +8,7 @@
     ==========
 
     clock : IReactorTime
-        Timers.
+        Provides the time and timers.
     limit : float or None
         Seconds of silence that are allowed; None for no limit.
 
--- a/pollenstile/forward/_stagecalls.py
+++ b/pollenstile/forward/_stagecalls.py
@@ -24,7 +24,7 @@
     ==========
 
     clock : IReactorTime
-        Timeouts of the calls.
+        Provides the time, and timers for the timeouts of the calls.
     client : HttpClient
         Sends requests.
     codec : object
@@ -32,7 +32,8 @@
         which return target, headers and body, and ``results(body, count)``,
         which returns a list of :class:`~pollenstile.stagework.Result` or None.
     names : HeaderNames
-        Name the header by which an upstream states that it ran nothing.
+        Contains the name of the header by which an upstream states that it
+        ran nothing.
 
     Attributes
     ==========
@@ -112,7 +113,7 @@
         )
 
     def release(self, address, handles):
-        """Release results at their upstream; return a Deferred of success."""
+        """Release results; return a Deferred of whether the upstream did so."""
         work = Deferred.fromCoroutine(self._send_release(address, handles))
         work.addTimeout(_RELEASE_TIMEOUT_SECONDS, self.clock)
         return work.addErrback(self._release_failed, address)
--- a/pollenstile/forward/_types.py
+++ b/pollenstile/forward/_types.py
@@ -20,7 +20,7 @@
     attempt : bytes
         Identifies one request of a caller; the answer echoes it.
     deadline : bytes
-        Remaining milliseconds.
+        Remaining milliseconds until the deadline.
     stamp : bytes
         Set by an upstream to show that the answer is its own.
     not_run : bytes
@@ -104,7 +104,7 @@
     team : str
         Name of the caller's team; empty on public routes.
     urgency : int
-        0 is the most urgent.
+        Urgency of the request; 0 is the most urgent.
     arrived, aim, ends : float
         Time of arrival, target time of the answer and deadline, in seconds on
         the clock.
