--- a/pollenstile/forward/_assembly.py
+++ b/pollenstile/forward/_assembly.py
@@ -233,6 +233,8 @@
     loop = configuration.loop
 
     def is_away():
+        # Besides failed reads, a host that has begun to read the store itself
+        # counts the store as away until one of its reads was answered.
         return loop.is_failing() or loop.read_at < follower.direct_since
 
     relayed.is_away = is_away
--- a/pollenstile/forward/_attempt.py
+++ b/pollenstile/forward/_attempt.py
@@ -224,8 +224,8 @@
             learn_load(self.view, load, self.core.clock.seconds())
         echoed = _text(head, names.attempt)
         if echoed and echoed != self.exchange.ident:
-            # A late duplicate answer to another request; passing it on would
-            # give the caller the answer of another one.
+            # This is a late duplicate answer to another request. If it were
+            # passed on, the caller would get what another caller asked for.
             return Lost('foreign answer', ident)
         if head.code == _MISDIRECTED_STATUS:
             self.core.registry.drop(ident, self.view.born)
--- a/pollenstile/forward/_configreads.py
+++ b/pollenstile/forward/_configreads.py
@@ -99,8 +99,9 @@
     Explanation
     ===========
 
-    A stale answer comes from a replica or cache that lags behind the store. If
-    it counted as an answer without changes, it would verify a revoked key.
+    A stale answer comes from a source that lags behind the store, such as a
+    replica or a cache. If it counted as an answer without changes, it would
+    verify a revoked key.
     """
     old = any(change.revision <= since for change in outcome.events)
     return old or outcome.revision < since
--- a/pollenstile/forward/_crashes.py
+++ b/pollenstile/forward/_crashes.py
@@ -10,7 +10,8 @@
 from pollenstile.ops.logs import silent_log
 
 # Delay before the second check of an upstream that refuses connections while a
-# request of this host is still in flight there: a lost reset is retransmitted.
+# request of this host is still in flight there. The reset that would end this
+# request may have been lost, and is then sent again.
 _RECHECK_SECONDS = 0.2
 # Maximum number of ended incarnations that are remembered.
 _MAX_ENDED = 256
--- a/pollenstile/forward/_decisions.py
+++ b/pollenstile/forward/_decisions.py
@@ -16,15 +16,17 @@
 # that were refused together from retrying together.
 _MIN_RETRY_SECONDS = 0.2
 _RETRY_JITTER_SECONDS = 0.3
-# An attempt is abandoned after a silence of this multiple of the expected time
-# to the answer, and at least this share of the target latency. One lookup in a
-# hundred takes five times its usual time.
+# An attempt is abandoned, so that another upstream can be tried, after silence
+# for this multiple of the expected time to the answer, and at least this share
+# of the target latency. One lookup in a hundred takes five times its usual
+# time.
 _SILENCE_FACTOR = 4.0
 _MIN_TARGET_SHARE = 0.5
-# A resumable stream counts as lost after a silence of this multiple of the
-# longest pause that its route allows; without this limit, an engine that
-# crashed without closing its connection is noticed only at the deadline. The
-# second constant is the pause for routes that set none.
+# A resumable stream counts as lost after a silence of this multiple of its
+# route's pause, the longest one with which a stream still counts as in time.
+# Without this limit, an engine that crashed without closing its connection is
+# noticed only at the deadline. The second constant is the pause for routes that
+# set none.
 _PAUSE_FACTOR = 2.0
 _DEFAULT_PAUSE_SECONDS = 0.75
 
--- a/pollenstile/forward/_frontend.py
+++ b/pollenstile/forward/_frontend.py
@@ -248,7 +248,8 @@
         self.slow_timer = None
 
     def _on_timeout(self):
-        # An incomplete request would occupy its connection indefinitely.
+        # Without a limit, an incomplete request would occupy its connection
+        # indefinitely.
         self.slow_timer = None
         self.reject(_TIMED_OUT)
 
--- a/pollenstile/forward/_learning.py
+++ b/pollenstile/forward/_learning.py
@@ -18,7 +18,7 @@
 
 
 def learn_failure(view):
-    """Record an attempt that the upstream failed."""
+    """Record an attempt that failed because of the upstream."""
     view.failures += _SMOOTHING_FACTOR * (1 - view.failures)
 
 
--- a/pollenstile/forward/_settings.py
+++ b/pollenstile/forward/_settings.py
@@ -53,8 +53,9 @@
     peers_seen: tuple | None = None
 
 
-# Share of the tightest time bound after which a host reads the store itself.
-# The rest allows for the pause before that read and for its answer.
+# Share of the tightest bound on applying changes after which a host reads the
+# store itself. The rest allows for the pause before that read and for its
+# answer.
 _UPDATE_SHARE = 0.85
 
 
