--- a/pollenstile/forward/_crashes.py
+++ b/pollenstile/forward/_crashes.py
@@ -175,7 +175,7 @@
 
     def _report(self, upstream, suspects):
         identified = tuple(
-            suspect for suspect in suspects if suspect.fingerprint
+            candidate for candidate in suspects if candidate.fingerprint
         )
         self.log(
             events.UPSTREAM_CRASHED,
