--- a/pollenstile/bench/_crashworld.py
+++ b/pollenstile/bench/_crashworld.py
@@ -1,4 +1,4 @@
-"""Whole hosts, upstreams that some requests crash, and their callers."""
+"""Simulate entry hosts, upstreams that requests crash, and their callers."""
 
 import itertools
 from dataclasses import dataclass, field
@@ -16,14 +16,14 @@
 _TARGET = b'/a/x'
 _TIMEOUT = 12.0
 _AIM = 2.0
-# How the body begins of what crashes the upstream that runs it.
+# The body of a request that crashes its upstream begins with this prefix.
 DEADLY = b'deadly'
-# Repeats that all hosts may send in the budget's window, beyond its ratio.
+# Retries that all hosts may send in a budget window in addition to the ratio.
 _SLACK = 60.0
 
 
 def _route(name, kind, **fields):
-    """Return a route to the service."""
+    """Return a route to the simulated service."""
     targets = (Target(_SERVICE),)
     return Route(
         name, 'host', '/a/', kind, _TIMEOUT, _AIM, targets=targets, **fields
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Sent:
-    """A request that a caller sent to a host."""
+    """Record of a request that a caller sent to a host."""
 
     at: float
     host: str
@@ -48,15 +48,15 @@
 
 
 class CrashWorld:
-    """Hosts and upstreams over failure domains, and requests to them.
+    """Hosts and upstreams spread over failure domains, and sent requests.
 
     Parameters
     ==========
 
     hosts, upstreams, domains : int
-        How many.
+        The number of hosts, upstreams and failure domains.
     route : str
-        ``'resumed'``, ``'repeated'`` or ``'once'``.
+        The kind of route: ``'resumed'``, ``'repeated'`` or ``'once'``.
 
     Attributes
     ==========
@@ -64,9 +64,9 @@
     fleet : DomainWorld
         The hosts and their store.
     upstreams : CrashingUpstreams
-        What they send to.
+        The upstreams that the hosts send requests to.
     sent : list of Sent
-        In their order.
+        The sent requests, in the order of sending.
     """
 
     __slots__ = ('fleet', 'numbers', 'route', 'sent', 'upstreams')
@@ -88,13 +88,13 @@
         self.fleet.pass_by(1.0)
 
     def join(self, host):
-        """Let a host send to the upstreams."""
+        """Connect a host to the upstreams."""
         core = host.core
         core.client = self.upstreams.client_of(host.name)
         core.crashes.client = core.client
 
     def ask(self, name, body):
-        """Send a request to a host; return the record of it."""
+        """Send a request to a host and return its record."""
         core = self.fleet.hosts[name].core
         now = core.clock.seconds()
         sent = Sent(now, name, body)
@@ -120,33 +120,40 @@
         return sent
 
     def later(self, seconds, name, body):
-        """Send a request to a host after some seconds."""
+        """Schedule a request to a host after a delay."""
         self.fleet.clock.callLater(seconds, self.ask, name, body)
 
     def repeat(self, bodies, pause, seconds, names):
-        """Send requests again and again for some seconds, to hosts in turn."""
+        """Schedule requests at a fixed interval, to the hosts in rotation."""
         hosts = itertools.cycle(names)
         for number in range(round(seconds / pause)):
             for body in bodies:
                 self.later(number * pause, next(hosts), body)
 
     def pass_by(self, seconds):
-        """Let time pass."""
+        """Advance the virtual clock."""
         self.fleet.pass_by(seconds)
 
     def ends_of(self, body):
-        """Return when upstreams ended under a request."""
-        return [one.at for one in self.upstreams.ends if one.body == body]
+        """Return the times at which a request crashed an upstream."""
+        return [crash.at for crash in self.upstreams.ends if crash.body == body]
 
     def arrivals_after_third(self, body, seconds):
-        """Return sends of a request that came later after its third end."""
+        """Return the arrivals of a request well after its third crash.
+
+        Parameters
+        ==========
+
+        seconds : float
+            Arrivals up to this time after the third crash are left out.
+        """
         ends = self.ends_of(body)
         if len(ends) < 3:
             return []
         return [
-            one
-            for one in self.upstreams.arrivals
-            if one.body == body and one.at > ends[2] + seconds
+            arrival
+            for arrival in self.upstreams.arrivals
+            if arrival.body == body and arrival.at > ends[2] + seconds
         ]
 
     def _write(self, name, value):
@@ -158,5 +165,5 @@
 
 
 def is_deadly(body):
-    """Return whether a body crashes the upstream that runs it."""
+    """Return whether a request body crashes the upstream that runs it."""
     return body.startswith(DEADLY)
--- a/pollenstile/bench/_domainworld.py
+++ b/pollenstile/bench/_domainworld.py
@@ -1,11 +1,12 @@
-"""Whole entry hosts over a store, in virtual time.
+"""Simulate complete entry hosts and their store in virtual time.
 
 Explanation
 ===========
 
-The hosts are the daemons that run in production, with their hubs, watches and
-relay; only ports, connections between hosts and the store are stand-ins. A
-host's way to the store can be refused or fall silent while others are served.
+The hosts run the daemons that run in production, with their hubs, watches and
+relay. Only ports, connections between hosts and the store are simulated. The
+store calls of one host can be refused or left unanswered while the store
+answers other hosts.
 """
 
 from dataclasses import dataclass, field
@@ -28,34 +29,34 @@
 from pollenstile.standin.clock import VirtualClock
 from pollenstile.standin.objectapi import MemoryStore
 
-# Seconds that the virtual clock moves at a time.
+# Seconds by which the virtual clock advances in each step.
 STEP = 0.01
 _COARSE_STEP = 0.05
-# Seconds one way between hosts of a domain.
+# One-way latency between hosts, in seconds.
 _WAY = 0.0005
-# Seconds of a call of the store.
+# Latency of a store call, in seconds.
 _STORE_SECONDS = 0.004
-# Seconds until all hosts have started and follow a reader.
+# Seconds after which all hosts have started and follow a reader.
 _SETTLE = 8.0
 _PORT = 1
 _DOMAIN = 'd'
-# The kind of the upstreams' entries, and the one upstream that there is.
+# The object kind of upstream entries, and the name of the only upstream.
 _UPSTREAMS = 'upstreams'
 _UPSTREAM = 'u'
 
 
 class VirtualReactor(VirtualClock):
-    """A clock whose ports take no connections."""
+    """A virtual clock with a ``listenTCP`` that accepts no connections."""
 
     __slots__ = ()
 
     def listenTCP(self, number, factory, backlog=0, interface=''):
-        """Return a port; called by the daemon."""
+        """Return a port that accepts no connections."""
         return _Port(interface, number)
 
 
 class _Port:
-    """A port on which nobody calls."""
+    """A port that accepts no connections."""
 
     __slots__ = ('address',)
 
@@ -63,11 +64,11 @@
         self.address = IPv4Address('TCP', host, number)
 
     def getHost(self):
-        """Return its address; called by the daemon."""
+        """Return the address of the port."""
         return self.address
 
     def stopListening(self):
-        """End at once; called by the daemon."""
+        """Return a Deferred that has already fired."""
         return succeed(None)
 
 
@@ -85,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Adapter:
-    """What a daemon asks of its platform; a configuration is its number."""
+    """Platform adapter of a daemon; a configuration is a version number."""
 
     names: HeaderNames = field(default_factory=HeaderNames)
     codec: PlainCodec = field(default_factory=PlainCodec)
@@ -94,19 +95,19 @@
 
 
 class DomainHost:
-    """One entry host.
+    """One simulated entry host.
 
     Attributes
     ==========
 
     domain : str
-        Its failure domain.
+        The failure domain of the host.
     path : StorePath
-        Its way to the store.
+        The connection of the host to the store.
     frozen : bool
-        Whether it answers nobody and does nothing.
+        Whether the process is paused: it neither answers nor works.
     gone : bool
-        Whether its process has ended.
+        Whether the process has ended.
     """
 
     __slots__ = (
@@ -150,40 +151,40 @@
 
     @property
     def core(self):
-        """Return what its requests share."""
+        """Return the state that all requests of the host share."""
         return self.daemon.parts.core
 
     @property
     def configuration(self):
-        """Return its configuration."""
+        """Return the configuration of the host."""
         return self.core.configuration
 
     @property
     def version(self):
-        """Return the version in force."""
+        """Return the configuration version in force."""
         return self.configuration.table.version
 
     @property
     def following(self):
-        """Return the reader that it follows; empty where it reads itself."""
+        """Return the followed reader; empty if the host reads the store."""
         return self.daemon.parts.relay.follower.following
 
     def knows_leaving(self):
-        """Return whether it knows that the upstream leaves."""
+        """Return whether the host has learned that the upstream is leaving."""
         registry = self.core.registry
         return registry.upstreams[_UPSTREAM].leaving
 
     def knows_drained(self):
-        """Return whether it knows of the drained failure domain."""
+        """Return whether the host has learned of the drained domain."""
         registry = self.core.registry
         return bool(registry.drained)
 
     def order(self):
-        """Return the hosts in the order in which they read the store."""
+        """Return the host names by their rank as readers of the store."""
         return self.daemon.parts.relay.readers.order
 
     def end(self):
-        """End its process without a word."""
+        """End the process without notifying peers."""
         self.gone = True
         self.daemon.parts.relay.follower.stop()
         self.configuration.loop.running = False
@@ -193,15 +194,15 @@
 
 
 class DomainWorld:
-    """Hosts of one failure domain or more, all started and following.
+    """Started hosts of one or more failure domains, with their readers.
 
     Parameters
     ==========
 
     count : int
-        Hosts.
+        The number of hosts.
     domains : int
-        Failure domains, among which they are dealt.
+        The number of failure domains; hosts are assigned round robin.
     bounds : dict
         Settings of the hosts, by name.
 
@@ -209,11 +210,11 @@
     ==========
 
     hosts : dict
-        By name, by domain, in the order in which they read the store.
+        Hosts by name, sorted by domain and then by rank as readers.
     cut : set of str
-        Failure domains that are cut off from all others.
+        Failure domains that are partitioned from all others.
     logged : list of tuple
-        Seconds, host, event and fields.
+        Log lines: time in seconds, host, event name and fields.
     """
 
     __slots__ = (
@@ -248,44 +249,44 @@
         self.hosts = {name: self.hosts[name] for name in order}
 
     def add_host(self, name, domain):
-        """Start a host; return it."""
+        """Start a host and return it."""
         log = self._log_of(name)
         self.hosts[name] = DomainHost(self, name, domain, log)
         return self.hosts[name]
 
     def pass_by(self, seconds, look=None):
-        """Let time pass; call a function at each step."""
+        """Advance the virtual clock; call a function after each step."""
         for _ in range(round(seconds / STEP)):
             self.clock.advance(STEP)
             if look is not None:
                 look()
 
     def pass_coarsely(self, seconds):
-        """Let a long time pass, in which nobody looks."""
+        """Advance the virtual clock by a long time, in coarser steps."""
         for _ in range(round(seconds / _COARSE_STEP)):
             self.clock.advance(_COARSE_STEP)
 
     def write_configuration(self, version):
-        """Write a configuration; return once the store has acknowledged it."""
+        """Write a configuration and wait for the store to acknowledge it."""
         self._write('config', 'main', version)
 
     def let_upstream_leave(self):
-        """Write that the upstream leaves."""
+        """Write an upstream entry that says that the upstream is leaving."""
         self._write(_UPSTREAMS, _UPSTREAM, 'leaving')
 
     def drain(self):
-        """Write that a failure domain is drained."""
+        """Write an entry that marks the first failure domain as drained."""
         self._write(DRAINED, _DOMAIN, {})
 
     def readers(self):
-        """Return the hosts that others of their domain read the store by."""
+        """Return the first two hosts of each domain, which are its readers."""
         by_domain = {}
         for host in self.hosts.values():
             by_domain.setdefault(host.domain, []).append(host)
-        return [host for own in by_domain.values() for host in own[:2]]
+        return [host for members in by_domain.values() for host in members[:2]]
 
     def running(self):
-        """Return the hosts that run."""
+        """Return the hosts that are neither frozen nor ended."""
         return [
             host
             for host in self.hosts.values()
@@ -293,11 +294,11 @@
         ]
 
     def in_touch(self):
-        """Return the hosts that run and are in touch with the store."""
+        """Return the running hosts that the store answers."""
         return [host for host in self.running() if host.path.is_in_touch()]
 
     def calls(self):
-        """Return the calls of the store that all hosts have made."""
+        """Return the number of store calls that all hosts have made."""
         return sum(host.path.calls for host in self.hosts.values())
 
     def _write(self, kind, name, value):
@@ -307,7 +308,7 @@
 
     def _is_cut(self, near, far):
         by_address = {host.address: host for host in self.hosts.values()}
-        ends = [by_address.get(one) for one in (near, far)]
+        ends = [by_address.get(address) for address in (near, far)]
         known = [host for host in ends if host is not None]
         if any(host.frozen for host in known):
             return True
--- a/pollenstile/bench/_stagehosts.py
+++ b/pollenstile/bench/_stagehosts.py
@@ -1,10 +1,10 @@
-"""Hosts with real hubs, stage clients and queues, in virtual time.
+"""Simulate hosts with real hubs, stage clients and queues in virtual time.
 
 Explanation
 ===========
 
-The upstreams are those of ``_stageworld``; between hosts there are sessions,
-heartbeats and asks as between processes, over virtual connections.
+The upstreams are those of ``_stageworld``. Hosts exchange the same sessions,
+heartbeats and requests as separate processes, over virtual connections.
 """
 
 from collections import Counter
@@ -27,25 +27,25 @@
 from pollenstile.stagework import Owner, StageClient, StageService
 from pollenstile.standin.clock import VirtualClock
 
-# Seconds that the virtual clock moves at a time.
+# Seconds by which the virtual clock advances in each step.
 _STEP = 0.002
-# As a forwarding host has them: see its assembly and its daemon.
+# The periods that a forwarding host uses, in seconds.
 _TICK = 0.2
 _BEAT = 0.35
 _SILENCE = 1.2
 _REVIEW = 0.25
-# Seconds until all links are there.
+# Seconds after which all links are open.
 _SETTLE = 2.0
 
 
 class StageHost:
-    """One host: its hub, its client, its queues.
+    """One simulated host: its hub, its stage client and its queues.
 
     Attributes
     ==========
 
     dead : bool
-        Whether it has lost power.
+        Whether the host has lost power.
     """
 
     __slots__ = ('client', 'dead', 'fleet', 'hub', 'name', 'owners')
@@ -73,7 +73,7 @@
         StageService(self.client)
 
     def owner(self, service):
-        """Return this host's queue of a service."""
+        """Return the queue of a service at this host; create it if needed."""
         owner = self.owners.get(service)
         if owner is None:
             owner = Owner(
@@ -89,7 +89,7 @@
         return owner
 
     def review(self):
-        """Keep links to owners, and hand queues over, again and again."""
+        """Periodically update links to owners and hand over queues."""
         if self.dead:
             return
         ownership = self.client.ownership
@@ -98,7 +98,7 @@
         self.fleet.clock.callLater(_REVIEW, self.review)
 
     def lose_power(self):
-        """End without a word: its links fall silent, its calls are lost."""
+        """End the host without notice: links go silent and calls are lost."""
         self.dead = True
         self.fleet.dark.add(self.name)
         self.hub.stopped = True
@@ -123,27 +123,29 @@
 
 
 class HostFleet:
-    """Hosts over the upstreams of several services.
+    """Hosts that share the upstreams of several services.
 
     Parameters
     ==========
 
     services : dict
-        :class:`StageLimits` by name.
+        :class:`StageLimits` by service name.
     hosts : int
-        How many.
+        The number of hosts.
     way : float
-        Seconds between two hosts, one way.
+        One-way latency between two hosts, in seconds.
     count : int
-        Upstreams of each service.
+        The number of upstreams of each service.
 
     Attributes
     ==========
 
+    dark : set of str
+        Names of the hosts that have lost power.
     parted : set of frozenset
-        Pairs of hosts between which nothing passes.
+        Pairs of hosts that are partitioned from each other.
     callers : Counter
-        Calls of upstreams, by service and host.
+        The number of upstream calls, by service and calling host.
     """
 
     __slots__ = (
@@ -173,11 +175,11 @@
         self.upstreams = {}
         self.domains = {}
         for name, limits in services.items():
-            for one in stage_workers(name, count):
-                self.upstreams[one.address] = StageUpstream(
-                    self.clock, one.address, limits
+            for worker in stage_workers(name, count):
+                self.upstreams[worker.address] = StageUpstream(
+                    self.clock, worker.address, limits
                 )
-                self.domains[one.address] = one.domain
+                self.domains[worker.address] = worker.domain
         self.names = [f'h{number}' for number in range(hosts)]
         self.hosts = [StageHost(self, name) for name in self.names]
         for host in self.hosts:
@@ -185,43 +187,45 @@
         self.advance(_SETTLE)
 
     def client(self, number):
-        """Return the stage client of a host that lives."""
+        """Return the stage client of a running host."""
         living = [host for host in self.hosts if not host.dead]
         return living[number % len(living)].client
 
     def owner_of(self, service):
-        """Return the host that owns a service's queue."""
+        """Return the host that owns the queue of a service."""
         living = [host for host in self.hosts if not host.dead]
         first = living[0].client.ownership.candidates(service, leaving=False)
         return next(host for host in living if host.name == first[0])
 
     def advance(self, seconds):
-        """Let virtual time pass."""
+        """Advance the virtual clock."""
         for _ in range(round(seconds / _STEP)):
             self.clock.advance(_STEP)
 
     def lose_owner(self, service, after):
-        """Let the host that owns a service lose power after some seconds."""
+        """Schedule a power loss of the host that owns a service."""
         self.clock.callLater(after, partial(self._lose_owner, service))
 
     def lose_hosts(self, share, after, back_after):
-        """Let a share of the hosts lose power at once, and start again.
+        """Schedule a simultaneous power loss of a share of the hosts.
 
         Parameters
         ==========
 
-        after, back_after : float
-            Seconds until then, and for which they are away.
+        after : float
+            Seconds until the power loss.
+        back_after : float
+            Seconds from the power loss until the hosts start again.
         """
         self.clock.callLater(after, self._lose_hosts, share, back_after)
 
     def spend(self, service, number):
-        """Count repeats."""
+        """Count retries and allow them all."""
         self.budget += number
         return True
 
     def exists(self, handle):
-        """Return whether a result is there."""
+        """Return whether a result is still stored."""
         upstream = self.upstreams.get(handle.partition('/')[0])
         return upstream is not None and handle in upstream.results
 
@@ -240,11 +244,11 @@
             self.clock.callLater(back_after, self.start_again, host)
 
     def start_again(self, host):
-        """Start a host that lost power: a new process under its name."""
+        """Restart a host that lost power, as a new process of this name."""
         self.dark.discard(host.name)
-        again = StageHost(self, host.name, host.hub.hello.boot + 1)
-        self.hosts[self.hosts.index(host)] = again
-        self._join(again)
+        restarted = StageHost(self, host.name, host.hub.hello.boot + 1)
+        self.hosts[self.hosts.index(host)] = restarted
+        self._join(restarted)
 
     def _lose_owner(self, service):
         self.owner_of(service).lose_power()
--- a/pollenstile/bench/_stageworld.py
+++ b/pollenstile/bench/_stageworld.py
@@ -1,11 +1,11 @@
-"""Stage services and model engines in virtual time.
+"""Simulate stage services and model engines in virtual time.
 
 Explanation
 ===========
 
-The product's own queues and chains run over these fakes: upstreams with one
-call at a time, a time for each call and piece, room for results, and inputs
-that are read when a call begins.
+The production queues and chains run over simulated upstreams. An upstream runs
+one call at a time, takes a fixed time for each call and each piece, has limited
+result memory, and reads the inputs of a call when the call begins.
 """
 
 from random import Random
@@ -27,25 +27,25 @@
     usual_seconds,
 )
 
-# Seconds between a host and an upstream, one way.
+# One-way latency between a host and an upstream, in seconds.
 _WAY = 0.0015
 _DOMAINS = ('a', 'b', 'c', 'd')
-# Seconds that the virtual clock moves at a time.
+# Seconds by which the virtual clock advances in each step.
 _STEP = 0.002
 
 
 class StageUpstream:
-    """One upstream of a stage service.
+    """One simulated upstream of a stage service.
 
     Attributes
     ==========
 
     results : dict
-        Bytes by handle.
+        Size in bytes of each stored result, by handle.
     ready_at : float
-        When its call under way ends.
+        Time on the clock at which the last accepted call ends.
     worked : float
-        Seconds that its calls took in all.
+        Total seconds of all calls.
     """
 
     __slots__ = ('clock', 'ident', 'limits', 'ready_at', 'results', 'worked')
@@ -59,13 +59,13 @@
         self.worked = 0.0
 
     def call(self, pieces, exists):
-        """Return a Deferred of results; calls wait for one another.
+        """Run a call after all earlier calls; return a Deferred of results.
 
         Parameters
         ==========
 
         exists : function
-            Takes a handle, returns whether its result is there.
+            Takes a handle and returns whether its result is still stored.
         """
         done = Deferred()
         start = max(self.clock.seconds() + _WAY, self.ready_at)
@@ -81,13 +81,13 @@
         return done
 
     def room(self):
-        """Return bytes that are free."""
+        """Return the free result memory in bytes."""
         return self.limits.room_bytes - sum(self.results.values())
 
     def _begin(self, pieces, exists, made):
         for piece in pieces:
             group = piece.group
-            if not all(exists(one) for one in group.inputs):
+            if not all(exists(handle) for handle in group.inputs):
                 made.append(Result(reason='gone'))
                 continue
             if group.result_bytes > self.room():
@@ -111,12 +111,12 @@
     ==========
 
     services : dict
-        :class:`StageLimits` by name.
+        :class:`StageLimits` by service name.
     count : int
-        Upstreams of each.
+        The number of upstreams of each service.
     owners : int
-        Queues of each service: one for the whole fleet, or one a host for
-        hosts that batch alone.
+        The number of queues of each service: 1 for a queue that the whole
+        fleet shares, or the number of hosts where each host batches alone.
     """
 
     __slots__ = ('budget', 'clock', 'queues', 'services', 'upstreams')
@@ -140,15 +140,15 @@
             ]
 
     def lost(self, address):
-        """Let an upstream's process end, and its results with it."""
+        """End the process of an upstream, which loses its results."""
         self.upstreams.pop(address)
 
     def client(self, number=0):
-        """Return what a chain asks at one host."""
+        """Return the stage client that chains use at one host."""
         return _Client(self, number)
 
     def advance(self, seconds):
-        """Let virtual time pass."""
+        """Advance the virtual clock."""
         for _ in range(round(seconds / _STEP)):
             self.clock.advance(_STEP)
 
@@ -185,7 +185,7 @@
 
 
 class _Client:
-    """The side of a stage client that a chain uses, without peers."""
+    """A stage client as chains use it, without connections to peers."""
 
     __slots__ = ('fleet', 'number')
 
@@ -194,47 +194,47 @@
         self.number = number
 
     def submit(self, group, on_read):
-        """Hand a group to its queue."""
+        """Submit a group to the queue of its service."""
         owner = self._owner(group.service)
         return owner.submit(group, on_read).addCallback(self._told)
 
     def cancel(self, service, plan):
-        """Forget a request's groups."""
+        """Cancel the groups of a request."""
         self._owner(service).cancel(plan.request)
 
     def release(self, host, service, handles):
-        """Release results."""
+        """Release stored results."""
         self._owner(service).release(handles)
 
     def seconds(self, service, count):
-        """Return what pieces take at the backlog of now."""
+        """Return the expected seconds of pieces at the current backlog."""
         usual = usual_seconds(self.fleet.services[service], count)
         return max(usual, self._owner(service).wait(count))
 
     def is_crowded(self, service):
-        """Return whether room is worth saving."""
+        """Return whether result memory is scarce or the queue is long."""
         limits = self.fleet.services[service]
         owner = self._owner(service)
         is_tight = owner.admission.is_tight()
         return is_tight or owner.wait() > crowded_seconds(limits)
 
     def is_queue_long(self, service):
-        """Return whether a queue has no place for what is late."""
+        """Return whether the queue is too long to accept late requests."""
         limits = self.fleet.services[service]
         return self._owner(service).wait() > long_wait(limits)
 
     def refresh_backlogs(self, services):
-        """Ask nobody: backlogs are those of now."""
+        """Return at once, as backlogs are read from the queues directly."""
         return succeed(None)
 
     def limits_of(self, service):
-        """Return a service's limits."""
+        """Return the limits of a service."""
         return self.fleet.services[service]
 
     def domains_with(self, service):
         """Return the domains that have upstreams of a service."""
         workers = self._owner(service).workers.values()
-        return tuple(sorted({one.domain for one in workers}))
+        return tuple(sorted({worker.domain for worker in workers}))
 
     def domain_of(self, handles):
         """Return the domain of the first result."""
@@ -249,15 +249,17 @@
 
 
 class Served:
-    """One request of a played load: when it came, and how it ended.
+    """One request of a simulated load: its arrival and its outcome.
 
     Parameters
     ==========
 
     kind : str
-        Name of its route.
-    came, aim : float
-        On the clock, and seconds.
+        The name of the route.
+    came : float
+        Time on the clock at which the request arrived.
+    aim : float
+        Target latency in seconds.
     read : float
         Seconds until the model engine has read the results.
 
@@ -265,9 +267,12 @@
     ==========
 
     staged : float or None
-        Seconds until its last stage result; None without.
+        Seconds from the arrival to the last stage result; None if the stages
+        have not completed.
     refused : str
-        Reason; empty when it was not refused.
+        Reason of the refusal; empty if the request was not refused.
+    refused_after : float
+        Seconds from the arrival to the refusal.
     """
 
     __slots__ = (
@@ -291,7 +296,7 @@
 
 
 class Arrival:
-    """The stage work of one request, as a plan needs it."""
+    """The fields of a request that :func:`build_plan` reads."""
 
     __slots__ = (
         'counts',
@@ -316,13 +321,13 @@
 
 
 def start_request(fleet, client, route, counts, ident, deadline, read_after):
-    """Start a request's stage work; return its :class:`Served`.
+    """Start the stage work of a request and return its :class:`Served`.
 
     Parameters
     ==========
 
     deadline : float
-        Seconds from now.
+        Seconds until the deadline.
     read_after : float
         Seconds after which the model engine has read the results.
     """
@@ -337,15 +342,17 @@
 
 
 async def _staged(client, arrival, served):
-    """Return a request's chain and the end of its stage work."""
-    await client.refresh_backlogs([one.service for one in arrival.route.steps])
+    """Run the stages of a request; return its chain and the outcome."""
+    await client.refresh_backlogs(
+        [step.service for step in arrival.route.steps]
+    )
     ready_by = served.came + served.aim - served.read
     chain = Chain(client, build_plan(arrival, ready_by, client.seconds))
     return chain, await chain.handles()
 
 
 def stage_route(name, aim, urgency, steps):
-    """Return a route with steps of service, ``after`` and result bytes."""
+    """Return a route whose steps are (service, ``after``, result bytes)."""
     return Route(
         name,
         'bench',
@@ -359,7 +366,7 @@
 
 
 def stage_limits(batch, call_ms, piece_ms, room_mb):
-    """Return limits in the units that operators write."""
+    """Return limits from milliseconds and megabytes, as in settings."""
     return StageLimits(
         batch=batch,
         call_seconds=call_ms / 1000,
@@ -369,24 +376,24 @@
 
 
 def seeded(seed):
-    """Return a random generator."""
+    """Return a random generator with a seed."""
     return Random(seed)
 
 
 def stage_workers(name, count):
-    """Return a service's workers, spread over the failure domains."""
+    """Return the workers of a service, spread over the failure domains."""
     return [
         Worker(
-            f'{name}-{place}',
-            f'{name}.{_DOMAINS[place % len(_DOMAINS)]}:{place}',
-            _DOMAINS[place % len(_DOMAINS)],
+            f'{name}-{number}',
+            f'{name}.{_DOMAINS[number % len(_DOMAINS)]}:{number}',
+            _DOMAINS[number % len(_DOMAINS)],
         )
-        for place in range(count)
+        for number in range(count)
     ]
 
 
-def _note_end(ended, served, clock, read_after):
-    chain, outcome = ended
+def _note_end(completed, served, clock, read_after):
+    chain, outcome = completed
     took = clock.seconds() - served.came
     if isinstance(outcome, ChainFailed):
         served.refused = outcome.reason
--- a/pollenstile/bench/lag.py
+++ b/pollenstile/bench/lag.py
@@ -1,12 +1,13 @@
-"""``pollenstile bench lag``: how old is what a host acts on, at worst.
+"""``pollenstile bench lag``: maximum age of the configuration in force.
 
 Explanation
 ===========
 
-A configuration that the store acknowledges just after a host's proof was true
-is in force there when the next proof comes. So the oldest proof that a host
-has had is the longest lag of a change, whenever that was written. Whole hosts
-of one domain run in virtual time, and their readers or their store fail.
+A configuration that the store acknowledges just after a host has verified its
+own takes effect there at the next verification. The greatest age of a host's
+last verification is therefore the longest lag of a change, whenever the change
+is written. Complete hosts of one domain run in virtual time while their readers
+or their store fail.
 """
 
 import json
@@ -16,41 +17,41 @@
 
 from pollenstile.bench._domainworld import STEP, DomainHost, DomainWorld
 
-# Seconds for which faults last, and are looked at.
+# Seconds for which each fault lasts and is observed.
 _PLAYED = 8.0
-# Seconds of a call of a slow store: sixty times the usual.
+# Latency of a slow store in seconds: sixty times the usual latency.
 _SLOW_SECONDS = 0.24
-# Seconds for which a store that answers nobody is away.
+# Seconds for which the store refuses all hosts.
 _OUTAGE = 4.0
-# Seconds after a fault at which the configuration changes.
+# Seconds from a fault until the configuration changes.
 _CHANGED_AFTER = 0.05
-# The version that is written then.
+# The configuration version that is written after the fault.
 _AFTER = 2
-# One host in so many is turned away by the store, readers first.
+# The store refuses one in this many hosts, beginning with the readers.
 _TURNED_AWAY = 3
-# Hosts of a domain: of fleets of 9, 30, 60, 90, 195 and 340 hosts.
+# Hosts of one domain in fleets of 9, 30, 60, 90, 195 and 340 hosts.
 _SIZES = '3,10,15,30,33,43'
 _MS = 1000
 
 
 def calm(world):
-    """Let nothing fail."""
+    """Inject no fault."""
 
 
 def refused(world):
-    """Refuse the readers' calls of the store."""
+    """Refuse the store calls of the readers."""
     for host in world.readers():
         host.path.refuses = True
 
 
 def silenced(world):
-    """Answer no call of the readers any more."""
+    """Leave the store calls of the readers unanswered."""
     for host in world.readers():
         host.path.silent = True
 
 
 def turned_away(world):
-    """Refuse a third of the hosts, the readers among them."""
+    """Refuse the store calls of a third of the hosts, including the readers."""
     hosts = list(world.hosts.values())
     for host in hosts[: max(2, len(hosts) // _TURNED_AWAY)]:
         host.path.refuses = True
@@ -64,7 +65,7 @@
 
 
 def refused_and_frozen(world):
-    """Refuse the first reader's calls, and freeze the second one."""
+    """Refuse the store calls of the first reader and freeze the second."""
     first, second = world.readers()
     first.path.refuses = True
     second.frozen = True
@@ -72,24 +73,24 @@
 
 
 def ended(world):
-    """End the readers' processes."""
+    """End the processes of the readers."""
     for host in world.readers():
         host.end()
 
 
 def slow(world):
-    """Let the store be slow for all."""
+    """Raise the latency of the store for all hosts."""
     world.store.latency = _SLOW_SECONDS
 
 
 def compacted(world):
-    """Let the store forget its history."""
+    """Compact the change history of the store."""
     Deferred.fromCoroutine(world.store.put('other', 'a', 1))
     world.store.objects.compact()
 
 
 def away(world):
-    """Refuse all hosts for a while."""
+    """Refuse the store calls of all hosts for the time of the outage."""
     for host in world.hosts.values():
         host.path.refuses = True
         world.clock.callLater(_OUTAGE, host.path.serve_again)
@@ -117,33 +118,33 @@
     return host.version == _AFTER
 
 
-# What is written, and how it shows that a host knows it.
+# Writes, and the check of each that a host has applied it.
 _WRITES = (_change, DomainWorld.let_upstream_leave, DomainWorld.drain)
 _KNOWS = (_has_change, DomainHost.knows_leaving, DomainHost.knows_drained)
 
 
 @dataclass(slots=True, frozen=True)
 class Lag:
-    """How old the configuration was, at worst.
+    """Measured lag of the configuration in one domain under one fault.
 
     Parameters
     ==========
 
     hosts : int
-        Of the domain.
+        The number of hosts of the domain.
     fault : str
-        What failed.
+        The name of the injected fault.
     oldest_ms : int
-        The oldest proof of a host that the store serves.
+        The greatest age of a verification at a host that the store answers.
     change_ms, leave_ms, drain_ms : int
-        From the acknowledgement of a change of the configuration, of an
-        upstream's leaving, or of a drained domain, 50 ms after the fault, until
-        the last of these hosts knew it.
+        Time from the acknowledgement of a configuration change, of a leaving
+        upstream, or of a drained domain, written 50 ms after the fault, until
+        the last of these hosts has applied it.
     refusing_ms : int
-        For how long hosts that run refused all requests, as their
-        configuration might have been an old one; all hosts together.
+        Time for which running hosts refused all requests because their
+        configuration could be outdated, summed over all hosts.
     calls_host_s : float
-        Calls of the store a second for each host.
+        Store calls per second and host.
     """
 
     hosts: int
@@ -157,15 +158,15 @@
 
 
 def lag_of(hosts, fault, **bounds):
-    """Return the :class:`Lag` of a domain under a fault.
+    """Measure the :class:`Lag` of a domain under a fault.
 
     Parameters
     ==========
 
     hosts : int
-        Of the domain.
+        The number of hosts of the domain.
     fault : str
-        A name of :data:`FAULTS`.
+        A key of :data:`FAULTS`.
     bounds : dict
         Settings of the hosts, by name.
     """
@@ -175,7 +176,7 @@
     ages = [0.0]
     refusing = []
 
-    def look():
+    def record_ages():
         ages.extend(host.configuration.age() for host in world.in_touch())
         refusing.extend(
             host.name
@@ -183,20 +184,20 @@
             if not host.configuration.is_current()
         )
 
-    world.pass_by(_PLAYED, look)
+    world.pass_by(_PLAYED, record_ages)
     calls = world.calls() - calls
     return Lag(
         hosts,
         fault,
         round(max(ages) * _MS),
-        *_news_ms(DomainWorld(hosts, **bounds), fault),
+        *_propagation_ms(DomainWorld(hosts, **bounds), fault),
         round(len(refusing) * STEP * _MS),
         round(calls / hosts / _PLAYED, 2),
     )
 
 
-def _news_ms(world, fault):
-    """Return how long each of three changes takes to the last host."""
+def _propagation_ms(world, fault):
+    """Return the time of each of three changes until all hosts apply it."""
     FAULTS[fault](world)
     world.pass_by(_CHANGED_AFTER)
     acked = []
@@ -205,40 +206,40 @@
         acked.append(world.clock.seconds())
     lags = [0.0 for _ in _WRITES]
 
-    def look():
+    def record_lags():
         now = world.clock.seconds()
         for number, knows in enumerate(_KNOWS):
             if not all(knows(host) for host in world.in_touch()):
                 lags[number] = now - acked[number]
 
-    world.pass_by(_PLAYED, look)
+    world.pass_by(_PLAYED, record_lags)
     return [round(lag * _MS) for lag in lags]
 
 
 def add_parser(benches):
     """Add ``bench lag``."""
     parser = benches.add_parser(
-        'lag', help='how old a configuration gets on hosts, simulated'
+        'lag', help='maximum age of the configuration on hosts, simulated'
     )
     parser.add_argument('--hosts', default=_SIZES, help='of one domain')
     parser.add_argument(
         '--bound',
         type=float,
         default=2.0,
-        help='seconds for changes and for upstreams that leave',
+        help='limit in seconds for changes and for leaving upstreams',
     )
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Print a line for each domain and fault."""
+    """Print a JSON line for each size of a domain and each fault."""
     for hosts in arguments.hosts.split(','):
         for fault in FAULTS:
-            found = lag_of(
+            lag = lag_of(
                 int(hosts),
                 fault,
                 apply_seconds=arguments.bound,
                 leave_seconds=arguments.bound,
             )
-            print(json.dumps(asdict(found)))
+            print(json.dumps(asdict(lag)))
     return 0
--- a/pollenstile/bench/shared.py
+++ b/pollenstile/bench/shared.py
@@ -1,13 +1,13 @@
-"""``pollenstile bench shared``: what hosts do for each other, and its cost.
+"""``pollenstile bench shared``: cost of the work that hosts share.
 
 Explanation
 ===========
 
-Hubs with real sessions over virtual connections. Two things are measured by
-the process time that a stretch of virtual time takes: hosts of a domain that
-follow one reader of the store, by their number, and groups of stage work that
-pass from one host to the owner of their queue. The process runs all hosts, so
-a slope over their number is the cost of one.
+Hubs run real sessions over virtual connections. The benchmark measures the
+process time for two workloads over a period of virtual time: hosts of a domain
+that follow one reader of the store, by the number of hosts; and groups of stage
+work that one host forwards to the owner of their queue. One process runs all
+hosts, so the slope over the number of hosts is the cost of one host.
 """
 
 import json
@@ -55,13 +55,13 @@
 _SERVICE = 'encode'
 _LIMITS = StageLimits(1, 50, 0.24, 0.004, 5_000_000)
 _PIECES = 4
-# Seconds until a group is due.
+# Seconds until the deadline of a group.
 _DUE = 9.0
 _MS = 1000
 
 
 class _Host:
-    """One host of a domain: a hub, and its side of the relay."""
+    """One simulated host of a domain: a hub and a member of the relay."""
 
     def __init__(self, fleet, name):
         self.name = name
@@ -104,7 +104,7 @@
 
 
 class _Fleet:
-    """Hosts of one domain over a store in memory."""
+    """Hosts of one domain that share a store in memory."""
 
     def __init__(self, hosts, upstreams):
         self.clock = VirtualClock()
@@ -118,13 +118,13 @@
         self.pass_by(4.0)
 
     def pass_by(self, seconds):
-        """Let virtual time pass."""
+        """Advance the virtual clock."""
         for _ in range(round(seconds / _STEP)):
             self.clock.advance(_STEP)
 
 
 def relay_cost(hosts, upstreams, seconds):
-    """Return process time, bytes and store calls a second of a domain."""
+    """Return the process time, bytes and store calls of a domain per second."""
     fleet = _Fleet(hosts, upstreams)
     calls = sum(fleet.store.calls.values())
     sent = sum(host.hub.bytes_sent() for host in fleet.hosts)
@@ -142,10 +142,10 @@
 
 
 def group_cost(groups):
-    """Return process time of a group, asker, owner and both hubs together."""
+    """Return the process time of a group at requester, owner and their hubs."""
     fleet = _Fleet(2, 0)
-    asker = [_client(fleet, host) for host in fleet.hosts][1]
-    ended = []
+    requester = [_client(fleet, host) for host in fleet.hosts][1]
+    completed = []
     began = time.process_time()
     for number in range(groups):
         due = fleet.clock.seconds() + _DUE
@@ -153,13 +153,13 @@
         group = Group(
             ident, _SERVICE, 0, _PIECES, key=ident, due=due, deadline=due
         )
-        asker.submit(group, None).addCallback(ended.append)
+        requester.submit(group, None).addCallback(completed.append)
         fleet.clock.advance(_STEP)
     fleet.pass_by(2.0)
     used = time.process_time() - began
     return {
-        'groups': len(ended),
-        'cpu_ms_group': round(used * _MS / max(1, len(ended)), 3),
+        'groups': len(completed),
+        'cpu_ms_group': round(used * _MS / max(1, len(completed)), 3),
     }
 
 
@@ -199,7 +199,7 @@
 def add_parser(benches):
     """Add ``bench shared``."""
     parser = benches.add_parser(
-        'shared', help='what hosts do for each other, simulated'
+        'shared', help='cost of the work that hosts share, simulated'
     )
     parser.add_argument('--hosts', default='2,10,42', help='of one domain')
     parser.add_argument('--upstreams', type=int, default=950)
@@ -209,7 +209,7 @@
 
 
 def run(arguments):
-    """Print the figures."""
+    """Print the measurements as JSON."""
     rows = [
         relay_cost(int(hosts), arguments.upstreams, arguments.seconds)
         for hosts in arguments.hosts.split(',')
