--- a/pollenstile/bench/crashes.py
+++ b/pollenstile/bench/crashes.py
@@ -1,10 +1,10 @@
-"""``pollenstile bench crashes``: how soon all hosts know what to refuse.
+"""``pollenstile bench crashes``: time until all hosts quarantine a request.
 
 Explanation
 ===========
 
-Whole hosts run in virtual time over upstreams that one request crashes. It
-comes at all hosts in turn while the store or the readers fail.
+Complete hosts run in virtual time over upstreams that one request crashes. The
+request is sent to all hosts in rotation while the store or the readers fail.
 """
 
 import json
@@ -13,20 +13,22 @@
 from pollenstile.bench._crashworld import DEADLY, CrashWorld
 from pollenstile.bench.lag import calm, ended, slow
 
-# Seconds that are looked at, with crashes and before.
+# Seconds of each measured period, with crashes and before them.
 _LOOKED = 10.0
-# Seconds between the caller's requests, and for which it comes.
+# Seconds between two sends of the crashing request.
 _PAUSE = 0.3
-_COMES = 9.0
+# Seconds for which the crashing request is sent.
+_SENDING_SECONDS = 9.0
 _UPSTREAMS = 12
-_FREE = 3
+# Crashes after which a request is quarantined.
+_CRASH_LIMIT = 3
 # Hosts and failure domains.
 _SIZES = '9/4,30/3,60/4,90/3,195/6'
 _MS = 1000
 
 
 def store_away(fleet):
-    """Refuse all calls of the store."""
+    """Refuse the store calls of all hosts."""
     for host in fleet.hosts.values():
         host.path.refuses = True
 
@@ -41,25 +43,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Spread:
-    """How a verdict reached the hosts.
+    """Measured propagation of a quarantine verdict to all hosts.
 
     Parameters
     ==========
 
     hosts, domains : int
-        Of the fleet.
+        The number of hosts and failure domains of the fleet.
     fault : str
-        What failed.
+        The name of the injected fault.
     ends : int
-        Upstreams that ended in all.
+        The number of upstreams that crashed.
     known_ms : int
-        From the third end until the last host refused the request.
+        Time from the third crash until the last host refuses the request.
     late : int
-        Sends that reached upstreams after that.
+        Requests that reached upstreams after this time.
     calm_host_bytes, host_bytes : int
-        Between hosts, for each: in 10 s before, and in the 10 s of the crashes.
+        Bytes sent to peers per host, in the 10 s before the crashes and in the
+        10 s of the crashes.
     calm_calls, calls : int
-        Of the store, by all hosts, in the same times.
+        Store calls of all hosts in the same two periods.
     """
 
     hosts: int
@@ -75,29 +78,29 @@
 
 
 def spread_of(hosts, domains, fault):
-    """Return the :class:`Spread` in a fleet under a fault."""
+    """Measure the :class:`Spread` of a verdict in a fleet under a fault."""
     world = CrashWorld(hosts, _UPSTREAMS, domains)
     fleet = world.fleet
     FAULTS[fault](fleet)
     fleet.pass_by(_LOOKED)
     calm_bytes, calm_calls = _costs(fleet, lambda: fleet.pass_by(_LOOKED))
-    # One failure domain after the other.
+    # By number, so that consecutive sends reach different failure domains.
     names = sorted((host.name for host in fleet.running()), key=_number)
-    world.repeat([DEADLY], _PAUSE, _COMES, names)
+    world.repeat([DEADLY], _PAUSE, _SENDING_SECONDS, names)
     unknown_at = [0.0]
 
-    def look():
+    def record_unknown():
         ends = world.ends_of(DEADLY)
         holding = [
             bool(host.core.quarantine.verdicts.all_held())
             for host in fleet.running()
         ]
-        if len(ends) >= _FREE and not all(holding):
+        if len(ends) >= _CRASH_LIMIT and not all(holding):
             unknown_at.append(fleet.clock.seconds())
 
-    sent, calls = _costs(fleet, lambda: fleet.pass_by(_LOOKED, look))
+    sent, calls = _costs(fleet, lambda: fleet.pass_by(_LOOKED, record_unknown))
     ends = world.ends_of(DEADLY)
-    known = max(0.0, unknown_at[-1] - ends[_FREE - 1])
+    known = max(0.0, unknown_at[-1] - ends[_CRASH_LIMIT - 1])
     return Spread(
         hosts,
         domains,
@@ -113,12 +116,19 @@
 
 
 def _number(name):
-    """Return a host's number; the next one is in another failure domain."""
+    """Return the number in a host name."""
     return int(name[1:])
 
 
 def _costs(fleet, pass_by):
-    """Return bytes for each host and calls of the store in some time."""
+    """Return the bytes sent per host and the store calls of a period.
+
+    Parameters
+    ==========
+
+    pass_by : function
+        Advances the virtual clock over the period.
+    """
     hosts = fleet.running()
     hubs = [host.daemon.parts.hub for host in hosts]
     before = sum(hub.bytes_sent() for hub in hubs)
@@ -132,17 +142,17 @@
     """Add ``bench crashes``."""
     parser = benches.add_parser(
         'crashes',
-        help='how soon hosts refuse what crashes upstreams, simulated',
+        help='time until hosts refuse requests that crash upstreams, simulated',
     )
     parser.add_argument('--sizes', default=_SIZES, help='hosts/domains')
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Print a line for each size and fault."""
+    """Print a JSON line for each fleet size and fault."""
     for size in arguments.sizes.split(','):
         hosts, domains = map(int, size.split('/'))
         for fault in FAULTS:
-            found = spread_of(hosts, domains, fault)
-            print(json.dumps(asdict(found)), flush=True)
+            spread = spread_of(hosts, domains, fault)
+            print(json.dumps(asdict(spread)), flush=True)
     return 0
--- a/pollenstile/bench/fleetworld.py
+++ b/pollenstile/bench/fleetworld.py
@@ -1,10 +1,11 @@
-"""Entry hosts' fleet code in virtual time, for benches and tests.
+"""Simulate the fleet code of entry hosts in virtual time.
 
 Explanation
 ===========
 
-Real hubs, sessions, tables and watches of several hosts run over virtual
-connections and stores in memory. No request is served here.
+The production hubs, sessions, tables and watches of several hosts run over
+virtual connections and stores in memory. Benchmarks and tests use this module;
+the simulated hosts serve no requests.
 """
 
 from dataclasses import replace
@@ -45,7 +46,7 @@
 
 
 class FleetUpstream:
-    """An upstream's own state, as its load report tells it."""
+    """State of a simulated upstream that its load reports contain."""
 
     __slots__ = ('asked', 'dead', 'leaving', 'number')
 
@@ -56,20 +57,20 @@
         self.asked = 0
 
     def load(self, name):
-        """Return what it states."""
+        """Return the load report of the upstream."""
         return Load(
             leaving=self.leaving,
             incarnation=f'{name}-{self.number}',
         )
 
     def restart(self):
-        """Let a new process take the name and the address."""
+        """Replace the process by a new one with this name and address."""
         self.number += 1
         self.leaving = False
 
 
 class FleetHost:
-    """One entry host and its parts."""
+    """One simulated entry host and its components."""
 
     __slots__ = ('address', 'domain', 'events', 'fleet', 'name', 'node')
 
@@ -83,31 +84,44 @@
 
     @property
     def version(self):
-        """The version in force."""
+        """The configuration version in force."""
         return self.node.in_force.version
 
     @property
     def table(self):
-        """What it knows of hosts and upstreams."""
+        """The table of known hosts and upstreams."""
         return self.fleet.table
 
     @property
     def hub(self):
-        """Its links to peers."""
+        """The hub with the links to peers."""
         return self.fleet.hub
 
     @property
     def tracker(self):
-        """What its routing reads."""
+        """The upstream tracker that routing reads."""
         return self.node.core.tracker
 
     def log(self, event, level='info', **fields):
-        """Keep a log line."""
+        """Record the name and the fields of a log event."""
         self.events.append((event.name, fields))
 
 
 def fleet_manifest(domains, upstreams, weight=1.0, teams=1):
-    """Return a manifest with a number of engines over some domains."""
+    """Return a manifest with engines spread over failure domains.
+
+    Parameters
+    ==========
+
+    domains : iterable of str
+        Names of the failure domains.
+    upstreams : int
+        The number of engines.
+    weight : float
+        The weight of each team.
+    teams : int
+        The number of teams.
+    """
     names = list(domains)
     engines = {}
     for number in range(upstreams):
@@ -134,27 +148,29 @@
 
 
 class FleetWorld:
-    """Hosts, their connections, the platform and the upstreams.
+    """Simulated hosts with their connections, platform and upstreams.
 
     Parameters
     ==========
 
     manifest : Manifest
-        What is in force at first; its domains are the fleet's.
+        The first configuration; it defines the failure domains of the fleet.
     hosts : int
-        How many entry hosts, spread over the domains.
+        The number of entry hosts, spread over the domains.
     seed : int
-        Of all random choices.
-    listed : bool
-        Whether host lists are read.
+        Seed of all random choices.
+    keep_events : bool
+        Whether hosts record their log events.
 
     Attributes
     ==========
 
     cut_platform : set of str
-        Domains that can't reach the platform.
+        Domains that cannot reach the platform.
     cut_pairs : set of frozenset
-        Pairs of domains between which nothing passes.
+        Pairs of domains that are partitioned from each other.
+    places : dict
+        Domain and address of each host, by name.
     """
 
     __slots__ = (
@@ -205,14 +221,14 @@
         self.seeds = [place[1] for place in self.places.values()][:_SEEDS]
 
     def put(self, text, if_version=None):
-        """Write a configuration; return a Deferred of the outcome."""
+        """Write a configuration and return a Deferred of the outcome."""
         value = {'text': text, 'apply': f'{self.random.getrandbits(64):x}'}
         return Deferred.fromCoroutine(
             self.store.put(CONFIG_KIND, CONFIG_NAME, value, if_version),
         )
 
     def start(self, name, key=None, boot=None):
-        """Start a host as a new process; return it."""
+        """Start a host as a new process and return it."""
         domain, address = self.places[name]
         self.starts += 1
         host = FleetHost(name, domain, address)
@@ -236,32 +252,50 @@
         return host
 
     def kill(self, name):
-        """End a host without a word."""
+        """End the process of a host without notifying peers."""
         host = self.hosts.pop(name)
         host.fleet.hub.stopped = True
         host.fleet.stop()
         return host
 
     def leave(self, name):
-        """Let a host leave and end, as a restart does."""
+        """Let a host announce that it leaves, then stop it, as in a restart."""
         self.hosts[name].fleet.leave()
         self.run(1.0)
         host = self.hosts.pop(name)
         host.fleet.stop()
 
     def run(self, seconds):
-        """Let time pass, in steps that round up the way of each message."""
+        """Advance the virtual clock in steps.
+
+        Explanation
+        ===========
+
+        Each message is delivered at the end of a step, so its latency is
+        rounded up to a multiple of the step.
+        """
         for _ in range(round(seconds / STEP)):
             self.clock.advance(STEP)
 
     def run_until(self, condition, most, step=STEP):
-        """Let time pass until a condition holds.
+        """Advance the virtual clock until a condition holds.
+
+        Parameters
+        ==========
+
+        condition : function
+            Returns whether to stop.
+        most : float
+            Limit of the waiting time in seconds.
+        step : float
+            Seconds of each step of the clock.
 
         Returns
         =======
 
         float or None
-            Seconds that it took; None when it was more than ``most``.
+            Elapsed seconds; None if the condition does not hold within
+            ``most`` seconds.
         """
         started = self.clock.seconds()
         while not condition():
@@ -271,22 +305,22 @@
         return self.clock.seconds() - started
 
     def versions(self):
-        """Return the version in force at each host."""
+        """Return the configuration version in force at each host."""
         return {name: host.version for name, host in self.hosts.items()}
 
     def all_have(self, version):
-        """Return whether every running host has a version in force."""
+        """Return whether a version is in force at every running host."""
         return set(self.versions().values()) == {version}
 
     def givers(self, upstream):
-        """Return the hosts that would give an upstream new work."""
+        """Return the names of the hosts that would send work to an upstream."""
         now = self.clock.seconds()
-        found = []
+        givers = []
         for name, host in self.hosts.items():
             state = host.tracker.state(upstream)
             if not state.leaving and state.ejected_until <= now:
-                found.append(name)
-        return found
+                givers.append(name)
+        return givers
 
     def _settings(self, host, key):
         return SimpleNamespace(
@@ -294,8 +328,8 @@
             domain=host.domain,
             max_running=100,
             peer_key=key,
-            peer_listen=_parted(host.address),
-            peers=[_parted(seed) for seed in self.seeds],
+            peer_listen=_split_address(host.address),
+            peers=[_split_address(seed) for seed in self.seeds],
         )
 
     def _store(self, host, random, log):
@@ -329,18 +363,18 @@
         hub = self.wires.hubs.get(address)
         return hub.hello.domain if hub else ''
 
-    def _latency(self, one, other):
-        if self._domain_of(one) == self._domain_of(other):
+    def _latency(self, origin, address):
+        if self._domain_of(origin) == self._domain_of(address):
             return NEAR_LATENCY
         return DOMAIN_LATENCY
 
-    def _is_cut(self, one, other):
-        pair = frozenset((self._domain_of(one), self._domain_of(other)))
+    def _is_cut(self, origin, address):
+        pair = frozenset((self._domain_of(origin), self._domain_of(address)))
         return pair in self.cut_pairs
 
 
 def started_world(manifest, hosts, seed=1, **options):
-    """Return a world whose hosts all have the first version in force."""
+    """Return a world after the first configuration is in force everywhere."""
     world = FleetWorld(manifest, hosts, seed, **options)
     world.put(text_from_manifest(manifest), 0)
     for name in world.places:
@@ -350,17 +384,17 @@
 
 
 def changed_text(manifest, **changes):
-    """Return the text of a manifest with some fields changed."""
+    """Return the text of a manifest with changed fields."""
     return text_from_manifest(replace(manifest, **changes))
 
 
 def cut_domain(world, domain):
-    """Cut a domain from all other domains."""
+    """Partition a domain from all other domains."""
     for other in world.manifest.domains:
         if other != domain:
             world.cut_pairs.add(frozenset((domain, other)))
 
 
-def _parted(address):
+def _split_address(address):
     host, _, port = address.rpartition(':')
     return host, int(port)
--- a/pollenstile/bench/policies.py
+++ b/pollenstile/bench/policies.py
@@ -1,4 +1,4 @@
-"""The policy in force and the baselines that it is measured against."""
+"""Define the production policy and the baselines of the policy benchmark."""
 
 from dataclasses import dataclass
 
@@ -7,15 +7,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Policy:
-    """How hosts of a run are built.
+    """A variant of admission, routing and hedging that a run measures.
 
     Parameters
     ==========
 
     name : str
-        For the table.
+        The name in the printed table.
     apply : function
-        Changes a node before it has a configuration.
+        Modifies a node before its first configuration.
     hedge : bool
         Whether idempotent stages are hedged.
     """
@@ -26,22 +26,22 @@
 
 
 class _Unlimited:
-    """Admission that lets every request start."""
+    """Admission control that admits every request."""
 
     __slots__ = ()
 
     async def admit(self, request):
-        """Return None."""
+        """Admit the request at once."""
 
     def request_ended(self, request):
-        """Note nothing."""
+        """Do nothing when a request ends."""
 
     def stage_ended(self, request, stage):
-        """Note nothing."""
+        """Do nothing when a stage ends."""
 
 
 def _as_built(node):
-    """Change nothing."""
+    """Leave the node unchanged."""
 
 
 def _without_admission(node):
--- a/pollenstile/bench/stages.py
+++ b/pollenstile/bench/stages.py
@@ -1,12 +1,12 @@
-"""How much stage work gets through in time, by load and by who batches.
+"""``pollenstile bench stages``: stage throughput by load and batching mode.
 
 Explanation
 ===========
 
-The queue, the chain and the admission are the product's; upstreams and time
-are virtual. The loads are those of two sheets, with the rates, pieces and sizes
-that they name: a repair desk's summaries, drafts and tags, and a lesson desk's
-plans, advice and chats.
+The queue, the chain and the admission control are the production code;
+upstreams and time are virtual. There are two workloads with their own rates,
+pieces and result sizes: the summaries, drafts and tags of a repair desk, and
+the plans, advice and chats of a lesson desk.
 """
 
 import json
@@ -29,7 +29,7 @@
 
 
 def _chain(records, bytes_per_record, bytes_per_rank):
-    """Return the steps of a request that needs all three stages in a row."""
+    """Return the steps of a request that runs all three stages in sequence."""
     return (
         (_INTAKE, (), records),
         (_PORTAL, (0,), bytes_per_record),
@@ -39,18 +39,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Desk:
-    """A load: services, and the requests that need them.
+    """A workload: stage services and the requests that use them.
 
     Parameters
     ==========
 
     services : dict
-        :class:`~pollenstile.routes.StageLimits` by name.
+        :class:`~pollenstile.routes.StageLimits` by service name.
     upstreams : int
-        Of each service.
+        The number of upstreams of each service.
     rates : tuple of tuple
-        Route, requests a second, deadline in seconds, and functions that draw
-        the pieces of each step and the seconds until the results are read.
+        Route, requests per second, deadline in seconds, and functions that
+        draw the pieces of each step and the seconds until the results are read.
     """
 
     services: dict
@@ -76,7 +76,7 @@
 
 
 def _plan_read(rng):
-    # One prompt in four is large, and leaves half the time for the stage.
+    # One prompt in four is large, which leaves half the time for the stage.
     return rng.choice((0.15, 0.2, 0.25, 0.55))
 
 
@@ -97,7 +97,7 @@
         (TAG, 9.1, 6.0, _repair_pieces, _usual_read),
     ),
 )
-# Shorter calls and aims, few upstreams, results of 3 MB.
+# Shorter calls and target latencies, fewer upstreams, results of 3 MB.
 PLAN = stage_route('plan', 1.0, 0, [(_INTAKE, (), 3_000_000)])
 ADVICE = stage_route('advice', 2.2, 1, _REPAIR_CHAIN)
 CHAT = stage_route('chat', 2.4, 2, _REPAIR_CHAIN)
@@ -115,35 +115,35 @@
     ),
 )
 DESKS = {'repair': REPAIR, 'lesson': LESSON}
-# Seconds in which drafts and tags are to be through their stages.
+# Seconds within which drafts and tags should complete their stages.
 IN_TIME = 1.6
-# Seconds after the last arrival until all has ended.
+# Seconds after the last arrival within which all requests end.
 _TAIL = 16.0
-# Kinds of requests without a chain of stages.
+# Names of the routes with a single stage.
 _SINGLE = frozenset((SUMMARY.name, PLAN.name))
 _HOSTS = 9
-# Requests are spread over hosts by a number below this.
+# Exclusive limit of the random number that assigns a request to a host.
 _MOST_HOSTS = 360
-# Seconds of arrivals of a load whose hosts lose power.
+# Seconds of arrivals in a run in which hosts lose power.
 _LOSS_SECONDS = 16.0
-# Seconds between two hosts, one way.
+# One-way latency between two hosts, in seconds.
 _WAY = 0.0015
 
 
 def played(load, seconds=30.0, seed=1, owners=1, desk=REPAIR):
-    """Play a load and return its requests.
+    """Run a workload over shared or separate queues; return its requests.
 
     Parameters
     ==========
 
     load : float
-        Times the sheet's rates.
+        Multiplier of the request rates of the workload.
     seconds : float
         Virtual time of arrivals.
     owners : int
-        Queues of each service; 1, or one a host.
+        The number of queues of each service: 1, or the number of hosts.
     desk : Desk
-        Whose load it is.
+        The workload.
 
     Returns
     =======
@@ -161,14 +161,14 @@
 
 
 def played_by_hosts(load, hosts, seconds=20.0, seed=1, *, owners_die=False):
-    """Play a load over hosts with real hubs; return its requests.
+    """Run the repair workload over hosts with real hubs; return its requests.
 
     Parameters
     ==========
 
     owners_die : bool
-        Whether the hosts that own the first and the last stage lose power, at
-        a quarter and at a half of the time; their own requests end with them.
+        Whether the hosts that own the first and the last stage lose power,
+        after a quarter and after half of the time. Their own requests are lost.
     """
     fleet = HostFleet(REPAIR.services, hosts, _WAY)
     if owners_die:
@@ -178,15 +178,22 @@
 
 
 def played_with_losses(load, hosts, share, after, away, seed=1):
-    """Play a load over hosts of which many lose power; return its requests.
+    """Run the repair workload while many hosts lose power at the same time.
 
     Parameters
     ==========
 
     share : float
-        Of the hosts, that lose power at once.
-    after, away : float
-        Seconds until then, and until they have started again.
+        The share of the hosts that lose power.
+    after : float
+        Seconds until the power loss.
+    away : float
+        Seconds from the power loss until the hosts start again.
+
+    Returns
+    =======
+
+    list of Served
     """
     fleet = HostFleet(REPAIR.services, hosts, _WAY)
     fleet.lose_hosts(share, after, away)
@@ -207,7 +214,7 @@
 
 
 def _arrivals(rng, desk, load, seconds):
-    """Return the moment and the rest of each request, in order."""
+    """Return the arrival time and the parameters of each request, sorted."""
     arrivals = [
         (moment, route, *request)
         for route, rate, *request in desk.rates
@@ -231,17 +238,23 @@
 
 
 def summed(requests):
-    """Return figures of a played load, as a document."""
-    chained = [one for one in requests if one.kind not in _SINGLE]
-    through = [one for one in chained if (one.staged or _TAIL) <= IN_TIME]
+    """Return the statistics of a simulated load as a JSON document."""
+    chained = [served for served in requests if served.kind not in _SINGLE]
+    in_time = [
+        served for served in chained if (served.staged or _TAIL) <= IN_TIME
+    ]
     in_aim = [
-        one for one in requests if (one.staged or _TAIL) + one.read <= one.aim
+        served
+        for served in requests
+        if (served.staged or _TAIL) + served.read <= served.aim
+    ]
+    refused = [served for served in requests if served.refused]
+    at_once = [
+        served for served in refused if served.refused_after <= served.aim / 8
     ]
-    refused = [one for one in requests if one.refused]
-    at_once = [one for one in refused if one.refused_after <= one.aim / 8]
     return {
         'requests': len(requests),
-        'in_time': round(len(through) / max(1, len(chained)), 3),
+        'in_time': round(len(in_time) / max(1, len(chained)), 3),
         'in_aim': round(len(in_aim) / max(1, len(requests)), 3),
         'in_aim_number': len(in_aim),
         'refused': len(refused),
@@ -259,18 +272,18 @@
         '--desk',
         choices=sorted(DESKS),
         default='repair',
-        help='whose load (default: repair)',
+        help='workload (default: repair)',
     )
     parser.add_argument(
         '--hosts',
         default='',
-        help='play these numbers of hosts with real hubs, such as 9,65,340',
+        help='simulate these numbers of hosts with real hubs, e.g. 9,65,340',
     )
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Print figures by load, for one queue a stage and for hosts alone."""
+    """Print statistics by load, for a shared queue and for separate queues."""
     if arguments.hosts:
         return _run_hosts(arguments)
     rows = {}
