--- a/pollenstile/bench/_sticky.py
+++ b/pollenstile/bench/_sticky.py
@@ -1,36 +1,37 @@
-"""Rules of re-placement that the bench sets beside the plain one.
+"""Alternative re-placement rules that the benchmark compares.
 
 Explanation
 ===========
 
-Sticky: engines keep their models unless much is gained. Idle-gated: a busy
-model is not drained. Pressed: nothing changes before calls queue.
+Sticky: engines keep their models unless a change has a large benefit.
+Idle-gated: a model with calls in flight is not drained. Pressed: the placement
+does not change until calls queue.
 
 References
 ==========
 
 LLMKube, ModelPool: cross-pod sticky model swapping on a shared GPU slot,
-pull request by sylvainsf: the resident model stays until another is asked
-for, and is never taken down while it is busy.
+pull request by sylvainsf: the resident model stays until another model is
+requested, and is never unloaded while it is busy.
 """
 
 from pollenstile.placement import compute_placement
 
 
 def sticky_placement(gain):
-    """Return a function like ``compute_placement`` that changes little.
+    """Return a variant of ``compute_placement`` that avoids changes.
 
     Explanation
     ===========
 
-    The plain plan is taken over only where it lowers the highest demand for
-    each replica by a factor, or where a model has no engine at present.
+    The plain plan is adopted only if it lowers the highest demand per replica
+    by more than a factor, or if a model has no engine in the present placement.
 
     Parameters
     ==========
 
     gain : float
-        Factor from which a change is worth its loads.
+        The factor above which a change is worth its model loads.
     """
 
     def placement(engines, sizes, demand, held):
@@ -39,8 +40,10 @@
         for name, facts in engines.items():
             models = held.get(name, ())
             kept[name] = tuple(sorted(set(models) & set(facts.models)))
-        before = _highest(kept, plain, demand)
-        if before is None or before > gain * _highest(plain, plain, demand):
+        before = _highest_demand(kept, plain, demand)
+        if before is None or before > gain * _highest_demand(
+            plain, plain, demand
+        ):
             return plain
         return kept
 
@@ -48,23 +51,23 @@
 
 
 def when_pressed(share):
-    """Return a function that says whether some model's engines are busy.
+    """Return a function that checks whether the engines of a model are busy.
 
     Parameters
     ==========
 
     share : float
-        Calls in flight for each slot, over a model's engines, from which a
-        change is worth its loads; above 1 calls queue.
+        Calls in flight per slot, over the engines of a model, from which a
+        change is worth its model loads; above 1 calls queue.
     """
 
     def pressed(engines, states):
-        return any(busy >= share for busy in _busyness(engines, states))
+        return any(busy >= share for busy in _utilizations(engines, states))
 
     return pressed
 
 
-def _busyness(engines, states):
+def _utilizations(engines, states):
     slots = {}
     calls = {}
     for name, state in states.items():
@@ -76,12 +79,12 @@
 
 
 def idle_only(state, models):
-    """Return whether none of the models has a call at the engine."""
+    """Return whether no model has a call in flight at the engine."""
     return not any(state.running.get(model) for model in models)
 
 
-def _highest(placement, plain, demand):
-    """Return the highest demand for a replica, None when a model has none."""
+def _highest_demand(placement, plain, demand):
+    """Return the highest demand per replica; None if a model has no replica."""
     highest = 0.0
     placed = sorted({model for models in plain.values() for model in models})
     for model in placed:
--- a/pollenstile/bench/_storepath.py
+++ b/pollenstile/bench/_storepath.py
@@ -1,41 +1,41 @@
-"""One host's way to a store, which can be refused or fall silent."""
+"""Wrap a store so that the calls of one host can fail or stay unanswered."""
 
 from collections import Counter
 
 from pollenstile.platform import NotApplied, Unavailable, paused
 
-# Seconds after which a call that gets no answer is given up.
+# Seconds after which an unanswered call fails.
 _SILENT_SECONDS = 2.5
-# Seconds after which a host that the store serves again is in touch with it.
+# Seconds after the end of a fault until the host counts as in contact again.
 _CONTACT_SECONDS = 3.0
 _STEP = 'call'
 _PEER = 'store'
 
 
 class StorePath:
-    """One host's way to the store.
+    """Connection of one host to the store, with injected faults.
 
     Parameters
     ==========
 
     store : Store
-        Behind the way.
+        The wrapped store.
     clock : IReactorTime
-        Times what gets no answer.
+        Measures the timeout of unanswered calls.
 
     Attributes
     ==========
 
     refuses : bool
-        Whether calls are refused at once.
+        Whether calls fail at once.
     silent : bool
-        Whether calls get no answer.
+        Whether calls stay unanswered until they time out.
     back_at : float
-        On the clock: when the store served this host again.
+        Time on the clock at which the last fault ended.
     calls : int
-        That were made.
+        The number of calls.
     kinds : Counter
-        Calls by the kind of the objects.
+        The number of calls by kind of object.
     """
 
     __slots__ = (
@@ -58,19 +58,19 @@
         self.kinds = Counter()
 
     def serve_again(self):
-        """Let all calls pass from now on."""
+        """End all faults."""
         self.refuses = False
         self.silent = False
         self.back_at = self.clock.seconds()
 
     def is_in_touch(self):
-        """Return whether the store has served this host for long enough."""
+        """Return whether the host has had no fault for the contact time."""
         served_for = self.clock.seconds() - self.back_at
         is_out = self.refuses or self.silent
         return not is_out and served_for >= _CONTACT_SECONDS
 
     def is_answering(self):
-        """Return that no answer is half in: they come whole."""
+        """Return False, as no answer is ever partly received."""
         return False
 
     def get(self, *arguments):
--- a/pollenstile/bench/fleet.py
+++ b/pollenstile/bench/fleet.py
@@ -1,11 +1,11 @@
-"""``pollenstile bench fleet``: configuration, leaving and cost of control.
+"""``pollenstile bench fleet``: propagation times and control plane cost.
 
 Explanation
 ===========
 
-Real fleet code of many hosts runs in virtual time, so the times are exact
-and the same on every machine; processor time is what this machine took for a
-virtual second, the virtual clock's own work included.
+The production fleet code of many hosts runs in virtual time, so the times are
+exact and the same on every machine. Processor time is the real time that this
+machine takes for a virtual second; it includes the work of the virtual clock.
 """
 
 import json
@@ -33,13 +33,13 @@
 _MEMORY_HOSTS = 9
 _IDLE_SECONDS = 30.0
 _FINE_STEP = 0.001
-_MOST = 30.0
+_TIME_LIMIT = 30.0
 _CHANGES = 5
 _LEAVING = 8
 _SEED = 1
 _MS = 1000
 _KB = 1024
-_NAMES = (
+_FITTED_FIELDS = (
     'store_calls',
     'sent_bytes',
     'polls',
@@ -51,32 +51,34 @@
 
 @dataclass(slots=True)
 class Case:
-    """What was measured at one size.
+    """Measurements at one fleet size.
 
     Parameters
     ==========
 
     hosts, upstreams : int
-        The size.
+        The number of hosts and upstreams.
     apply_seconds, cut_seconds : float
-        From the write to in force everywhere, the slowest of five; with all
-        well, and with one domain cut from the platform.
+        Maximum time, over five changes, from the write of a configuration
+        until it is in force at all hosts; without faults, and with one domain
+        cut off from the platform.
     leaving_seconds, outage_seconds : float
-        From the upstream's own leaving to the last host that would give it
-        work, the slowest of eight; with all well, and with the platform down.
+        Maximum time, over eight upstreams in total, from the moment an upstream
+        starts to leave until no host would send it work; without faults, and
+        with the platform down.
     store_calls : float
-        Calls to the object API a second, of the whole fleet.
+        Calls of the object API per second by the whole fleet.
     sent_bytes : float
-        Bytes sent to peers a second and host, nothing happening.
+        Bytes sent to peers per second and host in an idle fleet.
     polls : float
-        Polls of upstreams a second and host.
+        Polls of upstreams per second and host.
     cpu_ms : float
-        Processor milliseconds a second and host, nothing happening.
+        Processor milliseconds per second and host in an idle fleet.
     change_bytes, leaving_bytes : float
-        Bytes sent to peers by a host for one change of the configuration, and
-        for one upstream that leaves.
+        Bytes sent to peers per host for one configuration change, and for one
+        leaving upstream.
     links : float
-        Mean links of a host.
+        Mean number of links of a host.
     """
 
     hosts: int
@@ -96,46 +98,50 @@
 
 @dataclass(slots=True)
 class Spread:
-    """How news spread: the slowest time, and mean bytes sent by a host."""
+    """Maximum time and mean bytes per host to propagate a change."""
 
     seconds: float = 0
     sent: float = 0
 
 
 def add_parser(benches):
-    """Add the bench."""
-    parser = benches.add_parser('fleet', help='control of many entry hosts')
-    parser.add_argument('--hosts', default=_HOSTS, help='with commas')
+    """Add ``bench fleet``."""
+    parser = benches.add_parser(
+        'fleet', help='control plane of many entry hosts'
+    )
+    parser.add_argument(
+        '--hosts', default=_HOSTS, help='numbers of hosts, comma-separated'
+    )
     parser.add_argument(
         '--upstreams',
         default=_UPSTREAMS,
-        help=f'with commas, at {_FIXED_HOSTS} hosts',
+        help=f'numbers of upstreams at {_FIXED_HOSTS} hosts, comma-separated',
     )
     parser.add_argument(
         '--whole',
         default='',
-        help='one more size, HOSTS:UPSTREAMS, over eight domains',
+        help='an additional size, HOSTS:UPSTREAMS, over eight domains',
     )
     parser.add_argument('--seed', type=int, default=_SEED)
-    parser.add_argument('--output', help='file for the results, as JSON')
+    parser.add_argument('--output', help='file for the results in JSON')
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Measure, print and write the results; return the exit code."""
+    """Run the benchmark, print and write results, and return an exit code."""
     seed = arguments.seed
     by_hosts = []
     for hosts in _numbers(arguments.hosts):
-        by_hosts.append(_measured(hosts, _FIXED_UPSTREAMS, seed))
+        by_hosts.append(_measure_case(hosts, _FIXED_UPSTREAMS, seed))
         print(_line(by_hosts[-1]), flush=True)
     by_upstreams = []
     for upstreams in _numbers(arguments.upstreams):
-        by_upstreams.append(_measured(_FIXED_HOSTS, upstreams, seed))
+        by_upstreams.append(_measure_case(_FIXED_HOSTS, upstreams, seed))
         print(_line(by_upstreams[-1]), flush=True)
     whole = []
     if arguments.whole:
         sizes = [int(part) for part in arguments.whole.split(':')]
-        whole.append(_measured(*sizes, seed, _MORE_DOMAINS))
+        whole.append(_measure_case(*sizes, seed, _MORE_DOMAINS))
         print(_line(whole[-1]), flush=True)
     document = {
         'seed': seed,
@@ -174,29 +180,29 @@
 
 
 def _slopes(cases, size):
-    """Return slope and intercept of each measure over the size."""
-    found = {}
+    """Return the slope and intercept of each measurement over the size."""
+    slopes = {}
     if len(cases) < 2:
-        return found
+        return slopes
     sizes = [getattr(case, size) for case in cases]
-    for name in _NAMES:
+    for name in _FITTED_FIELDS:
         fit = linear_regression(sizes, [getattr(case, name) for case in cases])
-        found[name] = [round(fit.slope, 6), round(fit.intercept, 3)]
-    return found
+        slopes[name] = [round(fit.slope, 6), round(fit.intercept, 3)]
+    return slopes
 
 
-def _measured(hosts, upstreams, seed, domains=_DOMAINS):
+def _measure_case(hosts, upstreams, seed, domains=_DOMAINS):
     manifest = fleet_manifest(domains, upstreams)
     world = started_world(manifest, hosts, seed, keep_events=False)
     world.run(_IDLE_SECONDS)
     case = Case(hosts, upstreams)
     _measure_idle(world, case)
-    spread = _applied(world, 'all-well')
+    spread = _measure_changes(world, 'all-well')
     case.apply_seconds = spread.seconds
     case.change_bytes = spread.sent
     world.cut_platform.add(_DOMAINS[0])
     world.run(3)
-    case.cut_seconds = _applied(world, 'one-cut').seconds
+    case.cut_seconds = _measure_changes(world, 'one-cut').seconds
     world.cut_platform.clear()
     _measure_leaving(world, case, Random(seed))
     return case
@@ -204,84 +210,88 @@
 
 def _measure_idle(world, case):
     calls = world.store.calls.total()
-    sent = _sent(world)
-    polls = _polls(world)
+    sent = _total_sent_bytes(world)
+    polls = _total_polls(world)
     started = time.process_time()
     world.run(_IDLE_SECONDS)
     took = time.process_time() - started
     each = _IDLE_SECONDS * case.hosts
     case.cpu_ms = took * _MS / each
     case.store_calls = (world.store.calls.total() - calls) / _IDLE_SECONDS
-    case.sent_bytes = (_sent(world) - sent) / each
-    case.polls = (_polls(world) - polls) / each
+    case.sent_bytes = (_total_sent_bytes(world) - sent) / each
+    case.polls = (_total_polls(world) - polls) / each
     links = [len(host.hub.links) for host in world.hosts.values()]
     case.links = sum(links) / case.hosts
 
 
-def _applied(world, name):
-    """Return how several changes spread."""
+def _measure_changes(world, name):
+    """Apply several configuration changes and return their Spread."""
     spread = Spread()
     for number in range(_CHANGES):
         version = world.store.objects.found('config', 'manifest').version
         text = changed_text(world.manifest, name=f'{name}-{number}')
-        before = _sent(world)
+        before = _total_sent_bytes(world)
         world.put(text, version)
         took = _time_until(world, partial(world.all_have, version + 1))
         spread.seconds = max(spread.seconds, took)
-        spread.sent += (_sent(world) - before) / _CHANGES / len(world.hosts)
+        spread.sent += (
+            (_total_sent_bytes(world) - before) / _CHANGES / len(world.hosts)
+        )
         world.run(2.5)
     return spread
 
 
 def _measure_leaving(world, case, random):
     names = sorted(world.upstreams)
-    covered = {host.domain for host in world.hosts.values()}
+    host_domains = {host.domain for host in world.hosts.values()}
     pool = world.manifest.pools['engines'].upstreams
-    names = [name for name in names if pool[name].domain in covered]
+    names = [name for name in names if pool[name].domain in host_domains]
     chosen = random.sample(names, _LEAVING)
-    spread = _left(world, random, chosen[: _LEAVING // 2])
+    spread = _leave_upstreams(world, random, chosen[: _LEAVING // 2])
     case.leaving_seconds = spread.seconds
     case.leaving_bytes = spread.sent
     world.store.down = True
     world.list.down = True
     world.run(10)
-    spread = _left(world, random, chosen[_LEAVING // 2 :])
+    spread = _leave_upstreams(world, random, chosen[_LEAVING // 2 :])
     case.outage_seconds = spread.seconds
 
 
-def _left(world, random, names):
+def _leave_upstreams(world, random, names):
     spread = Spread()
     for name in names:
-        # At any moment of the pollers' period.
+        # The random delay starts leaving at a random phase of the poll period.
         world.run(2 + 2 * random.random())
-        before = _sent(world)
+        before = _total_sent_bytes(world)
         world.upstreams[name].leaving = True
-        took = _time_until(world, partial(_is_left, world, name))
+        took = _time_until(world, partial(_is_unused, world, name))
         spread.seconds = max(spread.seconds, took)
-        spread.sent += (_sent(world) - before) / len(names) / len(world.hosts)
+        spread.sent += (
+            (_total_sent_bytes(world) - before) / len(names) / len(world.hosts)
+        )
     return spread
 
 
-def _is_left(world, name):
+def _is_unused(world, name):
     return not world.givers(name)
 
 
 def _time_until(world, condition):
-    took = world.run_until(condition, _MOST, _FINE_STEP)
+    took = world.run_until(condition, _TIME_LIMIT, _FINE_STEP)
     return float('inf') if took is None else took
 
 
-def _sent(world):
+def _total_sent_bytes(world):
     return sum(host.hub.bytes_sent() for host in world.hosts.values())
 
 
-def _polls(world):
+def _total_polls(world):
     return sum(upstream.asked for upstream in world.upstreams.values())
 
 
 def _memory(seed):
-    """Return traced kilobytes of a host, by upstreams and by hosts."""
-    found = {}
+    """Return the traced kilobytes per host, by hosts and upstreams."""
+    host_kilobytes = {}
     for hosts, upstreams in (
         (_MEMORY_HOSTS, _FIXED_UPSTREAMS),
         (_MEMORY_HOSTS, 10 * _FIXED_UPSTREAMS),
@@ -294,5 +304,5 @@
         traced = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
         each = traced / hosts / _KB
-        found[f'{hosts} hosts {upstreams} upstreams'] = round(each, 1)
-    return found
+        host_kilobytes[f'{hosts} hosts {upstreams} upstreams'] = round(each, 1)
+    return host_kilobytes
--- a/pollenstile/bench/fleetpoll.py
+++ b/pollenstile/bench/fleetpoll.py
@@ -1,4 +1,4 @@
-"""What one poll of an upstream costs, over loopback."""
+"""Measure the cost of a poll of an upstream over loopback."""
 
 import time
 from dataclasses import dataclass
@@ -18,15 +18,15 @@
 
 @dataclass(slots=True)
 class PollCost:
-    """One poll.
+    """Cost of one poll.
 
     Parameters
     ==========
 
     sent, received : float
-        Bytes of HTTP, seen from the host.
+        Bytes of HTTP that the polling host sends and receives.
     cpu_ms : float
-        Processor milliseconds, the answering side included.
+        Processor milliseconds, including those of the polled server.
     """
 
     sent: float
@@ -34,32 +34,32 @@
     cpu_ms: float
 
 
-class _Counted(ProtocolWrapper):
+class _CountingProtocol(ProtocolWrapper):
     def dataReceived(self, content):
-        self.factory.taken += len(content)
+        self.factory.bytes_received += len(content)
         super().dataReceived(content)
 
     def write(self, content):
-        self.factory.given += len(content)
+        self.factory.bytes_sent += len(content)
         super().write(content)
 
     def writeSequence(self, parts):
-        self.factory.given += sum(len(part) for part in parts)
+        self.factory.bytes_sent += sum(len(part) for part in parts)
         super().writeSequence(parts)
 
 
-class _Counter(WrappingFactory):
-    protocol = _Counted
+class _CountingFactory(WrappingFactory):
+    protocol = _CountingProtocol
     noisy = False
 
     def __init__(self, site):
         super().__init__(site)
-        self.taken = 0
-        self.given = 0
+        self.bytes_received = 0
+        self.bytes_sent = 0
 
 
 def poll_cost():
-    """Return the mean cost of a poll over a kept connection."""
+    """Return the mean cost of a poll over a persistent connection."""
     from twisted.internet import reactor  # noqa: WPS433
 
     return result_of(reactor, lambda: _measured(reactor))
@@ -67,23 +67,23 @@
 
 async def _measured(reactor):
     server = PlainServer(reactor, 'p1', work=0, most=_SLOTS)
-    counter = _Counter(site_for(PlainResource(server), reactor))
+    counter = _CountingFactory(site_for(PlainResource(server), reactor))
     port = reactor.listenTCP(0, counter, interface='127.0.0.1')
     address = f'127.0.0.1:{port.getHost().port}'
     upstream = SimpleNamespace(address=address)
     read_load = http_load_reader(reactor)
     await read_load('p1', upstream)
-    counter.taken = 0
-    counter.given = 0
+    counter.bytes_received = 0
+    counter.bytes_sent = 0
     started = time.process_time()
     for _ in range(_ROUNDS):
         load = await read_load('p1', upstream)
         if load is None:
-            raise RuntimeError('the stand-in did not answer')
+            raise RuntimeError('the simulated upstream did not answer')
     took = time.process_time() - started
     await port.stopListening()
     return PollCost(
-        counter.taken / _ROUNDS,
-        counter.given / _ROUNDS,
+        counter.bytes_received / _ROUNDS,
+        counter.bytes_sent / _ROUNDS,
         took * _MS / _ROUNDS,
     )
--- a/pollenstile/bench/summary.py
+++ b/pollenstile/bench/summary.py
@@ -1,28 +1,28 @@
-"""Readable summaries of results."""
+"""Format the results of a load run as a table."""
 
 from collections import Counter, defaultdict
 
 
 def _quantile(values, share):
     ordered = sorted(values)
-    place = min(len(ordered) - 1, int(share * len(ordered)))
-    return ordered[place]
+    index = min(len(ordered) - 1, int(share * len(ordered)))
+    return ordered[index]
 
 
 def summary_lines(manifest, results):
-    """Return lines: attainment, outcomes and latency by pipeline, and cost.
+    """Return lines of attainment and latency by pipeline, and cost by stage.
 
     Parameters
     ==========
 
     manifest : Manifest
-        For deadlines.
+        The manifest with the deadlines of the pipelines.
     results : list of Result
-        What callers got.
+        The results of all requests.
     """
     by_pipeline = defaultdict(list)
-    for one in results:
-        by_pipeline[one.pipeline].append(one)
+    for entry in results:
+        by_pipeline[entry.pipeline].append(entry)
     lines = [
         f'{"pipeline":18} {"sent":>5} {"in time":>8} {"p50 s":>7} '
         f'{"p95 s":>7}  outcomes',
@@ -37,23 +37,23 @@
 
 
 def _line(name, deadline, results):
-    times = [one.seconds for one in results]
+    times = [entry.seconds for entry in results]
     good = 0
-    for one in results:
-        if one.answer.outcome == 'answered' and one.seconds <= deadline:
+    for entry in results:
+        if entry.answer.outcome == 'answered' and entry.seconds <= deadline:
             good += 1
-    outcomes = Counter(one.answer.outcome for one in results)
-    told = ', '.join(f'{key} {number}' for key, number in outcomes.items())
+    outcomes = Counter(entry.answer.outcome for entry in results)
+    counts = ', '.join(f'{key} {number}' for key, number in outcomes.items())
     return (
         f'{name:18} {len(results):5} {good / len(results):8.1%} '
-        f'{_quantile(times, 0.5):7.3f} {_quantile(times, 0.95):7.3f}  {told}'
+        f'{_quantile(times, 0.5):7.3f} {_quantile(times, 0.95):7.3f}  {counts}'
     )
 
 
 def _cost_lines(results):
     cost = Counter()
-    for one in results:
-        cost.update(one.answer.document.get('cost', {}))
+    for entry in results:
+        cost.update(entry.answer.document.get('cost', {}))
     total = sum(cost.values()) or 1
     lines = []
     for stage, amount in cost.most_common():
