--- a/pollenstile/bench/forwarder.py
+++ b/pollenstile/bench/forwarder.py
@@ -1,10 +1,11 @@
-"""A bare forwarder: the floor that the entry host is measured against.
+"""Minimal HTTP forwarder, the baseline for the cost of the entry host.
 
 Explanation
 ===========
 
-The same library's server and client, one pooled call for each request, bytes
-passed on as they come. It decides nothing, checks nothing and keeps nothing.
+The forwarder uses the server and the client of the same library, makes one call
+over a connection pool for each request, and forwards received bytes at once. It
+makes no routing decisions, validates nothing and keeps no state.
 """
 
 from twisted.internet.protocol import Protocol
@@ -16,28 +17,28 @@
 from pollenstile.ops.agents import agent_for
 from pollenstile.ops.body import BytesProducer
 
-# As many idle connections as the entry host keeps.
-_PER_HOST = 64
+# The number of idle connections that the entry host keeps.
+_IDLE_CONNECTIONS = 64
 _HEADERS = Headers({'content-type': ['application/json']})
 
 
-class _Pipe(Protocol):
-    """Passes a body on."""
+class _BodyForwarder(Protocol):
+    """Forwards a response body to the caller."""
 
     def __init__(self, http):
         self.http = http
 
     def dataReceived(self, data):
-        """Pass a part on; called by twisted."""
+        """Forward a part of the body; called by twisted."""
         self.http.write(data)
 
     def connectionLost(self, reason):
-        """Finish; called by twisted."""
+        """Finish the response; called by twisted."""
         self.http.finish()
 
 
 class Forwarder(Resource):
-    """Sends one fixed document upstream for each request.
+    """Resource that sends a fixed document upstream for each request.
 
     Parameters
     ==========
@@ -45,9 +46,9 @@
     reactor : IReactorTCP
         Makes connections.
     uri : bytes
-        Where to.
+        The URI of the upstream.
     document : bytes
-        What to send.
+        The request body to send.
     """
 
     isLeaf = True
@@ -55,13 +56,13 @@
     def __init__(self, reactor, uri, document):
         super().__init__()
         pool = HTTPConnectionPool(reactor, persistent=True)
-        pool.maxPersistentPerHost = _PER_HOST
+        pool.maxPersistentPerHost = _IDLE_CONNECTIONS
         self.agent = agent_for(reactor, pool)
         self.uri = uri
         self.document = document
 
     def render_POST(self, request):
-        """Forward; called by twisted."""
+        """Forward a request; called by twisted."""
         request.content.read()
         response = self.agent.request(
             b'POST',
@@ -69,13 +70,13 @@
             _HEADERS,
             BytesProducer(self.document),
         )
-        response.addCallback(_passed_on, request)
+        response.addCallback(_forward_response, request)
         return NOT_DONE_YET
 
 
-def _passed_on(response, request):
+def _forward_response(response, request):
     request.setResponseCode(response.code)
-    response.deliverBody(_Pipe(request))
+    response.deliverBody(_BodyForwarder(request))
 
 
 def forwarder_site(reactor, uri, document):
--- a/pollenstile/bench/live.py
+++ b/pollenstile/bench/live.py
@@ -1,12 +1,12 @@
-"""``pollenstile bench live``: a fleet of running entry hosts, measured.
+"""``pollenstile bench live``: measure a fleet of running entry hosts.
 
 Explanation
 ===========
 
-The hosts run already, as processes of their own; this only asks them. It
-applies the manifest in force anew, unchanged, and looks how long each host
-takes until it serves under the new version. Then it leaves the fleet alone and
-reads what each process used meanwhile.
+The hosts already run as separate processes; the benchmark only sends requests
+to them. It applies the manifest in force again without changes and measures the
+time until each host has the new version in force. Then it leaves the fleet idle
+and reads the processor time and the memory of each process.
 """
 
 import secrets
@@ -30,23 +30,24 @@
 from pollenstile.ops.settings import SettingsError, address
 from pollenstile.platform import make_pause
 
-_LOOK_SECONDS = 0.005
-_MOST_SECONDS = 10.0
+_POLL_SECONDS = 0.005
+_TIMEOUT_SECONDS = 10.0
 _MARK_BYTES = 8
 _MS = 1000
 
 
 @dataclass(slots=True, frozen=True)
 class Spread:
-    """How long a version took to be in force at each host, in seconds.
+    """Time until a version is in force at each host.
 
     Parameters
     ==========
 
     version : int
-        As the platform numbers it.
+        The version number that the platform assigned.
     seconds : list of float or None
-        By host; None where it did not come in ten seconds.
+        Seconds for each host; None if the version is not in force there after
+        ten seconds.
     """
 
     version: int
@@ -54,21 +55,21 @@
 
 
 def add_parser(benches):
-    """Add the bench."""
-    parser = benches.add_parser('live', help='running entry hosts, measured')
+    """Add ``bench live``."""
+    parser = benches.add_parser('live', help='measure running entry hosts')
     parser.add_argument('--platform', required=True, help='IP:PORT')
     parser.add_argument(
         '--entry',
         required=True,
-        help="IP:PORT of every host's admin face, with commas",
+        help='IP:PORT of the admin interface of each host, comma-separated',
     )
-    parser.add_argument('--changes', type=int, default=5, help='applies')
+    parser.add_argument('--changes', type=int, default=5, help='number')
     parser.add_argument('--idle', type=float, default=10, help='seconds')
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Measure and print; return the exit code."""
+    """Run the benchmark, print the results, and return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
     entries = parse_entries(arguments.entry)
@@ -79,16 +80,16 @@
     readers = [admin_reader(reactor, entry) for entry in entries]
     return result_of(
         reactor,
-        lambda: _measured(reactor, store, readers, arguments),
+        lambda: _measure(reactor, store, readers, arguments),
     )
 
 
-async def _measured(reactor, store, readers, arguments):
+async def _measure(reactor, store, readers, arguments):
     slowest = []
     for _ in range(arguments.changes):
-        spread = await _spread(reactor, store, readers)
+        spread = await _apply_unchanged(reactor, store, readers)
         if spread is None:
-            print('the platform took no change')
+            print('the platform did not accept the change')
             return UNREACHED
         if None in spread.seconds:
             print(f'version {spread.version} is not in force everywhere')
@@ -98,11 +99,11 @@
         f'{len(readers)} hosts, {len(slowest)} changes: in force everywhere '
         f'after {max(slowest):.3f} s at most',
     )
-    return await _idle(reactor, readers, arguments.idle)
+    return await _measure_idle(reactor, readers, arguments.idle)
 
 
-async def _spread(reactor, store, readers):
-    """Apply the manifest in force anew; return a Spread, or None."""
+async def _apply_unchanged(reactor, store, readers):
+    """Apply the manifest in force again; return a Spread, None on failure."""
     before = await current_config(store)
     if not isinstance(before, CurrentConfig) or not before.text:
         return None
@@ -118,21 +119,21 @@
         return None
     waits = []
     for read in readers:
-        wait = _in_force(reactor, read, outcome.version, started)
+        wait = _wait_in_force(reactor, read, outcome.version, started)
         waits.append(Deferred.fromCoroutine(wait))
     return Spread(outcome.version, await gatherResults(waits))
 
 
-async def _in_force(reactor, read, version, started):
-    while reactor.seconds() < started + _MOST_SECONDS:
+async def _wait_in_force(reactor, read, version, started):
+    while reactor.seconds() < started + _TIMEOUT_SECONDS:
         document = await read('/status')
         if document is not None and document['version'] >= version:
             return reactor.seconds() - started
-        await deferLater(reactor, _LOOK_SECONDS)
+        await deferLater(reactor, _POLL_SECONDS)
     return None
 
 
-async def _idle(reactor, readers, seconds):
+async def _measure_idle(reactor, readers, seconds):
     before = [await read('/status') for read in readers]
     await deferLater(reactor, seconds)
     after = [await read('/status') for read in readers]
--- a/pollenstile/bench/load.py
+++ b/pollenstile/bench/load.py
@@ -1,4 +1,4 @@
-"""A mixed load of callers, over HTTP."""
+"""Send a mixed load of requests over HTTP."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """One caller's request: what it asked, and what it got when."""
+    """Outcome of one request: its target, its answer and its latency."""
 
     pipeline: str
     team: str
@@ -18,19 +18,21 @@
 
 @dataclass(slots=True)
 class Load:
-    """What callers do.
+    """Description and results of a load run.
 
     Parameters
     ==========
 
     bases : list of str
-        Entry hosts' addresses, used in turn.
+        Addresses of entry hosts, used round robin.
     kinds : list of tuple
-        Team, its key and a pipeline, picked at random.
+        Tuples of team, key and pipeline, selected at random.
     rate : float
-        Requests a second, with exponential gaps.
+        Requests per second, with exponential gaps.
     total : int
-        Requests in all.
+        The number of requests.
+    results : list of Result
+        The results, in the order of completion.
     """
 
     bases: list
@@ -41,19 +43,21 @@
 
 
 async def run_load(reactor, rng, call, load):
-    """Send a load and wait for every answer; fill in its results."""
+    """Send a load, wait for all answers, and record the results."""
     pending = []
     for number in range(load.total):
         team, key, pipeline = rng.choice(load.kinds)
         base = load.bases[number % len(load.bases)]
-        one = _one(reactor, call, load, (base, team, key, pipeline, number))
-        pending.append(Deferred.fromCoroutine(one))
+        running = _send_request(
+            reactor, call, load, (base, team, key, pipeline, number)
+        )
+        pending.append(Deferred.fromCoroutine(running))
         await deferLater(reactor, rng.expovariate(load.rate))
     await gatherResults(pending)
 
 
-async def _one(reactor, call, load, kind):
-    base, team, key, pipeline, number = kind
+async def _send_request(reactor, call, load, request):
+    base, team, key, pipeline, number = request
     started = reactor.seconds()
     answer = await call(
         base,
--- a/pollenstile/bench/policy.py
+++ b/pollenstile/bench/policy.py
@@ -1,12 +1,12 @@
-"""``pollenstile bench policy``: the policy under load, beside baselines.
+"""``pollenstile bench policy``: the policy under load, compared to baselines.
 
 Explanation
 ===========
 
-Six entry hosts, each with its own view, before both example deployments, in
-virtual time with fixed seeds. Callers that are refused ask again, at most
-twice, when Retry-After lets them within their deadline. One capacity is the
-rate at which the busiest pool has no free slot on average.
+Six entry hosts, each with its own view of the upstreams, serve both example
+deployments in virtual time with fixed seeds. Refused callers retry at most
+twice, if Retry-After allows it within their deadline. A load of one capacity is
+the rate at which the busiest pool has no free slot on average.
 """
 
 import json
@@ -19,32 +19,32 @@
 from pollenstile.manifest import manifest_from_text
 from pollenstile.ops.exits import GOOD
 
-_LEAST_SHOWN = 0.005
+_MIN_COST_SHARE = 0.005
 _CLASSES = ('urgent', 'normal', 'batch')
 
 
 def add_parser(benches):
-    """Add the subcommand."""
+    """Add ``bench policy``."""
     parser = benches.add_parser(
         'policy',
-        help='admission, routing, hedging in virtual time, with baselines',
+        help='admission, routing and hedging compared to baselines, simulated',
     )
     parser.add_argument(
         'manifests',
         nargs='*',
         default=['examples/kowalczyk.yaml', 'examples/liwanag.yaml'],
-        help='example deployments',
+        help='manifests of the example deployments',
     )
     parser.add_argument('--seconds', type=float, default=8.0)
     parser.add_argument('--seed', type=int, default=1)
     parser.add_argument('--policy', help='only this policy')
     parser.add_argument('--scenario', help='only this scenario')
-    parser.add_argument('--output', help='file for the results, as JSON')
+    parser.add_argument('--output', help='file for the results in JSON')
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Run the bench, print a table, return the exit code."""
+    """Run the benchmark, print a table, and return the exit code."""
     started = time.process_time()
     results = []
     for path in arguments.manifests:
@@ -68,14 +68,14 @@
         for policy in POLICIES:
             if arguments.policy not in {None, policy.name}:
                 continue
-            one = Run(
+            policy_run = Run(
                 manifest,
                 policy,
                 scenario,
                 arguments.seconds,
                 arguments.seed,
             )
-            result = one.result()
+            result = policy_run.result()
             print(_row(result), flush=True)
             results.append(result)
     return results
@@ -94,7 +94,7 @@
     total = sum(result.cost.values()) or 1
     costs = []
     for name, cost in sorted(result.cost.items(), key=lambda pair: -pair[1]):
-        if cost > _LEAST_SHOWN * total:
+        if cost > _MIN_COST_SHARE * total:
             costs.append(f'{name} {cost / total:.0%}')
     broken = f'  BROKEN {result.broken}' if result.broken else ''
     return (
--- a/pollenstile/bench/policyclock.py
+++ b/pollenstile/bench/policyclock.py
@@ -1,4 +1,4 @@
-"""A virtual clock that stays fast with many pending calls."""
+"""Virtual clock with a heap of pending calls, fast for many of them."""
 
 from heapq import heappop, heappush
 
@@ -16,27 +16,28 @@
         self.number = 0
 
     def active(self):
-        """Return whether it will still be made."""
+        """Return whether the call is still pending."""
         return self.number > 0
 
     def cancel(self):
-        """Take it back."""
+        """Cancel the call."""
         self.number = 0
 
     def reset(self, seconds):
-        """Make it so many seconds from now instead."""
+        """Reschedule the call to a delay from now."""
         self.clock.enter(self, seconds)
 
 
 class HeapClock:
-    """``callLater`` and ``seconds`` over a heap.
+    """Clock with ``callLater`` and ``seconds`` on top of a heap.
 
     Explanation
     ===========
 
-    ``twisted.internet.task.Clock`` sorts its whole list for each new call;
-    with thousands pending that is most of a bench's time. A call that was
-    reset or cancelled stays in the heap and is skipped when its turn comes.
+    ``twisted.internet.task.Clock`` sorts its complete list for each new call,
+    which takes most of the time of a benchmark with thousands of pending calls.
+    The entry of a reset or cancelled call stays in the heap and is skipped when
+    it is due.
 
     Examples
     ========
@@ -59,32 +60,32 @@
         self.numbers = 0
 
     def seconds(self):
-        """Return the time, in seconds."""
+        """Return the current time in seconds."""
         return self.now
 
     def callLater(self, delay, function, *arguments):
-        """Make a call after a delay; named as twisted names it."""
+        """Schedule a call after a delay, as ``IReactorTime.callLater``."""
         timer = _Timer(self, function, arguments)
         self.enter(timer, delay)
         return timer
 
     def enter(self, timer, delay):
-        """Put a timer into the heap, in place of its earlier entry."""
+        """Push a timer on the heap; an earlier entry becomes invalid."""
         self.numbers += 1
         timer.number = self.numbers
         timer.due = self.now + delay
         heappush(self.heap, (timer.due, timer.number, timer))
 
     def run(self, until, unless=bool):
-        """Make calls in order until a time, or until told to stop.
+        """Make the pending calls in order up to a time.
 
         Parameters
         ==========
 
         until : float
-            In seconds on this clock.
+            Time on this clock in seconds.
         unless : function
-            Asked before each call; a true value stops.
+            Called before each pending call; a true value ends the run.
         """
         while self.heap and self.heap[0][0] <= until:
             if unless():
--- a/pollenstile/bench/policymix.py
+++ b/pollenstile/bench/policymix.py
@@ -1,14 +1,14 @@
-"""What callers of the example deployments ask, and how much is capacity."""
+"""Define the request mix and the capacity of the example deployments."""
 
 import math
 from dataclasses import dataclass, replace
 
-# Sampled times: a lognormal with this sigma around the mean.
+# Times are drawn from a lognormal distribution with this sigma.
 _SIGMA = 0.25
-_FIRST_TOKEN = 0.2
-_TOKEN_GAP = 0.0075
-# A chunk of the bench stands for so many tokens: fewer events, same times.
-_TOKENS_A_CHUNK = 16
+_FIRST_TOKEN_SECONDS = 0.2
+_TOKEN_GAP_SECONDS = 0.0075
+# Tokens per simulated chunk; fewer events than one for each token, equal times.
+_CHUNK_TOKENS = 16
 
 
 @dataclass(slots=True, frozen=True)
@@ -19,9 +19,9 @@
     ==========
 
     team, pipeline : str
-        As declared.
+        Names as declared in the manifest.
     share : float
-        Of all requests, relative to other flows.
+        Weight of this flow relative to other flows.
     """
 
     team: str
@@ -31,21 +31,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Mix:
-    """A deployment's load.
+    """Request mix of a deployment.
 
     Parameters
     ==========
 
     flows : tuple of Flow
-        All that is asked on a busy morning.
+        The flows of a busy morning.
     small : tuple of str
-        Teams whose attainment a flood must not touch.
+        Teams whose attainment a flood of another team must not reduce.
     flooder : str
-        The team that floods.
+        The team that sends the flood.
     straggler : str
-        The engine that turns slow.
+        The engine that becomes slow.
     client_latency : float
-        Between callers and entry hosts one way, in seconds.
+        One-way latency between callers and entry hosts, in seconds.
     """
 
     flows: tuple
@@ -99,34 +99,34 @@
 
 
 def stage_seconds(stage, kind):
-    """Return a stage's mean time in one slot, in seconds."""
+    """Return the mean time of a stage in a slot, in seconds."""
     if kind != 'engine':
         return stage.expect_ms / 1000
-    return _FIRST_TOKEN + chunks(stage.max_tokens) * chunk_gap()
+    return _FIRST_TOKEN_SECONDS + chunks(stage.max_tokens) * chunk_gap()
 
 
 def chunk_gap():
-    """Return mean seconds between two chunks."""
-    return _TOKEN_GAP * _TOKENS_A_CHUNK
+    """Return the mean time between two chunks, in seconds."""
+    return _TOKEN_GAP_SECONDS * _CHUNK_TOKENS
 
 
 def chunks(tokens):
-    """Return the chunks that stand for a number of tokens."""
-    return max(1, math.ceil(tokens / _TOKENS_A_CHUNK))
+    """Return the number of chunks that represent a number of tokens."""
+    return max(1, math.ceil(tokens / _CHUNK_TOKENS))
 
 
 def sampled(rng, mean):
-    """Return a time around a mean."""
+    """Return a random time with a given mean."""
     return mean * math.exp(rng.gauss(-_SIGMA * _SIGMA / 2, _SIGMA))
 
 
 def first_token(rng):
-    """Return seconds until the first chunk."""
-    return sampled(rng, _FIRST_TOKEN)
+    """Return a random time until the first chunk, in seconds."""
+    return sampled(rng, _FIRST_TOKEN_SECONDS)
 
 
 def demand(manifest, flows):
-    """Return slot seconds of each pool that an average request takes."""
+    """Return the slot seconds of an average request, by pool."""
     total = sum(flow.share for flow in flows)
     needed = {}
     for flow in flows:
@@ -138,7 +138,7 @@
 
 
 def capacity(manifest, flows):
-    """Return requests a second at which the busiest pool has no free slot."""
+    """Return the requests per second at which the busiest pool is saturated."""
     rates = []
     for name, needed in demand(manifest, flows).items():
         upstreams = manifest.pools[name].upstreams.values()
@@ -148,7 +148,19 @@
 
 
 def bench_manifest(manifest, *, hedge):
-    """Return a manifest in chunks, with hedges at idempotent stages or none."""
+    """Return a manifest for the benchmark.
+
+    Explanation
+    ===========
+
+    ``max_tokens`` counts chunks instead of tokens.
+
+    Parameters
+    ==========
+
+    hedge : bool
+        Whether idempotent stages are hedged.
+    """
     pipelines = {}
     for name, pipeline in manifest.pipelines.items():
         stages = []
--- a/pollenstile/bench/policyrun.py
+++ b/pollenstile/bench/policyrun.py
@@ -1,4 +1,4 @@
-"""One run of a policy under one load, and what came out."""
+"""Run a policy under one load scenario and measure the result."""
 
 import random
 from collections import Counter
@@ -11,27 +11,27 @@
 from pollenstile.outcomes import Answered, Refused
 from pollenstile.pipeline import Request, outcome_of
 
-_WARM_UP = 10.0
-_MOST_ASKS = 3
-_FLOOD = 1.5
-_SLOW = 10.0
+_WARM_UP_SECONDS = 10.0
+_MAX_ATTEMPTS = 3
+_FLOOD_CAPACITIES = 1.5
+_STRAGGLER_FACTOR = 10.0
 
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """A load.
+    """A load scenario.
 
     Parameters
     ==========
 
     name : str
-        For the table.
+        The name in the printed table.
     load : float
-        Requests, in capacities.
+        Request rate as a multiple of the capacity.
     straggler : bool
         Whether one engine is ten times slower after the warm-up.
     flood : bool
-        Whether one team asks for another 1.5 capacities.
+        Whether one team sends an additional load of 1.5 capacities.
     """
 
     name: str
@@ -50,45 +50,47 @@
 
 
 @dataclass(slots=True)
-class Asked:
-    """One caller's request, with its repeats after refusals."""
+class CallerRequest:
+    """One request of a caller, including its retries after refusals."""
 
     flow: object
     urgency: str
     due: float
     flooding: bool = False
-    asks: int = 0
+    attempts: int = 0
     seconds: float = 0.0
     outcome: object = None
 
 
 @dataclass(slots=True)
 class Result:
-    """What one run showed.
+    """Measurements of one run.
 
     Parameters
     ==========
 
     attainment : dict
-        Share answered in time, by class.
+        Share of requests answered in time, by urgency class.
     small : float
-        The same over small teams.
+        Share of requests answered in time over all small teams.
     goodput : float
-        Requests answered in time, a second.
+        Requests answered in time per second.
     work : float
-        Cost of the stages of these requests, a second.
+        Cost per second of the stages of these requests.
     cost : dict
-        Cost of all work by stage, in the manifest's unit.
+        Cost of all work by pool, in the unit of the manifest.
     wasted : float
-        Share of the cost that no answer in time came from.
+        Share of the cost that did not contribute to an answer in time.
     flows : dict
-        Share answered in time, by team and pipeline.
+        Share of requests answered in time, by team and pipeline.
     outcomes : dict
-        Final outcomes, by tag.
+        The number of final outcomes, by tag.
+    refusals : int
+        The number of refusals.
     slowest_refusal : float
-        Seconds that a refused request had waited at most.
+        Maximum time in seconds from a request to its refusal.
     broken : int
-        Broken invariants.
+        The number of broken invariants.
     """
 
     deployment: str
@@ -108,25 +110,24 @@
 
 
 class Run:
-    """A world under load.
+    """One run of a policy in a simulated world under load.
 
     Parameters
     ==========
 
     manifest : Manifest
-        A deployment as declared.
+        The deployment as declared.
     policy : Policy
-        What hosts are built with.
+        The policy of the hosts.
     scenario : Scenario
-        The load.
+        The load scenario.
     seconds : float
-        Length of the measured part.
+        Length of the measured period.
     seed : int
-        For all that is random.
+        Seed of all random choices.
     """
 
     __slots__ = (
-        'asked',
         'crashes',
         'declared',
         'good',
@@ -139,6 +140,7 @@
         'rng',
         'scenario',
         'seconds',
+        'sent',
         'stage_costs',
         'useful',
         'world',
@@ -154,7 +156,7 @@
         self.policy = policy
         self.scenario = scenario
         self.seconds = seconds
-        self.asked = []
+        self.sent = []
         self.refusals = []
         self.crashes = []
         self.open = 0
@@ -164,25 +166,26 @@
         self.useful = 0
         self.stage_costs = _stage_costs(manifest)
         self.declared = manifest
-        # Apart from the world's, so that every policy meets the same callers.
+        # Separate from the generator of the world, so that every policy
+        # receives the same requests.
         self.rng = random.Random(seed + 1)
 
     def result(self):
-        """Run to the end and return the result."""
+        """Run the scenario to its end and return the Result."""
         clock = self.world.clock
         rate = policymix.capacity(self.declared, self.mix.flows)
         self._start_source(self.mix.flows, rate * self.scenario.load)
-        clock.run(until=_WARM_UP)
+        clock.run(until=_WARM_UP_SECONDS)
         if self.scenario.straggler:
             upstream = self.world.network.upstreams[self.mix.straggler]
-            upstream.faults.slow = _SLOW
+            upstream.faults.slow = _STRAGGLER_FACTOR
         if self.scenario.flood:
             self._start_flood(rate)
         clock.run(until=self.end())
         clock.run(until=clock.seconds() + 90, unless=self._is_over)
         if self.crashes:
             self.crashes[0].raiseException()
-        return _measured(self)
+        return _build_result(self)
 
     def _is_over(self):
         return not self.measured_open
@@ -194,7 +197,9 @@
                 flows.append(flow)
         usual = sum(policymix.demand(self.declared, self.mix.flows).values())
         own = sum(policymix.demand(self.declared, flows).values())
-        self._start_source(flows, _FLOOD * rate * usual / own, flooding=True)
+        self._start_source(
+            flows, _FLOOD_CAPACITIES * rate * usual / own, flooding=True
+        )
 
     def _start_source(self, flows, rate, *, flooding=False):
         shares = [flow.share for flow in flows]
@@ -202,34 +207,34 @@
         clock = self.world.clock
 
         def arrive():
-            # On until the measured callers have their answers, so that no
-            # queue drains before an idle end.
+            # Arrivals continue until all measured requests have ended, so that
+            # the load does not drop while they are still in queues.
             if clock.seconds() >= self.end() and not self.measured_open:
                 return
             flow = rng.choices(flows, shares)[0]
-            self._ask_first(flow, flooding=flooding)
+            self._send_new_request(flow, flooding=flooding)
             clock.callLater(rng.expovariate(rate), arrive)
 
         arrive()
 
-    def _ask_first(self, flow, *, flooding):
+    def _send_new_request(self, flow, *, flooding):
         pipeline = self.world.manifest.pipelines[flow.pipeline]
         now = self.world.clock.seconds()
-        asked = Asked(
+        sent = CallerRequest(
             flow,
             pipeline.urgency,
             now + pipeline.deadline_ms / 1000,
             flooding,
         )
-        if _WARM_UP <= now < self.end():
-            self.asked.append(asked)
+        if _WARM_UP_SECONDS <= now < self.end():
+            self.sent.append(sent)
             self.measured_open += 1
         self.open += 1
-        self._ask(asked)
+        self._send_attempt(sent)
 
-    def _ask(self, asked):
+    def _send_attempt(self, sent):
         world = self.world
-        asked.asks += 1
+        sent.attempts += 1
         node = self.rng.choice(world.nodes)
         ident = node.next_ident()
         running = Deferred.fromCoroutine(
@@ -237,63 +242,63 @@
                 node.core,
                 Request(
                     ident,
-                    asked.flow.pipeline,
+                    sent.flow.pipeline,
                     node.in_force.snapshot,
-                    asked.flow.team,
+                    sent.flow.team,
                     f'report {self.rng.randrange(1000)}',
-                    asked.due - 2 * self.mix.client_latency,
+                    sent.due - 2 * self.mix.client_latency,
                 ),
             ),
         )
         started = world.clock.seconds()
-        running.addCallback(self._told, asked, ident, started)
+        running.addCallback(self._handle_outcome, sent, ident, started)
         running.addErrback(self.crashes.append)
 
-    def _told(self, outcome, asked, ident, started):
+    def _handle_outcome(self, outcome, sent, ident, started):
         clock = self.world.clock
         if isinstance(outcome, Refused):
             self.refusals.append(clock.seconds() - started)
             wait = outcome.retry_after * self.rng.uniform(1, 1.2)
-            again = clock.seconds() + wait
-            if wait and asked.asks < _MOST_ASKS and again < asked.due:
-                clock.callLater(wait, self._ask, asked)
+            retry_at = clock.seconds() + wait
+            if wait and sent.attempts < _MAX_ATTEMPTS and retry_at < sent.due:
+                clock.callLater(wait, self._send_attempt, sent)
                 return
-        asked.outcome = outcome
-        asked.seconds = clock.seconds()
-        in_time = self.in_time(asked)
+        sent.outcome = outcome
+        sent.seconds = clock.seconds()
+        in_time = self.in_time(sent)
         worked = self.world.worked.pop(ident, {})
         if in_time:
             self._note_useful(worked)
-        if _WARM_UP <= asked.due - self._deadline(asked) < self.end():
+        if _WARM_UP_SECONDS <= sent.due - self._deadline(sent) < self.end():
             self.measured_open -= 1
         self.open -= 1
 
     def end(self):
-        """Return when the measured part ends."""
-        return _WARM_UP + self.seconds
+        """Return the time on the clock at which the measured period ends."""
+        return _WARM_UP_SECONDS + self.seconds
 
-    def _deadline(self, asked):
+    def _deadline(self, sent):
         pipelines = self.world.manifest.pipelines
-        return pipelines[asked.flow.pipeline].deadline_ms / 1000
+        return pipelines[sent.flow.pipeline].deadline_ms / 1000
 
     def _note_useful(self, worked):
         useful = 0
         for step, seconds in worked.items():
             useful += seconds * self.stage_costs[step]
         self.useful += useful
-        if _WARM_UP <= self.world.clock.seconds() < self.end():
+        if _WARM_UP_SECONDS <= self.world.clock.seconds() < self.end():
             self.good += 1
             self.good_work += useful
 
-    def in_time(self, asked):
-        """Return whether a caller had its answer within its deadline."""
+    def in_time(self, sent):
+        """Return whether a caller received its answer before the deadline."""
         latency = 2 * self.mix.client_latency
-        if not isinstance(asked.outcome, Answered):
+        if not isinstance(sent.outcome, Answered):
             return False
-        return asked.seconds + latency <= asked.due
+        return sent.seconds + latency <= sent.due
 
 
-def _measured(run):
+def _build_result(run):
     result = Result(
         run.world.manifest.name,
         run.policy.name,
@@ -302,18 +307,18 @@
     offered = Counter()
     good = Counter()
     outcomes = Counter()
-    for asked in run.asked:
-        keys = [asked.urgency, f'{asked.flow.team} {asked.flow.pipeline}']
-        if asked.flow.team in run.mix.small:
+    for sent in run.sent:
+        keys = [sent.urgency, f'{sent.flow.team} {sent.flow.pipeline}']
+        if sent.flow.team in run.mix.small:
             keys.append('small teams')
         offered.update(keys)
-        outcomes[asked.outcome.tag if asked.outcome else 'none'] += 1
-        if run.in_time(asked):
+        outcomes[sent.outcome.tag if sent.outcome else 'none'] += 1
+        if run.in_time(sent):
             good.update(keys)
     result.outcomes = dict(outcomes)
     for key in sorted(offered):
-        kept = result.flows if ' ' in key else result.attainment
-        kept[key] = good[key] / offered[key]
+        shares = result.flows if ' ' in key else result.attainment
+        shares[key] = good[key] / offered[key]
     result.small = result.flows.pop('small teams', 1.0)
     result.goodput = run.good / run.seconds
     result.work = run.good_work / run.seconds
@@ -334,11 +339,11 @@
             busy += run.world.network.upstreams[upstream].busy
         result.cost[name] = busy * pool.cost
         total += busy * pool.cost
-    result.wasted = max(0, 1 - (run.useful + _unfinished(run)) / total)
+    result.wasted = max(0, 1 - (run.useful + _unfinished_cost(run)) / total)
 
 
-def _unfinished(run):
-    """Return the cost of whole stages of requests that run on at the end."""
+def _unfinished_cost(run):
+    """Return the cost of completed stages of requests that have not ended."""
     cost = 0
     for steps in run.world.worked.values():
         for step, seconds in steps.items():
--- a/pollenstile/bench/policyworld.py
+++ b/pollenstile/bench/policyworld.py
@@ -1,4 +1,4 @@
-"""Entry hosts of one deployment over upstreams in virtual time."""
+"""Simulate the entry hosts and upstreams of a deployment in virtual time."""
 
 import random
 from functools import partial
@@ -17,22 +17,28 @@
 from pollenstile.upstream import Reply
 
 _HOSTS = 6
-_NEAR = 0.0003
-_FAR = 0.0015
+_NEAR_LATENCY = 0.0003
+_FAR_LATENCY = 0.0015
 
 
 class World:
-    """Hosts, upstreams and what each attempt worked.
+    """Simulated hosts and upstreams, with the processing time of requests.
 
     Parameters
     ==========
 
     manifest : Manifest
-        In chunks; see :func:`policymix.bench_manifest`.
+        A manifest in chunks; see :func:`policymix.bench_manifest`.
     policy : Policy
-        What each host is built with.
+        The policy of each host.
     seed : int
-        For all that is random.
+        Seed of all random choices.
+
+    Attributes
+    ==========
+
+    worked : dict
+        Seconds of processing by request and step.
     """
 
     __slots__ = (
@@ -64,19 +70,19 @@
             self.nodes.append(self._node(f'h{number}', domain, policy))
 
     def _upstreams(self):
-        found = {}
+        upstreams = {}
         means = _pool_means(self.manifest)
         for pool_name, pool in self.manifest.pools.items():
             for name, upstream in pool.upstreams.items():
                 self.domains[name] = upstream.domain
-                found[name] = VirtualUpstream(
+                upstreams[name] = VirtualUpstream(
                     self.clock,
                     name,
                     pool.kind,
                     upstream.slots,
                     self._times(pool.kind, means[pool_name]),
                 )
-        return found
+        return upstreams
 
     def _times(self, kind, mean):
         gap = partial(policymix.sampled, self.rng, policymix.chunk_gap())
@@ -85,7 +91,7 @@
         return Times(partial(policymix.sampled, self.rng, mean), gap)
 
     def _latency(self, origin, name):
-        return _NEAR if self.domains[name] == origin else _FAR
+        return _NEAR_LATENCY if self.domains[name] == origin else _FAR_LATENCY
 
     def _node(self, host, domain, policy):
         settings = settings_from(
@@ -107,23 +113,23 @@
         start = self.network.transport_from(domain)
 
         def measured(name, upstream, call, sink):
-            def seen(event):
+            def record_event(event):
                 if isinstance(event, Reply):
-                    self._note(call, event)
+                    self._record_work(call, event)
                 sink(event)
 
-            return start(name, upstream, call, seen)
+            return start(name, upstream, call, record_event)
 
         return measured
 
-    def _note(self, call, reply):
+    def _record_work(self, call, reply):
         request, step, _ = call.attempt.rsplit('/', 2)
         steps = self.worked.setdefault(request, {})
         steps[step] = reply.busy_ms / 1000
 
 
 def _pool_means(manifest):
-    """Return the mean time of a call to each pool that does not stream."""
+    """Return the mean time of a call to each pool, for pools without stream."""
     means = dict.fromkeys(manifest.pools, 0.05)
     for pipeline in manifest.pipelines.values():
         for stage in pipeline.stages:
