--- a/pollenstile/bench/_placementworld.py
+++ b/pollenstile/bench/_placementworld.py
@@ -1,4 +1,4 @@
-"""The virtual failure domain of ``pollenstile bench placement``."""
+"""Simulate the failure domain of ``pollenstile bench placement``."""
 
 import random
 
@@ -24,15 +24,15 @@
 
 _DOMAIN = 'erie-hall'
 _MODELS = ('draft', 'summary', 'tags', 'urgency')
-_SIZE = 70000
+_MODEL_SIZE = 70000
 _SLOTS = 4
-_WORK = 0.8
-_DEADLINE = 4.0
-_WARM = 60
+_WORK_SECONDS = 0.8
+_DEADLINE_SECONDS = 4.0
+_WARM_UP_SECONDS = 60
 
 
 class _Engine:
-    """Slots of one engine, and its calls in flight by model."""
+    """Slots of one engine and its calls in flight by model."""
 
     __slots__ = ('holdings', 'running', 'slots')
 
@@ -47,12 +47,12 @@
         return {model: count for model, count in self.running.items() if count}
 
     def total(self):
-        """Return all calls in flight."""
+        """Return the total number of calls in flight."""
         return sum(self.running.values())
 
 
 class _Call:
-    """One call: it waits, works, and ends once."""
+    """One call, which waits for a slot, runs, and ends exactly once."""
 
     __slots__ = ('engine', 'model', 'timer', 'work', 'working', 'world')
 
@@ -62,54 +62,54 @@
         self.model = model
         self.work = work
         self.working = False
-        self.timer = world.clock.callLater(_DEADLINE, self.expire)
+        self.timer = world.clock.callLater(_DEADLINE_SECONDS, self.expire)
         engine.running[model] = engine.running.get(model, 0) + 1
 
     def begin(self):
-        """Work until done, or until the deadline if that comes first."""
+        """Run until the work is done or the deadline has passed."""
         self.working = True
-        left = self.timer.getTime() - self.world.clock.seconds()
-        if self.work <= left:
+        remaining = self.timer.getTime() - self.world.clock.seconds()
+        if self.work <= remaining:
             self.timer.cancel()
             self.world.clock.callLater(self.work, self.finish)
 
     def finish(self):
-        """Answer in time."""
+        """End the call with an answer in time."""
         self.world.answered += self.model in self.engine.holdings.models
         self.end()
 
     def expire(self):
-        """Give up at the deadline."""
+        """End the call without an answer at its deadline."""
         if self.working or self.engine.slots.drop(self.begin):
             self.end()
 
     def end(self):
-        """Give the slot back."""
+        """Release the slot."""
         self.engine.running[self.model] -= 1
         if self.working:
             self.engine.slots.free()
 
 
 class World:
-    """One failure domain, its callers and its placer.
+    """One simulated failure domain with its callers and its placer.
 
     Parameters
     ==========
 
     engines : int
-        Each with room for one model.
+        The number of engines, each with memory for one model.
     load_seconds : float
-        Time of one load.
+        Seconds of one model load.
     shares_at : function
-        Takes a second and the models, returns the shares of demand.
+        Takes a time in seconds and the models; returns the demand shares.
     seed : int
-        Of arrivals and work.
+        Seed of arrivals and of the duration of calls.
 
-    Public state
-    ============
+    Attributes
+    ==========
 
     arrived, answered : int
-        Calls after the start, and those answered in time.
+        The number of calls after the warm-up, and of those answered in time.
     """
 
     __slots__ = (
@@ -139,8 +139,8 @@
             holdings = Holdings(
                 self.clock,
                 name,
-                dict.fromkeys(_MODELS, _SIZE),
-                _SIZE,
+                dict.fromkeys(_MODELS, _MODEL_SIZE),
+                _MODEL_SIZE,
                 checks=True,
                 load_seconds=load_seconds,
             )
@@ -157,9 +157,9 @@
         )
 
     def run(self, seconds, rate):
-        """Let calls arrive at a rate for some seconds."""
+        """Simulate calls at a rate for a number of seconds after warm-up."""
         self.rate = rate
-        self.end = _WARM + seconds
+        self.end = _WARM_UP_SECONDS + seconds
         self.placement.start()
         self._arrive()
         while self.clock.seconds() < self.end:
@@ -167,24 +167,24 @@
             self.clock.advance(max(due - self.clock.seconds(), 0.0))
 
     def swaps(self):
-        """Return the loads of all engines."""
-        return sum(each.holdings.loaded for each in self.engines.values())
+        """Return the number of model loads of all engines."""
+        return sum(engine.holdings.loaded for engine in self.engines.values())
 
     def load_seconds(self):
-        """Return the seconds that all engines took to load."""
+        """Return the total seconds of model loads of all engines."""
         return sum(
-            each.holdings.loaded * each.holdings.load_seconds
-            for each in self.engines.values()
+            engine.holdings.loaded * engine.holdings.load_seconds
+            for engine in self.engines.values()
         )
 
     def _arrive(self):
         now = self.clock.seconds()
         self.clock.callLater(self.rng.expovariate(self.rate), self._arrive)
-        shares = self.shares_at(max(now - _WARM, 0.0), _MODELS)
-        model = self.rng.choices(_MODELS, [shares[each] for each in _MODELS])[0]
-        work = self.rng.expovariate(1 / _WORK)
+        shares = self.shares_at(max(now - _WARM_UP_SECONDS, 0.0), _MODELS)
+        model = self.rng.choices(_MODELS, [shares[name] for name in _MODELS])[0]
+        work = self.rng.expovariate(1 / _WORK_SECONDS)
         self.placement.demand.count(model)
-        counted = _WARM <= now < self.end - _DEADLINE
+        counted = _WARM_UP_SECONDS <= now < self.end - _DEADLINE_SECONDS
         self.arrived += counted
         engine = self._least_busy(model)
         if engine is None:
@@ -205,7 +205,7 @@
 
 
 class _Uncounted:
-    """Takes the place of a world for calls that are not counted."""
+    """Stand-in for the world in calls that are not counted."""
 
     __slots__ = ('answered', 'clock')
 
@@ -222,7 +222,7 @@
             '127.0.0.1:1',
             _SLOTS,
             'checked',
-            _SIZE,
+            _MODEL_SIZE,
         )
     return Manifest(
         'bench',
@@ -230,7 +230,7 @@
         {'engines': Pool('engine', upstreams, list(_MODELS))},
         {},
         {},
-        {model: Model('1', _SIZE) for model in _MODELS},
+        {model: Model('1', _MODEL_SIZE) for model in _MODELS},
     )
 
 
@@ -244,7 +244,7 @@
         clock.seconds,
         silent_log,
     )
-    holdings = {name: each.holdings for name, each in world.engines.items()}
+    holdings = {name: engine.holdings for name, engine in world.engines.items()}
     placer = Placer(
         _DOMAIN,
         lease_manager,
--- a/pollenstile/bench/claims.py
+++ b/pollenstile/bench/claims.py
@@ -1,14 +1,14 @@
-"""``pollenstile bench claims``: latency and calls of claims, in virtual time.
+"""``pollenstile bench claims``: latency and store calls of idempotency claims.
 
 Explanation
 ===========
 
-Hosts run the claims' real code over one store in memory on a virtual clock;
-each call of the store takes a fixed time. Requests arrive as a Poisson
-process, each keyed one with a new key, at a host drawn evenly. In one way each
-host appends by itself; in the other claims are forwarded to the preferred host
-of their shard, which holds a batch open for a while. The printed slopes are
-least-squares fits over the rates.
+Hosts run the production claims code over one store in memory on a virtual
+clock. Each store call takes a fixed time. Requests arrive as a Poisson process,
+each with a new key, at a host drawn uniformly. In direct mode each host appends
+its own claims; in forward mode claims are forwarded to the preferred host of
+their shard, which holds a batch open for a window. The printed slopes are
+least-squares fits over the request rates.
 """
 
 import random
@@ -43,31 +43,31 @@
     '  writes/s  reads/s  claims/append  lost %  KB/s a host'
 )
 _STEP = 0.001
-_DRAIN = 3.0
+_DRAIN_SECONDS = 3.0
 _MS = 1000
 _KB = 1000
-_EPOCH = 1000.0
-_LINK = 0.0015
-_SAMPLE = 20000
+_START_SECONDS = 1000.0
+_LINK_LATENCY = 0.0015
+_SAMPLE_SIZE = 20000
 _RATES = (36.0, 72.0, 145.0, 290.0, 580.0)
 _FITTED_HOSTS = 36
 
 
 @dataclass(slots=True, frozen=True)
 class Case:
-    """One run.
+    """Parameters of one run.
 
     Parameters
     ==========
 
     hosts, shards : int
-        How many.
+        The number of hosts and shards.
     window : float
-        Seconds that a batch is held open.
+        Seconds for which a batch is held open.
     rate : float
-        Claims a second of all hosts together.
+        Claims per second of all hosts together.
     forwards : bool
-        Whether claims go to the preferred host of their shard.
+        Whether claims are forwarded to the preferred host of their shard.
     """
 
     hosts: int
@@ -78,8 +78,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
-    """A keyed request, as far as claims look at it."""
+class KeyedRequest:
+    """The fields of a request with a key that claims read."""
 
     ident: str
     name: str
@@ -91,7 +91,7 @@
 
 
 class CountingStore:
-    """A store that counts bytes of lists."""
+    """Store wrapper that counts the bytes of lists and the put outcomes."""
 
     __slots__ = ('counts', 'store')
 
@@ -100,24 +100,41 @@
         self.counts = Counter()
 
     async def listed(self, *arguments, **named):
-        """Return the store's answer."""
+        """Return a list from the store and count its encoded bytes."""
         page = await self.store.listed(*arguments, **named)
         self.counts['bytes'] += len(msgspec.json.encode(page))
         return page
 
     async def put(self, kind, name, value, if_version=None):
-        """Return the store's answer."""
+        """Write to the store and count the outcome by type."""
         outcome = await self.store.put(kind, name, value, if_version)
         self.counts[type(outcome).__name__] += 1
         return outcome
 
     async def delete(self, *arguments):
-        """Return the store's answer."""
+        """Delete from the store."""
         return await self.store.delete(*arguments)
 
 
 class Fleet:
-    """Hosts that claim, in virtual time."""
+    """Hosts that append claims in virtual time.
+
+    Parameters
+    ==========
+
+    case : Case
+        Parameters of the run.
+    latency : float
+        Seconds of a store call.
+    seed : int
+        Seed of the request arrivals.
+
+    Attributes
+    ==========
+
+    times : list of float
+        Seconds from each request until its claim is held.
+    """
 
     __slots__ = (
         'clock',
@@ -132,7 +149,7 @@
 
     def __init__(self, case, latency, seed=1):
         self.clock = Clock()
-        self.clock.advance(_EPOCH)
+        self.clock.advance(_START_SECONDS)
         self.rng = random.Random(seed)
         self.store = MemoryStore(self.clock)
         self.store.latency = latency
@@ -145,11 +162,11 @@
             name = f'h{number}'
             self.hosts[name] = self._host(name, case)
 
-    def ask(self, number):
-        """Send a keyed request to a host, and measure its claim."""
+    def send_request(self, number):
+        """Send a keyed request to a host and measure the time of its claim."""
         name = self.rng.choice(list(self.hosts))
         now = self.clock.seconds()
-        asked = Asked(
+        request = KeyedRequest(
             f'{name}-boot-{number}',
             'log-minutes',
             't',
@@ -159,7 +176,7 @@
             self.pipeline,
         )
         run = partial(self._run, now)
-        Deferred.fromCoroutine(self.hosts[name].outcome(asked, run))
+        Deferred.fromCoroutine(self.hosts[name].outcome(request, run))
 
     def _host(self, name, case):
         claims = Claims(
@@ -180,14 +197,14 @@
             )
         return claims
 
-    def _run(self, asked_at):
-        self.times.append(self.clock.seconds() - asked_at)
+    def _run(self, sent_at):
+        self.times.append(self.clock.seconds() - sent_at)
         return succeed(Answered('done'))
 
     async def _send(self, owner, record):
-        await paused(self.clock, _LINK)
+        await paused(self.clock, _LINK_LATENCY)
         answer = await self.hosts[owner].append_forwarded(record, 2.0)
-        await paused(self.clock, _LINK)
+        await paused(self.clock, _LINK_LATENCY)
         return answer
 
     def _count(self, name, number=1):
@@ -195,20 +212,22 @@
 
 
 def add_parser(benches):
-    """Add the bench."""
+    """Add ``bench claims``."""
     parser = benches.add_parser('claims', help='claims in virtual time')
     parser.add_argument('--seconds', type=float, default=6, help='of each run')
-    parser.add_argument('--latency-ms', type=float, default=5, help='of calls')
+    parser.add_argument(
+        '--latency-ms', type=float, default=5, help='of store calls'
+    )
     parser.add_argument(
         '--hosts',
         default='1,9,36,340',
-        help='numbers of hosts, with commas',
+        help='numbers of hosts, comma-separated',
     )
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Measure and print; return the exit code."""
+    """Run the benchmark, print the results, and return the exit code."""
     latency = arguments.latency_ms / _MS
     sizes = [int(text) for text in arguments.hosts.split(',')]
     print(_HEADER)
@@ -234,22 +253,22 @@
     return cases
 
 
-def _measured(case, latency, seconds):
-    """Run a case; return the fleet."""
+def _run_case(case, latency, seconds):
+    """Run a case and return its fleet."""
     fleet = Fleet(case, latency)
     number = 0
     due = 0.0
     while due < seconds:
         due += fleet.rng.expovariate(case.rate)
-        fleet.clock.callLater(due, fleet.ask, number)
+        fleet.clock.callLater(due, fleet.send_request, number)
         number += 1
-    for _ in range(round((seconds + _DRAIN) / _STEP)):
+    for _ in range(round((seconds + _DRAIN_SECONDS) / _STEP)):
         fleet.clock.advance(_STEP)
     return fleet
 
 
 def _row(case, latency, seconds):
-    fleet = _measured(case, latency, seconds)
+    fleet = _run_case(case, latency, seconds)
     cuts = statistics.quantiles(fleet.times, n=20)
     calls = fleet.store.calls
     appends = fleet.counts['claims.appended']
@@ -267,7 +286,7 @@
 
 
 def _slopes(latency, seconds):
-    """Return lines of writes and reads a second over claims a second."""
+    """Return lines with the slopes of writes and reads over the claim rate."""
     return [
         _slope(latency, seconds, 0.0, forwards=False),
         _slope(latency, seconds, 0.1, forwards=True),
@@ -279,27 +298,27 @@
     reads = []
     for rate in _RATES:
         case = Case(_FITTED_HOSTS, SHARD_COUNT, window, rate, forwards)
-        calls = _measured(case, latency, seconds).store.calls
+        calls = _run_case(case, latency, seconds).store.calls
         writes.append(calls['put'] / seconds)
         reads.append(calls['list'] / seconds)
     write = statistics.linear_regression(_RATES, writes).slope
     read = statistics.linear_regression(_RATES, reads).slope
     way = 'forward' if forwards else 'direct'
     rates = ', '.join(f'{rate:.0f}' for rate in _RATES)
-    shown = ', '.join(f'{number:.0f}' for number in writes)
+    write_rates = ', '.join(f'{number:.0f}' for number in writes)
     return (
         f'{way}, {_FITTED_HOSTS} hosts, {SHARD_COUNT} shards, window {window}:'
-        f' writes/s at {rates} claims/s: {shown}; slope {write:.2f} writes'
+        f' writes/s at {rates} claims/s: {write_rates}; slope {write:.2f} writes'
         f' a claim, {read:.2f} reads a claim'
     )
 
 
 def _memory():
-    """Return a line of bytes that a claim takes in a host's memory."""
+    """Return a line with the memory and the encoded size of a claim."""
     tracemalloc.start()
     state = ShardState()
     before = tracemalloc.get_traced_memory()[0]
-    for number in range(_SAMPLE):
+    for number in range(_SAMPLE_SIZE):
         record = Record(
             'claim',
             key_digest('t', 'log-minutes', f'key-{number}'),
@@ -315,6 +334,6 @@
     tracemalloc.stop()
     size = len(encoded)
     return (
-        f'a claim takes {used / _SAMPLE:.0f} bytes in a host that reads its'
+        f'a claim takes {used / _SAMPLE_SIZE:.0f} bytes in a host that reads its'
         f' shard, and {size} bytes in a segment of its own'
     )
--- a/pollenstile/bench/floor.py
+++ b/pollenstile/bench/floor.py
@@ -1,13 +1,13 @@
-"""``pollenstile bench floor``: processor time beside a bare forwarder.
+"""``pollenstile bench floor``: processor time compared to a bare forwarder.
 
 Explanation
 ===========
 
 Callers, upstreams, the forwarder and the entry host share one process, so the
-processor time of a direct call is taken off first: what is left is the
-forwarder's or the entry host's own. Rounds of the three ways take turns, and
-the median of each is kept. The collector is set as in the daemon, for all
-three.
+processor time of a direct call is subtracted to get the time of the forwarder
+or of the entry host alone. Rounds of the three request paths alternate, and the
+median of each path is used. The garbage collector is configured as in the
+daemon for all three.
 """
 
 import hashlib
@@ -51,51 +51,55 @@
 _MANY_TOKENS = 144
 _SLOTS = 1024
 _SEED = 1
-_MICRO = 1000000
-_WAYS = ('direct', 'forwarder', 'entry')
+_MICROSECONDS = 1000000
+_PATHS = ('direct', 'forwarder', 'entry')
 
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    """Where one way's requests go, and what they carry."""
+    """URI and request body of one request path."""
 
     uri: bytes
     document: bytes
 
 
 def add_parser(benches):
-    """Add the bench."""
-    parser = benches.add_parser('floor', help='entry beside a bare forwarder')
-    parser.add_argument('--requests', type=int, default=400, help='a round')
-    parser.add_argument('--rounds', type=int, default=7, help='of each way')
-    parser.add_argument('--side-by-side', type=int, default=8, help='callers')
+    """Add ``bench floor``."""
+    parser = benches.add_parser(
+        'floor', help='entry host compared to a bare forwarder'
+    )
+    parser.add_argument('--requests', type=int, default=400, help='per round')
+    parser.add_argument('--rounds', type=int, default=7, help='of each path')
+    parser.add_argument(
+        '--side-by-side', type=int, default=8, help='concurrent callers'
+    )
     parser.add_argument(
         '--log-level',
         default='info',
         choices=('info', 'error'),
-        help='level of the entry host; lines go to the null device',
+        help='log level of the entry host; output goes to the null device',
     )
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Measure and print the ratios; return the exit code."""
+    """Run the benchmark, print the ratios, and return the exit code."""
     from twisted.internet import reactor  # noqa: WPS433
 
     with open('/dev/null', 'w', encoding='utf-8') as sink:
         configure_logs(arguments.log_level, sink)
-        lines = result_of(reactor, lambda: _measured(reactor, arguments))
+        lines = result_of(reactor, lambda: _measure(reactor, arguments))
     for line in lines:
         print(line)
     return GOOD
 
 
 def _site(resource, reactor):
-    """Return a site that keeps idle connections between two rounds."""
+    """Return a site that keeps idle connections open between rounds."""
     return site_for(resource, reactor, timeout=None)
 
 
-def _listening(reactor, site):
+def _listen(reactor, site):
     port = reactor.listenTCP(0, site, interface=_LOCAL)
     return address_of(port)
 
@@ -150,21 +154,21 @@
         log=event_log(host='floor'),
     )
     node.in_force.offer(1, text_from_manifest(manifest), 'bench')
-    return _listening(reactor, _site(CallerFace(node), reactor))
+    return _listen(reactor, _site(CallerFace(node), reactor))
 
 
 def _upstreams(reactor):
-    """Return addresses of a stage's server and of an engine."""
+    """Start a stage server and an engine; return their addresses."""
     plain = PlainServer(reactor, 'p1', work=0, most=_SLOTS)
     engine = Engine(reactor, 'e1', 0, 0, _SLOTS)
     return (
-        _listening(reactor, _site(PlainResource(plain), reactor)),
-        _listening(reactor, _site(EngineResource(engine), reactor)),
+        _listen(reactor, _site(PlainResource(plain), reactor)),
+        _listen(reactor, _site(EngineResource(engine), reactor)),
     )
 
 
 def _targets(reactor):
-    """Return the targets of each kind of request, by way."""
+    """Return the targets of each kind of request, by path."""
     plain, engine = _upstreams(reactor)
     entry = _entry_address(reactor, _manifest(plain, engine))
     call = wire.PlainCall('r/call/1', 'call', 'a leak under the sink')
@@ -178,7 +182,7 @@
         uri = f'http://{direct}'.encode()
         targets[kind] = {
             'direct': Target(uri, document),
-            'forwarder': _forwarded(reactor, uri, document),
+            'forwarder': _forwarder_target(reactor, uri, document),
             'entry': Target(
                 f'http://{entry}/v1/pipelines/{kind}'.encode(),
                 wire.encode_json({'input': 'a leak under the sink'}),
@@ -187,8 +191,8 @@
     return targets
 
 
-def _forwarded(reactor, uri, document):
-    address = _listening(reactor, forwarder_site(reactor, uri, document))
+def _forwarder_target(reactor, uri, document):
+    address = _listen(reactor, forwarder_site(reactor, uri, document))
     return Target(f'http://{address}/'.encode(), document)
 
 
@@ -196,48 +200,49 @@
     return wire.encode_json(wire.CompletionCall('demo', 'a leak', tokens))
 
 
-async def _measured(reactor, arguments):
+async def _measure(reactor, arguments):
     targets = _targets(reactor)
     configure_garbage_collector()
     pool = HTTPConnectionPool(reactor, persistent=True)
     pool.maxPersistentPerHost = arguments.side_by_side
     agent = agent_for(reactor, pool)
-    own = {}
+    net = {}
     for kind in targets:
-        own[kind] = await _own_times(agent, targets[kind], arguments)
+        net[kind] = await _net_times(agent, targets[kind], arguments)
     chunks = _MANY_TOKENS - _FEW_TOKENS
-    request = own['call']
+    request = net['call']
     chunk = {}
-    for way in _WAYS[1:]:
-        chunk[way] = (own['many'][way] - own['few'][way]) / chunks
+    for path in _PATHS[1:]:
+        chunk[path] = (net['many'][path] - net['few'][path]) / chunks
     return [
-        _told('request', request),
-        _told('streamed chunk', chunk),
+        _format_ratio('request', request),
+        _format_ratio('streamed chunk', chunk),
     ]
 
 
-def _told(name, own):
-    ratio = own['entry'] / own['forwarder']
+def _format_ratio(name, net):
+    ratio = net['entry'] / net['forwarder']
     return (
-        f'{name}: entry {own["entry"] * _MICRO:.0f} us, '
-        f'forwarder {own["forwarder"] * _MICRO:.0f} us, ratio {ratio:.2f}'
+        f'{name}: entry {net["entry"] * _MICROSECONDS:.0f} us, '
+        f'forwarder {net["forwarder"] * _MICROSECONDS:.0f} us, ratio {ratio:.2f}'
     )
 
 
-async def _own_times(agent, targets, arguments):
-    """Return processor seconds of one request, direct calls taken off."""
-    times = {way: [] for way in _WAYS}
+async def _net_times(agent, targets, arguments):
+    """Return the processor seconds of a request without the direct call."""
+    times = {path: [] for path in _PATHS}
     for number in range(arguments.rounds + 1):
-        for way in _WAYS:
-            took = await _round(agent, targets[way], arguments)
-            # The first round opens connections and fills caches.
+        for path in _PATHS:
+            took = await _round(agent, targets[path], arguments)
+            # The first round opens connections and fills caches, so it is
+            # not counted.
             if number:
-                times[way].append(took)
+                times[path].append(took)
     direct = statistics.median(times['direct'])
-    own = {}
-    for way in _WAYS[1:]:
-        own[way] = statistics.median(times[way]) - direct
-    return own
+    net = {}
+    for path in _PATHS[1:]:
+        net[path] = statistics.median(times[path]) - direct
+    return net
 
 
 async def _round(agent, target, arguments):
@@ -245,13 +250,15 @@
     callers = []
     share = arguments.requests // arguments.side_by_side
     for _ in range(arguments.side_by_side):
-        callers.append(Deferred.fromCoroutine(_caller(agent, target, share)))
+        callers.append(
+            Deferred.fromCoroutine(_run_caller(agent, target, share))
+        )
     await gatherResults(callers)
     total = share * arguments.side_by_side
     return (time.process_time() - started) / total
 
 
-async def _caller(agent, target, total):
+async def _run_caller(agent, target, total):
     headers = Headers(
         {
             'authorization': [f'Bearer {_KEY}'],
--- a/pollenstile/bench/placement.py
+++ b/pollenstile/bench/placement.py
@@ -1,13 +1,13 @@
-"""``pollenstile bench placement``: re-placement rules on shifting demand.
+"""``pollenstile bench placement``: re-placement rules under changing demand.
 
 Explanation
 ===========
 
-One failure domain in virtual time: engines that each have room for one model,
-callers whose demand shifts between models, and the placer as it runs in an
-entry host. The rules see the same arrivals. Counted are swaps (loads after
-the start), the engines' seconds that loads took, and the share of calls that
-were answered within their deadline.
+The benchmark simulates one failure domain in virtual time: engines with memory
+for one model each, callers whose demand shifts between models, and the
+production placer of an entry host. All rules get the same arrivals. The
+benchmark counts swaps (model loads after the start), the engine seconds spent
+on loads, and the share of calls answered within their deadline.
 """
 
 import random
@@ -33,11 +33,11 @@
     ==========
 
     plan_for : function
-        As ``compute_placement``.
+        Computes a placement; same arguments as ``compute_placement``.
     may_drain : function
-        Whether a drain may begin.
+        Returns whether a drain may begin.
     may_replan : function
-        Whether demand is a reason to plan anew.
+        Returns whether demand may cause a new plan.
     """
 
     plan_for: object
@@ -46,7 +46,7 @@
 
 
 def _unchanged(engines, sizes, demand, held):
-    """Return what the engines hold."""
+    """Return the models that the engines hold, as the placement."""
     return {name: tuple(held.get(name, ())) for name in engines}
 
 
@@ -64,29 +64,29 @@
 
 
 def _shifting(second, models, seed):
-    """Return shares that go from model to model, ten minutes each."""
-    turn = second / 600
-    first = int(turn) % len(models)
-    passed = turn - int(turn)
+    """Return shares whose peak moves to the next model every ten minutes."""
+    position = second / 600
+    first = int(position) % len(models)
+    progress = position - int(position)
     shares = dict.fromkeys(models, 1.0)
-    shares[models[first]] += 6 * (1 - passed)
-    shares[models[(first + 1) % len(models)]] += 6 * passed
+    shares[models[first]] += 6 * (1 - progress)
+    shares[models[(first + 1) % len(models)]] += 6 * progress
     return shares
 
 
 def _noisy(second, models, seed):
-    """Return equal shares that each vary by half every 30 seconds."""
-    draw = random.Random(f'{seed}/{int(second / 30)}')
-    return {model: draw.uniform(0.5, 1.5) for model in models}
+    """Return shares around 1 that change by up to half every 30 seconds."""
+    rng = random.Random(f'{seed}/{int(second / 30)}')
+    return {model: rng.uniform(0.5, 1.5) for model in models}
 
 
 def _bursty(second, models, seed):
-    """Return equal shares, one of them fourfold in 1 of 4 minutes."""
+    """Return equal shares, one of them fourfold in every fourth minute."""
     minute = int(second / 60)
     shares = dict.fromkeys(models, 1.0)
     if minute % 4 == 3:
-        draw = random.Random(f'{seed}/{minute}')
-        shares[draw.choice(models)] = 4.0
+        rng = random.Random(f'{seed}/{minute}')
+        shares[rng.choice(models)] = 4.0
     return shares
 
 
@@ -94,13 +94,13 @@
 
 
 def add_parser(benches):
-    """Add the bench."""
+    """Add ``bench placement``."""
     parser = benches.add_parser(
         'placement',
-        help='plain re-placement beside sticky and idle-gated',
+        help='plain re-placement compared to sticky and idle-gated',
     )
     parser.add_argument('--seconds', type=int, default=2400, help='virtual')
-    parser.add_argument('--engines', type=int, default=12, help='in all')
+    parser.add_argument('--engines', type=int, default=12, help='number')
     parser.add_argument('--rate', type=float, default=33.0, help='calls/s')
     parser.add_argument('--load', type=float, default=40.0, help='seconds')
     parser.add_argument('--gain', type=float, default=1.25, help='of sticky')
@@ -116,7 +116,7 @@
 
 
 def run(arguments):
-    """Measure and print a line for each pattern and rule."""
+    """Run the benchmark and print a line for each pattern and rule."""
     print('pattern   rule                swaps  load s  attainment %  range')
     for pattern, shares in PATTERNS.items():
         if arguments.pattern not in ('', pattern):
@@ -124,25 +124,25 @@
         for name, rule in _rules(arguments.gain).items():
             if arguments.rule not in ('', name):
                 continue
-            print(_line(pattern, name, _runs(arguments, shares, rule)))
+            print(_line(pattern, name, _run_worlds(arguments, shares, rule)))
     return GOOD
 
 
-def _seeded(shares, seed):
+def _with_seed(shares, seed):
     def shares_at(second, models):
         return shares(second, models, seed)
 
     return shares_at
 
 
-def _runs(arguments, shares, rule):
-    """Return the worlds of each seed after their time."""
+def _run_worlds(arguments, shares, rule):
+    """Run a world for each seed and return the worlds."""
     worlds = []
     for seed in range(1, arguments.seeds + 1):
         world = World(
             arguments.engines,
             arguments.load,
-            _seeded(shares, seed),
+            _with_seed(shares, seed),
             seed,
         )
         world.placer.plan_for = rule.plan_for
