--- a/pollenstile/bench/_crashworld.py
+++ b/pollenstile/bench/_crashworld.py
@@ -14,19 +14,26 @@
 _SERVICE = 's'
 _TEAM = 'team'
 _TARGET = b'/a/x'
-_TIMEOUT = 12.0
-_AIM = 2.0
+_TIMEOUT_SECONDS = 12.0
+_TARGET_LATENCY = 2.0
 # The body of a request that crashes its upstream begins with this prefix.
 DEADLY = b'deadly'
 # Retries that all hosts may send in a budget window in addition to the ratio.
-_SLACK = 60.0
+_RETRY_SLACK = 60.0
 
 
 def _route(name, kind, **fields):
     """Return a route to the simulated service."""
     targets = (Target(_SERVICE),)
     return Route(
-        name, 'host', '/a/', kind, _TIMEOUT, _AIM, targets=targets, **fields
+        name,
+        'host',
+        '/a/',
+        kind,
+        _TIMEOUT_SECONDS,
+        _TARGET_LATENCY,
+        targets=targets,
+        **fields,
     )
 
 
@@ -38,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class Sent:
+class SentRequest:
     """Record of a request that a caller sent to a host."""
 
     at: float
@@ -72,7 +79,7 @@
     __slots__ = ('fleet', 'numbers', 'route', 'sent', 'upstreams')
 
     def __init__(self, hosts, upstreams, domains, route='resumed'):
-        self.fleet = DomainWorld(hosts, domains, repeat_slack=_SLACK)
+        self.fleet = DomainWorld(hosts, domains, repeat_slack=_RETRY_SLACK)
         self.route = _ROUTES[route]
         self.numbers = itertools.count()
         self.sent = []
@@ -97,7 +104,7 @@
         """Send a request to a host and return its record."""
         core = self.fleet.hosts[name].core
         now = core.clock.seconds()
-        sent = Sent(now, name, body)
+        sent = SentRequest(now, name, body)
         self.sent.append(sent)
         ident = f'a{next(self.numbers)}'
         exchange = Exchange(
@@ -111,8 +118,8 @@
             RouteQuery('host', '/a/x'),
             _TEAM,
             arrived=now,
-            aim=now + _AIM,
-            ends=now + _TIMEOUT,
+            aim=now + _TARGET_LATENCY,
+            ends=now + _TIMEOUT_SECONDS,
             service=_SERVICE,
             fingerprint=core.quarantine.fingerprint(_TARGET, body),
         )
--- a/pollenstile/bench/_domainworld.py
+++ b/pollenstile/bench/_domainworld.py
@@ -33,11 +33,11 @@
 STEP = 0.01
 _COARSE_STEP = 0.05
 # One-way latency between hosts, in seconds.
-_WAY = 0.0005
+_ONE_WAY_SECONDS = 0.0005
 # Latency of a store call, in seconds.
 _STORE_SECONDS = 0.004
 # Seconds after which all hosts have started and follow a reader.
-_SETTLE = 8.0
+_SETTLE_SECONDS = 8.0
 _PORT = 1
 _DOMAIN = 'd'
 # The object kind of upstream entries, and the name of the only upstream.
@@ -232,7 +232,7 @@
         self.cut = set()
         self.clock = VirtualReactor()
         self.store = MemoryStore(self.clock)
-        self.wires = VirtualWires(self.clock, _way, self._is_cut)
+        self.wires = VirtualWires(self.clock, _one_way_latency, self._is_cut)
         self.logged = []
         self.write_configuration(1)
         self._write(_UPSTREAMS, _UPSTREAM, 'ready')
@@ -240,7 +240,7 @@
         self.hosts = {}
         for number in range(count):
             self.add_host(f'h{number}', _domain(number % domains))
-        self.pass_by(_SETTLE)
+        self.pass_by(_SETTLE_SECONDS)
         order = [
             name
             for number in range(min(count, domains))
@@ -254,12 +254,12 @@
         self.hosts[name] = DomainHost(self, name, domain, log)
         return self.hosts[name]
 
-    def pass_by(self, seconds, look=None):
+    def pass_by(self, seconds, on_step=None):
         """Advance the virtual clock; call a function after each step."""
         for _ in range(round(seconds / STEP)):
             self.clock.advance(STEP)
-            if look is not None:
-                look()
+            if on_step is not None:
+                on_step()
 
     def pass_coarsely(self, seconds):
         """Advance the virtual clock by a long time, in coarser steps."""
@@ -270,11 +270,11 @@
         """Write a configuration and wait for the store to acknowledge it."""
         self._write('config', 'main', version)
 
-    def let_upstream_leave(self):
+    def mark_upstream_leaving(self):
         """Write an upstream entry that says that the upstream is leaving."""
         self._write(_UPSTREAMS, _UPSTREAM, 'leaving')
 
-    def drain(self):
+    def mark_domain_drained(self):
         """Write an entry that marks the first failure domain as drained."""
         self._write(DRAINED, _DOMAIN, {})
 
@@ -295,7 +295,7 @@
 
     def in_touch(self):
         """Return the running hosts that the store answers."""
-        return [host for host in self.running() if host.path.is_in_touch()]
+        return [host for host in self.running() if host.path.is_in_contact()]
 
     def calls(self):
         """Return the number of store calls that all hosts have made."""
@@ -323,8 +323,8 @@
         return log
 
 
-def _way(near, far):
-    return _WAY
+def _one_way_latency(near, far):
+    return _ONE_WAY_SECONDS
 
 
 def _domain(number):
--- a/pollenstile/bench/_stagehosts.py
+++ b/pollenstile/bench/_stagehosts.py
@@ -30,12 +30,12 @@
 # Seconds by which the virtual clock advances in each step.
 _STEP = 0.002
 # The periods that a forwarding host uses, in seconds.
-_TICK = 0.2
-_BEAT = 0.35
-_SILENCE = 1.2
-_REVIEW = 0.25
+_TICK_SECONDS = 0.2
+_BEAT_SECONDS = 0.35
+_SILENCE_SECONDS = 1.2
+_REVIEW_SECONDS = 0.25
 # Seconds after which all links are open.
-_SETTLE = 2.0
+_SETTLE_SECONDS = 2.0
 
 
 class StageHost:
@@ -63,9 +63,9 @@
             fleet.wires.connect_from(name),
             silent_log,
         )
-        self.hub.tick = _TICK
-        self.hub.beat_period = _BEAT
-        self.hub.silence_limit = _SILENCE
+        self.hub.tick = _TICK_SECONDS
+        self.hub.beat_period = _BEAT_SECONDS
+        self.hub.silence_limit = _SILENCE_SECONDS
         fleet.wires.hubs[name] = self.hub
         self.client = StageClient(name, self.hub, fleet.clock, self.owner)
         self.client.limits = fleet.services
@@ -95,7 +95,7 @@
         ownership = self.client.ownership
         self.hub.dialer.wanted = ownership.wanted_links(self.fleet.services)
         self.client.review(self.owners, leaving=False)
-        self.fleet.clock.callLater(_REVIEW, self.review)
+        self.fleet.clock.callLater(_REVIEW_SECONDS, self.review)
 
     def lose_power(self):
         """End the host without notice: links go silent and calls are lost."""
@@ -163,7 +163,7 @@
         'wires',
     )
 
-    def __init__(self, services, hosts, way, count=4):
+    def __init__(self, services, hosts, latency, count=4):
         self.clock = VirtualClock()
         self.services = services
         self.count = count
@@ -171,7 +171,7 @@
         self.dark = set()
         self.parted = set()
         self.callers = Counter()
-        self.wires = VirtualWires(self.clock, lambda *_: way, self._is_cut)
+        self.wires = VirtualWires(self.clock, lambda *_: latency, self._is_cut)
         self.upstreams = {}
         self.domains = {}
         for name, limits in services.items():
@@ -184,7 +184,7 @@
         self.hosts = [StageHost(self, name) for name in self.names]
         for host in self.hosts:
             self._join(host)
-        self.advance(_SETTLE)
+        self.advance(_SETTLE_SECONDS)
 
     def client(self, number):
         """Return the stage client of a running host."""
--- a/pollenstile/bench/_stageworld.py
+++ b/pollenstile/bench/_stageworld.py
@@ -28,7 +28,7 @@
 )
 
 # One-way latency between a host and an upstream, in seconds.
-_WAY = 0.0015
+_ONE_WAY_SECONDS = 0.0015
 _DOMAINS = ('a', 'b', 'c', 'd')
 # Seconds by which the virtual clock advances in each step.
 _STEP = 0.002
@@ -68,7 +68,7 @@
             Takes a handle and returns whether its result is still stored.
         """
         done = Deferred()
-        start = max(self.clock.seconds() + _WAY, self.ready_at)
+        start = max(self.clock.seconds() + _ONE_WAY_SECONDS, self.ready_at)
         work = self.limits.call_seconds
         work += self.limits.piece_seconds * len(pieces)
         self.ready_at = start + work
@@ -76,11 +76,11 @@
         made = []
         now = self.clock.seconds()
         self.clock.callLater(start - now, self._begin, pieces, exists, made)
-        end = self.ready_at + _WAY - now
+        end = self.ready_at + _ONE_WAY_SECONDS - now
         self.clock.callLater(end, _fire, done, made)
         return done
 
-    def room(self):
+    def free_memory(self):
         """Return the free result memory in bytes."""
         return self.limits.room_bytes - sum(self.results.values())
 
@@ -90,7 +90,7 @@
             if not all(exists(handle) for handle in group.inputs):
                 made.append(Result(reason='gone'))
                 continue
-            if group.result_bytes > self.room():
+            if group.result_bytes > self.free_memory():
                 made.append(Result(reason='room'))
                 continue
             handle = f'{self.ident}/{group.request}.{group.step}.{piece.number}'
@@ -139,7 +139,7 @@
                 self._queue(name, limits, members) for _ in range(owners)
             ]
 
-    def lost(self, address):
+    def end_upstream(self, address):
         """End the process of an upstream, which loses its results."""
         self.upstreams.pop(address)
 
@@ -165,7 +165,9 @@
 
     def _free(self, address, handles):
         done = Deferred()
-        self.clock.callLater(2 * _WAY, self._freed, address, handles, done)
+        self.clock.callLater(
+            2 * _ONE_WAY_SECONDS, self._freed, address, handles, done
+        )
         return done
 
     def _freed(self, address, handles, done):
@@ -196,7 +198,7 @@
     def submit(self, group, on_read):
         """Submit a group to the queue of its service."""
         owner = self._owner(group.service)
-        return owner.submit(group, on_read).addCallback(self._told)
+        return owner.submit(group, on_read).addCallback(self._with_owner)
 
     def cancel(self, service, plan):
         """Cancel the groups of a request."""
@@ -244,7 +246,7 @@
         queues = self.fleet.queues[service]
         return queues[self.number % len(queues)]
 
-    def _told(self, outcome):
+    def _with_owner(self, outcome):
         return '', outcome
 
 
@@ -334,14 +336,14 @@
     now = fleet.clock.seconds()
     served = Served(route.name, now, route.aim, read_after)
     arrival = Arrival(ident, route, counts, now + deadline)
-    work = Deferred.fromCoroutine(_staged(client, arrival, served))
+    work = Deferred.fromCoroutine(_run_stages(client, arrival, served))
     work.addTimeout(deadline, fleet.clock)
-    work.addCallback(_note_end, served, fleet.clock, read_after)
-    work.addErrback(_note_timeout, served)
+    work.addCallback(_record_outcome, served, fleet.clock, read_after)
+    work.addErrback(_record_timeout, served)
     return served
 
 
-async def _staged(client, arrival, served):
+async def _run_stages(client, arrival, served):
     """Run the stages of a request; return its chain and the outcome."""
     await client.refresh_backlogs(
         [step.service for step in arrival.route.steps]
@@ -375,7 +377,7 @@
     )
 
 
-def seeded(seed):
+def make_random(seed):
     """Return a random generator with a seed."""
     return Random(seed)
 
@@ -392,7 +394,7 @@
     ]
 
 
-def _note_end(completed, served, clock, read_after):
+def _record_outcome(completed, served, clock, read_after):
     chain, outcome = completed
     took = clock.seconds() - served.came
     if isinstance(outcome, ChainFailed):
@@ -403,7 +405,7 @@
     clock.callLater(read_after, chain.release)
 
 
-def _note_timeout(failure, served):
+def _record_timeout(failure, served):
     served.refused = 'timeout'
 
 
--- a/pollenstile/bench/_storepath.py
+++ b/pollenstile/bench/_storepath.py
@@ -57,13 +57,13 @@
         self.calls = 0
         self.kinds = Counter()
 
-    def serve_again(self):
+    def end_faults(self):
         """End all faults."""
         self.refuses = False
         self.silent = False
         self.back_at = self.clock.seconds()
 
-    def is_in_touch(self):
+    def is_in_contact(self):
         """Return whether the host has had no fault for the contact time."""
         served_for = self.clock.seconds() - self.back_at
         is_out = self.refuses or self.silent
--- a/pollenstile/bench/claims.py
+++ b/pollenstile/bench/claims.py
@@ -48,7 +48,7 @@
 _KB = 1000
 _START_SECONDS = 1000.0
 _LINK_LATENCY = 0.0015
-_SAMPLE_SIZE = 20000
+_SAMPLES = 20000
 _RATES = (36.0, 72.0, 145.0, 290.0, 580.0)
 _FITTED_HOSTS = 36
 
@@ -305,10 +305,10 @@
     read = statistics.linear_regression(_RATES, reads).slope
     way = 'forward' if forwards else 'direct'
     rates = ', '.join(f'{rate:.0f}' for rate in _RATES)
-    write_rates = ', '.join(f'{number:.0f}' for number in writes)
+    put_rates = ', '.join(f'{number:.0f}' for number in writes)
     return (
         f'{way}, {_FITTED_HOSTS} hosts, {SHARD_COUNT} shards, window {window}:'
-        f' writes/s at {rates} claims/s: {write_rates}; slope {write:.2f} writes'
+        f' writes/s at {rates} claims/s: {put_rates}; slope {write:.2f} writes'
         f' a claim, {read:.2f} reads a claim'
     )
 
@@ -318,7 +318,7 @@
     tracemalloc.start()
     state = ShardState()
     before = tracemalloc.get_traced_memory()[0]
-    for number in range(_SAMPLE_SIZE):
+    for number in range(_SAMPLES):
         record = Record(
             'claim',
             key_digest('t', 'log-minutes', f'key-{number}'),
@@ -334,6 +334,6 @@
     tracemalloc.stop()
     size = len(encoded)
     return (
-        f'a claim takes {used / _SAMPLE_SIZE:.0f} bytes in a host that reads its'
+        f'a claim takes {used / _SAMPLES:.0f} bytes in a host that reads its'
         f' shard, and {size} bytes in a segment of its own'
     )
--- a/pollenstile/bench/crashes.py
+++ b/pollenstile/bench/crashes.py
@@ -11,12 +11,12 @@
 from dataclasses import asdict, dataclass
 
 from pollenstile.bench._crashworld import DEADLY, CrashWorld
-from pollenstile.bench.lag import calm, ended, slow
+from pollenstile.bench.lag import inject_nothing, end_readers, slow_store
 
 # Seconds of each measured period, with crashes and before them.
-_LOOKED = 10.0
+_PERIOD_SECONDS = 10.0
 # Seconds between two sends of the crashing request.
-_PAUSE = 0.3
+_INTERVAL_SECONDS = 0.3
 # Seconds for which the crashing request is sent.
 _SENDING_SECONDS = 9.0
 _UPSTREAMS = 12
@@ -27,17 +27,17 @@
 _MS = 1000
 
 
-def store_away(fleet):
+def refuse_all_hosts(fleet):
     """Refuse the store calls of all hosts."""
     for host in fleet.hosts.values():
         host.path.refuses = True
 
 
 FAULTS = {
-    'none': calm,
-    'store away': store_away,
-    'store slow': slow,
-    'readers ended': ended,
+    'none': inject_nothing,
+    'store away': refuse_all_hosts,
+    'store slow': slow_store,
+    'readers ended': end_readers,
 }
 
 
@@ -77,16 +77,18 @@
     calls: int
 
 
-def spread_of(hosts, domains, fault):
+def measure_spread(hosts, domains, fault):
     """Measure the :class:`Spread` of a verdict in a fleet under a fault."""
     world = CrashWorld(hosts, _UPSTREAMS, domains)
     fleet = world.fleet
     FAULTS[fault](fleet)
-    fleet.pass_by(_LOOKED)
-    calm_bytes, calm_calls = _costs(fleet, lambda: fleet.pass_by(_LOOKED))
+    fleet.pass_by(_PERIOD_SECONDS)
+    calm_bytes, calm_calls = _costs(
+        fleet, lambda: fleet.pass_by(_PERIOD_SECONDS)
+    )
     # By number, so that consecutive sends reach different failure domains.
     names = sorted((host.name for host in fleet.running()), key=_number)
-    world.repeat([DEADLY], _PAUSE, _SENDING_SECONDS, names)
+    world.repeat([DEADLY], _INTERVAL_SECONDS, _SENDING_SECONDS, names)
     unknown_at = [0.0]
 
     def record_unknown():
@@ -98,7 +100,9 @@
         if len(ends) >= _CRASH_LIMIT and not all(holding):
             unknown_at.append(fleet.clock.seconds())
 
-    sent, calls = _costs(fleet, lambda: fleet.pass_by(_LOOKED, record_unknown))
+    sent, calls = _costs(
+        fleet, lambda: fleet.pass_by(_PERIOD_SECONDS, record_unknown)
+    )
     ends = world.ends_of(DEADLY)
     known = max(0.0, unknown_at[-1] - ends[_CRASH_LIMIT - 1])
     return Spread(
@@ -153,6 +157,6 @@
     for size in arguments.sizes.split(','):
         hosts, domains = map(int, size.split('/'))
         for fault in FAULTS:
-            spread = spread_of(hosts, domains, fault)
+            spread = measure_spread(hosts, domains, fault)
             print(json.dumps(asdict(spread)), flush=True)
     return 0
--- a/pollenstile/bench/fleetworld.py
+++ b/pollenstile/bench/fleetworld.py
@@ -41,7 +41,7 @@
 NEAR_LATENCY = 0.0003
 STEP = 0.01
 _SEEDS = 3
-_SETTLING = 8.0
+_SETTLE_SECONDS = 8.0
 _FIRST_BOOT = 1000.0
 
 
@@ -379,7 +379,7 @@
     world.put(text_from_manifest(manifest), 0)
     for name in world.places:
         world.start(name)
-    world.run(_SETTLING)
+    world.run(_SETTLE_SECONDS)
     return world
 
 
--- a/pollenstile/bench/floor.py
+++ b/pollenstile/bench/floor.py
@@ -51,7 +51,7 @@
 _MANY_TOKENS = 144
 _SLOTS = 1024
 _SEED = 1
-_MICROSECONDS = 1000000
+_MICRO = 1000000
 _PATHS = ('direct', 'forwarder', 'entry')
 
 
@@ -223,8 +223,8 @@
 def _format_ratio(name, net):
     ratio = net['entry'] / net['forwarder']
     return (
-        f'{name}: entry {net["entry"] * _MICROSECONDS:.0f} us, '
-        f'forwarder {net["forwarder"] * _MICROSECONDS:.0f} us, ratio {ratio:.2f}'
+        f'{name}: entry {net["entry"] * _MICRO:.0f} us, '
+        f'forwarder {net["forwarder"] * _MICRO:.0f} us, ratio {ratio:.2f}'
     )
 
 
--- a/pollenstile/bench/lag.py
+++ b/pollenstile/bench/lag.py
@@ -18,53 +18,53 @@
 from pollenstile.bench._domainworld import STEP, DomainHost, DomainWorld
 
 # Seconds for which each fault lasts and is observed.
-_PLAYED = 8.0
+_FAULT_SECONDS = 8.0
 # Latency of a slow store in seconds: sixty times the usual latency.
 _SLOW_SECONDS = 0.24
 # Seconds for which the store refuses all hosts.
-_OUTAGE = 4.0
+_OUTAGE_SECONDS = 4.0
 # Seconds from a fault until the configuration changes.
-_CHANGED_AFTER = 0.05
+_CHANGE_DELAY_SECONDS = 0.05
 # The configuration version that is written after the fault.
-_AFTER = 2
+_NEW_VERSION = 2
 # The store refuses one in this many hosts, beginning with the readers.
-_TURNED_AWAY = 3
+_REFUSED_DIVISOR = 3
 # Hosts of one domain in fleets of 9, 30, 60, 90, 195 and 340 hosts.
 _SIZES = '3,10,15,30,33,43'
 _MS = 1000
 
 
-def calm(world):
+def inject_nothing(world):
     """Inject no fault."""
 
 
-def refused(world):
+def refuse_readers(world):
     """Refuse the store calls of the readers."""
     for host in world.readers():
         host.path.refuses = True
 
 
-def silenced(world):
+def silence_readers(world):
     """Leave the store calls of the readers unanswered."""
     for host in world.readers():
         host.path.silent = True
 
 
-def turned_away(world):
+def refuse_third(world):
     """Refuse the store calls of a third of the hosts, including the readers."""
     hosts = list(world.hosts.values())
-    for host in hosts[: max(2, len(hosts) // _TURNED_AWAY)]:
+    for host in hosts[: max(2, len(hosts) // _REFUSED_DIVISOR)]:
         host.path.refuses = True
 
 
-def frozen(world):
+def freeze_readers(world):
     """Freeze the readers."""
     for host in world.readers():
         host.frozen = True
         host.path.silent = True
 
 
-def refused_and_frozen(world):
+def refuse_and_freeze(world):
     """Refuse the store calls of the first reader and freeze the second."""
     first, second = world.readers()
     first.path.refuses = True
@@ -72,55 +72,59 @@
     second.path.silent = True
 
 
-def ended(world):
+def end_readers(world):
     """End the processes of the readers."""
     for host in world.readers():
         host.end()
 
 
-def slow(world):
+def slow_store(world):
     """Raise the latency of the store for all hosts."""
     world.store.latency = _SLOW_SECONDS
 
 
-def compacted(world):
+def compact_history(world):
     """Compact the change history of the store."""
     Deferred.fromCoroutine(world.store.put('other', 'a', 1))
     world.store.objects.compact()
 
 
-def away(world):
+def refuse_all_hosts(world):
     """Refuse the store calls of all hosts for the time of the outage."""
     for host in world.hosts.values():
         host.path.refuses = True
-        world.clock.callLater(_OUTAGE, host.path.serve_again)
+        world.clock.callLater(_OUTAGE_SECONDS, host.path.end_faults)
 
 
 FAULTS = {
-    'none': calm,
-    'readers refused': refused,
-    'readers silenced': silenced,
-    'a third refused': turned_away,
-    'readers frozen': frozen,
-    'one refused, one frozen': refused_and_frozen,
-    'readers ended': ended,
-    'store slow': slow,
-    'history dropped': compacted,
-    'store away for all': away,
+    'none': inject_nothing,
+    'readers refused': refuse_readers,
+    'readers silenced': silence_readers,
+    'a third refused': refuse_third,
+    'readers frozen': freeze_readers,
+    'one refused, one frozen': refuse_and_freeze,
+    'readers ended': end_readers,
+    'store slow': slow_store,
+    'history dropped': compact_history,
+    'store away for all': refuse_all_hosts,
 }
 
 
 def _change(world):
-    world.write_configuration(_AFTER)
+    world.write_configuration(_NEW_VERSION)
 
 
 def _has_change(host):
-    return host.version == _AFTER
+    return host.version == _NEW_VERSION
 
 
 # Writes, and the check of each that a host has applied it.
-_WRITES = (_change, DomainWorld.let_upstream_leave, DomainWorld.drain)
-_KNOWS = (_has_change, DomainHost.knows_leaving, DomainHost.knows_drained)
+_WRITES = (
+    _change,
+    DomainWorld.mark_upstream_leaving,
+    DomainWorld.mark_domain_drained,
+)
+_IS_APPLIED = (_has_change, DomainHost.knows_leaving, DomainHost.knows_drained)
 
 
 @dataclass(slots=True, frozen=True)
@@ -184,7 +188,7 @@
             if not host.configuration.is_current()
         )
 
-    world.pass_by(_PLAYED, record_ages)
+    world.pass_by(_FAULT_SECONDS, record_ages)
     calls = world.calls() - calls
     return Lag(
         hosts,
@@ -192,14 +196,14 @@
         round(max(ages) * _MS),
         *_propagation_ms(DomainWorld(hosts, **bounds), fault),
         round(len(refusing) * STEP * _MS),
-        round(calls / hosts / _PLAYED, 2),
+        round(calls / hosts / _FAULT_SECONDS, 2),
     )
 
 
 def _propagation_ms(world, fault):
     """Return the time of each of three changes until all hosts apply it."""
     FAULTS[fault](world)
-    world.pass_by(_CHANGED_AFTER)
+    world.pass_by(_CHANGE_DELAY_SECONDS)
     acked = []
     for write in _WRITES:
         write(world)
@@ -208,11 +212,11 @@
 
     def record_lags():
         now = world.clock.seconds()
-        for number, knows in enumerate(_KNOWS):
+        for number, knows in enumerate(_IS_APPLIED):
             if not all(knows(host) for host in world.in_touch()):
                 lags[number] = now - acked[number]
 
-    world.pass_by(_PLAYED, record_lags)
+    world.pass_by(_FAULT_SECONDS, record_lags)
     return [round(lag * _MS) for lag in lags]
 
 
--- a/pollenstile/bench/policies.py
+++ b/pollenstile/bench/policies.py
@@ -40,7 +40,7 @@
         """Do nothing when a stage ends."""
 
 
-def _as_built(node):
+def _unchanged(node):
     """Leave the node unchanged."""
 
 
@@ -64,8 +64,8 @@
 
 
 POLICIES = (
-    Policy('policy', _as_built),
+    Policy('policy', _unchanged),
     Policy('round robin', _round_robin),
-    Policy('no hedging', _as_built, hedge=False),
+    Policy('no hedging', _unchanged, hedge=False),
     Policy('no admission', _without_admission),
 )
--- a/pollenstile/bench/shared.py
+++ b/pollenstile/bench/shared.py
@@ -51,12 +51,12 @@
 _DOMAIN = 'd'
 _READER = 'h0'
 _STEP = 0.01
-_WAY = 0.0005
+_ONE_WAY_SECONDS = 0.0005
 _SERVICE = 'encode'
 _LIMITS = StageLimits(1, 50, 0.24, 0.004, 5_000_000)
 _PIECES = 4
 # Seconds until the deadline of a group.
-_DUE = 9.0
+_DEADLINE_SECONDS = 9.0
 _MS = 1000
 
 
@@ -108,12 +108,14 @@
 
     def __init__(self, hosts, upstreams):
         self.clock = VirtualClock()
-        self.wires = VirtualWires(self.clock, lambda *_: _WAY, lambda *_: False)
+        self.wires = VirtualWires(
+            self.clock, lambda *_: _ONE_WAY_SECONDS, lambda *_: False
+        )
         self.store = MemoryStore(self.clock)
-        _done(self.store.put('config', 'main', 1))
+        _run_call(self.store.put('config', 'main', 1))
         for number in range(upstreams):
             entry = {'service': 's', 'address': f'10.0.0.{number}:8000'}
-            _done(self.store.put(_KIND, f'i-{number}', entry))
+            _run_call(self.store.put(_KIND, f'i-{number}', entry))
         self.hosts = [_Host(self, f'h{number}') for number in range(hosts)]
         self.pass_by(4.0)
 
@@ -148,7 +150,7 @@
     completed = []
     began = time.process_time()
     for number in range(groups):
-        due = fleet.clock.seconds() + _DUE
+        due = fleet.clock.seconds() + _DEADLINE_SECONDS
         ident = f'r{number}'
         group = Group(
             ident, _SERVICE, 0, _PIECES, key=ident, due=due, deadline=due
@@ -219,5 +221,5 @@
     return 0
 
 
-def _done(call):
+def _run_call(call):
     Deferred.fromCoroutine(call)
--- a/pollenstile/bench/stages.py
+++ b/pollenstile/bench/stages.py
@@ -16,7 +16,7 @@
 from pollenstile.bench._stagehosts import HostFleet
 from pollenstile.bench._stageworld import (
     StageFleet,
-    seeded,
+    make_random,
     stage_limits,
     stage_route,
     start_request,
@@ -58,7 +58,7 @@
     rates: tuple
 
 
-def _few(rng):
+def _few_pieces(rng):
     return (rng.choice((1, 2, 2, 3, 3, 4)),)
 
 
@@ -70,12 +70,12 @@
     return (1, 8, rng.randrange(8, 25))
 
 
-def _usual_read(rng):
+def _usual_read_seconds(rng):
     """Return seconds until the model engine has read the results."""
     return 0.2
 
 
-def _plan_read(rng):
+def _plan_read_seconds(rng):
     # One prompt in four is large, which leaves half the time for the stage.
     return rng.choice((0.15, 0.2, 0.25, 0.55))
 
@@ -92,9 +92,9 @@
     },
     4,
     (
-        (SUMMARY, 4.4, 12.0, _few, _usual_read),
-        (DRAFT, 10.3, 15.0, _repair_pieces, _usual_read),
-        (TAG, 9.1, 6.0, _repair_pieces, _usual_read),
+        (SUMMARY, 4.4, 12.0, _few_pieces, _usual_read_seconds),
+        (DRAFT, 10.3, 15.0, _repair_pieces, _usual_read_seconds),
+        (TAG, 9.1, 6.0, _repair_pieces, _usual_read_seconds),
     ),
 )
 # Shorter calls and target latencies, fewer upstreams, results of 3 MB.
@@ -109,25 +109,25 @@
     },
     3,
     (
-        (PLAN, 5.8, 6.0, _few, _plan_read),
-        (ADVICE, 11.8, 6.0, _lesson_pieces, _usual_read),
-        (CHAT, 10.2, 15.0, _lesson_pieces, _usual_read),
+        (PLAN, 5.8, 6.0, _few_pieces, _plan_read_seconds),
+        (ADVICE, 11.8, 6.0, _lesson_pieces, _usual_read_seconds),
+        (CHAT, 10.2, 15.0, _lesson_pieces, _usual_read_seconds),
     ),
 )
 DESKS = {'repair': REPAIR, 'lesson': LESSON}
 # Seconds within which drafts and tags should complete their stages.
 IN_TIME = 1.6
 # Seconds after the last arrival within which all requests end.
-_TAIL = 16.0
+_TAIL_SECONDS = 16.0
 # Names of the routes with a single stage.
 _SINGLE = frozenset((SUMMARY.name, PLAN.name))
 _HOSTS = 9
 # Exclusive limit of the random number that assigns a request to a host.
-_MOST_HOSTS = 360
+_HOST_NUMBERS = 360
 # Seconds of arrivals in a run in which hosts lose power.
 _LOSS_SECONDS = 16.0
 # One-way latency between two hosts, in seconds.
-_WAY = 0.0015
+_ONE_WAY_SECONDS = 0.0015
 
 
 def played(load, seconds=30.0, seed=1, owners=1, desk=REPAIR):
@@ -150,13 +150,13 @@
 
     list of Served
     """
-    rng = seeded(seed)
+    rng = make_random(seed)
     fleet = StageFleet(desk.services, desk.upstreams, owners)
     requests = [
-        _started(fleet, rng, number, *arrival)
+        _start_at(fleet, rng, number, *arrival)
         for number, arrival in enumerate(_arrivals(rng, desk, load, seconds))
     ]
-    fleet.advance(_TAIL)
+    fleet.advance(_TAIL_SECONDS)
     return requests
 
 
@@ -170,11 +170,11 @@
         Whether the hosts that own the first and the last stage lose power,
         after a quarter and after half of the time. Their own requests are lost.
     """
-    fleet = HostFleet(REPAIR.services, hosts, _WAY)
+    fleet = HostFleet(REPAIR.services, hosts, _ONE_WAY_SECONDS)
     if owners_die:
         fleet.lose_owner(_INTAKE, seconds / 4)
         fleet.lose_owner(_BILLS, seconds / 2)
-    return _played_over(fleet, load, seconds, seed)
+    return _simulate(fleet, load, seconds, seed)
 
 
 def played_with_losses(load, hosts, share, after, away, seed=1):
@@ -195,40 +195,40 @@
 
     list of Served
     """
-    fleet = HostFleet(REPAIR.services, hosts, _WAY)
+    fleet = HostFleet(REPAIR.services, hosts, _ONE_WAY_SECONDS)
     fleet.lose_hosts(share, after, away)
-    return _played_over(fleet, load, _LOSS_SECONDS, seed)
+    return _simulate(fleet, load, _LOSS_SECONDS, seed)
 
 
-def _played_over(fleet, load, seconds, seed):
-    rng = seeded(seed)
+def _simulate(fleet, load, seconds, seed):
+    rng = make_random(seed)
     start = fleet.clock.seconds()
     requests = [
-        _started(fleet, rng, number, start + moment, *request)
-        for number, (moment, *request) in enumerate(
+        _start_at(fleet, rng, number, start + arrival_time, *request)
+        for number, (arrival_time, *request) in enumerate(
             _arrivals(rng, REPAIR, load, seconds)
         )
     ]
-    fleet.advance(_TAIL)
+    fleet.advance(_TAIL_SECONDS)
     return requests
 
 
 def _arrivals(rng, desk, load, seconds):
     """Return the arrival time and the parameters of each request, sorted."""
     arrivals = [
-        (moment, route, *request)
+        (arrival_time, route, *request)
         for route, rate, *request in desk.rates
-        for moment in _moments(rng, rate * load, seconds)
+        for arrival_time in _arrival_times(rng, rate * load, seconds)
     ]
     return sorted(arrivals, key=itemgetter(0))
 
 
-def _started(fleet, rng, number, moment, route, *request):
+def _start_at(fleet, rng, number, arrival_time, route, *request):
     deadline, pieces, read = request
-    fleet.advance(moment - fleet.clock.seconds())
+    fleet.advance(arrival_time - fleet.clock.seconds())
     return start_request(
         fleet,
-        fleet.client(rng.randrange(_MOST_HOSTS)),
+        fleet.client(rng.randrange(_HOST_NUMBERS)),
         route,
         pieces(rng),
         f'r{number}',
@@ -241,12 +241,14 @@
     """Return the statistics of a simulated load as a JSON document."""
     chained = [served for served in requests if served.kind not in _SINGLE]
     in_time = [
-        served for served in chained if (served.staged or _TAIL) <= IN_TIME
+        served
+        for served in chained
+        if (served.staged or _TAIL_SECONDS) <= IN_TIME
     ]
     in_aim = [
         served
         for served in requests
-        if (served.staged or _TAIL) + served.read <= served.aim
+        if (served.staged or _TAIL_SECONDS) + served.read <= served.aim
     ]
     refused = [served for served in requests if served.refused]
     at_once = [
@@ -311,8 +313,8 @@
     return 0
 
 
-def _moments(rng, rate, seconds):
-    moment = rng.expovariate(rate)
-    while moment < seconds:
-        yield moment
-        moment += rng.expovariate(rate)
+def _arrival_times(rng, rate, seconds):
+    arrival_time = rng.expovariate(rate)
+    while arrival_time < seconds:
+        yield arrival_time
+        arrival_time += rng.expovariate(rate)
