--- a/pollenstile/bench/_crashworld.py
+++ b/pollenstile/bench/_crashworld.py
@@ -92,7 +92,7 @@
         for number in range(upstreams):
             domain = names[number % len(names)]
             self.upstreams.start(f'10.0.0.{number}:1', domain)
-        self.fleet.pass_by(1.0)
+        self.fleet.advance(1.0)
 
     def join(self, host):
         """Connect a host to the upstreams."""
@@ -100,7 +100,7 @@
         core.client = self.upstreams.client_of(host.name)
         core.crashes.client = core.client
 
-    def ask(self, name, body):
+    def send_request(self, name, body):
         """Send a request to a host and return its record."""
         core = self.fleet.hosts[name].core
         now = core.clock.seconds()
@@ -126,26 +126,26 @@
         serve(core, exchange, sent.answer)
         return sent
 
-    def later(self, seconds, name, body):
+    def schedule_request(self, seconds, name, body):
         """Schedule a request to a host after a delay."""
-        self.fleet.clock.callLater(seconds, self.ask, name, body)
+        self.fleet.clock.callLater(seconds, self.send_request, name, body)
 
-    def repeat(self, bodies, pause, seconds, names):
+    def schedule_requests(self, bodies, pause, seconds, names):
         """Schedule requests at a fixed interval, to the hosts in rotation."""
         hosts = itertools.cycle(names)
         for number in range(round(seconds / pause)):
             for body in bodies:
-                self.later(number * pause, next(hosts), body)
+                self.schedule_request(number * pause, next(hosts), body)
 
-    def pass_by(self, seconds):
+    def advance(self, seconds):
         """Advance the virtual clock."""
-        self.fleet.pass_by(seconds)
+        self.fleet.advance(seconds)
 
-    def ends_of(self, body):
+    def crash_times(self, body):
         """Return the times at which a request crashed an upstream."""
         return [crash.at for crash in self.upstreams.ends if crash.body == body]
 
-    def arrivals_after_third(self, body, seconds):
+    def arrivals_after_third_crash(self, body, seconds):
         """Return the arrivals of a request well after its third crash.
 
         Parameters
@@ -154,7 +154,7 @@
         seconds : float
             Arrivals up to this time after the third crash are left out.
         """
-        ends = self.ends_of(body)
+        ends = self.crash_times(body)
         if len(ends) < 3:
             return []
         return [
--- a/pollenstile/bench/_domainworld.py
+++ b/pollenstile/bench/_domainworld.py
@@ -240,7 +240,7 @@
         self.hosts = {}
         for number in range(count):
             self.add_host(f'h{number}', _domain(number % domains))
-        self.pass_by(_SETTLE_SECONDS)
+        self.advance(_SETTLE_SECONDS)
         order = [
             name
             for number in range(min(count, domains))
@@ -254,14 +254,14 @@
         self.hosts[name] = DomainHost(self, name, domain, log)
         return self.hosts[name]
 
-    def pass_by(self, seconds, on_step=None):
+    def advance(self, seconds, on_step=None):
         """Advance the virtual clock; call a function after each step."""
         for _ in range(round(seconds / STEP)):
             self.clock.advance(STEP)
             if on_step is not None:
                 on_step()
 
-    def pass_coarsely(self, seconds):
+    def advance_coarsely(self, seconds):
         """Advance the virtual clock by a long time, in coarser steps."""
         for _ in range(round(seconds / _COARSE_STEP)):
             self.clock.advance(_COARSE_STEP)
@@ -293,7 +293,7 @@
             if not (host.frozen or host.gone)
         ]
 
-    def in_touch(self):
+    def hosts_in_contact(self):
         """Return the running hosts that the store answers."""
         return [host for host in self.running() if host.path.is_in_contact()]
 
--- a/pollenstile/bench/_stagehosts.py
+++ b/pollenstile/bench/_stagehosts.py
@@ -241,9 +241,9 @@
         count = round(share * len(self.hosts))
         for host in self.hosts[:count]:
             host.lose_power()
-            self.clock.callLater(back_after, self.start_again, host)
+            self.clock.callLater(back_after, self.restart, host)
 
-    def start_again(self, host):
+    def restart(self, host):
         """Restart a host that lost power, as a new process of this name."""
         self.dark.discard(host.name)
         restarted = StageHost(self, host.name, host.hub.hello.boot + 1)
--- a/pollenstile/bench/_stageworld.py
+++ b/pollenstile/bench/_stageworld.py
@@ -87,7 +87,7 @@
     def _begin(self, pieces, exists, made):
         for piece in pieces:
             group = piece.group
-            if not all(exists(handle) for handle in group.inputs):
+            if not all(exists(needed) for needed in group.inputs):
                 made.append(Result(reason='gone'))
                 continue
             if group.result_bytes > self.free_memory():
@@ -250,7 +250,7 @@
         return '', outcome
 
 
-class Served:
+class SimulatedRequest:
     """One request of a simulated load: its arrival and its outcome.
 
     Parameters
@@ -279,20 +279,20 @@
 
     __slots__ = (
         'aim',
-        'came',
+        'arrived_at',
         'kind',
         'read',
         'refused',
         'refused_after',
-        'staged',
+        'stage_seconds',
     )
 
-    def __init__(self, kind, came, aim, read):
+    def __init__(self, kind, arrived_at, aim, read):
         self.kind = kind
-        self.came = came
+        self.arrived_at = arrived_at
         self.aim = aim
         self.read = read
-        self.staged = None
+        self.stage_seconds = None
         self.refused = ''
         self.refused_after = 0.0
 
@@ -323,7 +323,7 @@
 
 
 def start_request(fleet, client, route, counts, ident, deadline, read_after):
-    """Start the stage work of a request and return its :class:`Served`.
+    """Start the stage work of a request; return a :class:`SimulatedRequest`.
 
     Parameters
     ==========
@@ -334,7 +334,7 @@
         Seconds after which the model engine has read the results.
     """
     now = fleet.clock.seconds()
-    served = Served(route.name, now, route.aim, read_after)
+    served = SimulatedRequest(route.name, now, route.aim, read_after)
     arrival = Arrival(ident, route, counts, now + deadline)
     work = Deferred.fromCoroutine(_run_stages(client, arrival, served))
     work.addTimeout(deadline, fleet.clock)
@@ -348,7 +348,7 @@
     await client.refresh_backlogs(
         [step.service for step in arrival.route.steps]
     )
-    ready_by = served.came + served.aim - served.read
+    ready_by = served.arrived_at + served.aim - served.read
     chain = Chain(client, build_plan(arrival, ready_by, client.seconds))
     return chain, await chain.handles()
 
@@ -396,12 +396,12 @@
 
 def _record_outcome(completed, served, clock, read_after):
     chain, outcome = completed
-    took = clock.seconds() - served.came
+    took = clock.seconds() - served.arrived_at
     if isinstance(outcome, ChainFailed):
         served.refused = outcome.reason
         served.refused_after = took
         return
-    served.staged = took
+    served.stage_seconds = took
     clock.callLater(read_after, chain.release)
 
 
--- a/pollenstile/bench/crashes.py
+++ b/pollenstile/bench/crashes.py
@@ -82,17 +82,19 @@
     world = CrashWorld(hosts, _UPSTREAMS, domains)
     fleet = world.fleet
     FAULTS[fault](fleet)
-    fleet.pass_by(_PERIOD_SECONDS)
+    fleet.advance(_PERIOD_SECONDS)
     calm_bytes, calm_calls = _costs(
-        fleet, lambda: fleet.pass_by(_PERIOD_SECONDS)
+        fleet, lambda: fleet.advance(_PERIOD_SECONDS)
     )
     # By number, so that consecutive sends reach different failure domains.
     names = sorted((host.name for host in fleet.running()), key=_number)
-    world.repeat([DEADLY], _INTERVAL_SECONDS, _SENDING_SECONDS, names)
+    world.schedule_requests(
+        [DEADLY], _INTERVAL_SECONDS, _SENDING_SECONDS, names
+    )
     unknown_at = [0.0]
 
     def record_unknown():
-        ends = world.ends_of(DEADLY)
+        ends = world.crash_times(DEADLY)
         holding = [
             bool(host.core.quarantine.verdicts.all_held())
             for host in fleet.running()
@@ -101,9 +103,9 @@
             unknown_at.append(fleet.clock.seconds())
 
     sent, calls = _costs(
-        fleet, lambda: fleet.pass_by(_PERIOD_SECONDS, record_unknown)
+        fleet, lambda: fleet.advance(_PERIOD_SECONDS, record_unknown)
     )
-    ends = world.ends_of(DEADLY)
+    ends = world.crash_times(DEADLY)
     known = max(0.0, unknown_at[-1] - ends[_CRASH_LIMIT - 1])
     return Spread(
         hosts,
@@ -111,7 +113,7 @@
         fault,
         len(ends),
         round(known * _MS),
-        len(world.arrivals_after_third(DEADLY, known)),
+        len(world.arrivals_after_third_crash(DEADLY, known)),
         calm_bytes,
         sent,
         calm_calls,
@@ -124,7 +126,7 @@
     return int(name[1:])
 
 
-def _costs(fleet, pass_by):
+def _costs(fleet, advance):
     """Return the bytes sent per host and the store calls of a period.
 
     Parameters
@@ -137,7 +139,7 @@
     hubs = [host.daemon.parts.hub for host in hosts]
     before = sum(hub.bytes_sent() for hub in hubs)
     calls = fleet.calls()
-    pass_by()
+    advance()
     sent = sum(hub.bytes_sent() for hub in hubs) - before
     return round(sent / len(hosts)), fleet.calls() - calls
 
--- a/pollenstile/bench/fleet.py
+++ b/pollenstile/bench/fleet.py
@@ -20,7 +20,7 @@
 from pollenstile.bench.fleetworld import (
     changed_text,
     fleet_manifest,
-    started_world,
+    start_world,
 )
 from pollenstile.ops.exits import GOOD
 
@@ -193,7 +193,7 @@
 
 def _measure_case(hosts, upstreams, seed, domains=_DOMAINS):
     manifest = fleet_manifest(domains, upstreams)
-    world = started_world(manifest, hosts, seed, keep_events=False)
+    world = start_world(manifest, hosts, seed, keep_events=False)
     world.run(_IDLE_SECONDS)
     case = Case(hosts, upstreams)
     _measure_idle(world, case)
@@ -273,7 +273,7 @@
 
 
 def _is_unused(world, name):
-    return not world.givers(name)
+    return not world.dispatching_hosts(name)
 
 
 def _time_until(world, condition):
@@ -299,7 +299,7 @@
     ):
         manifest = fleet_manifest(_DOMAINS, upstreams)
         tracemalloc.start()
-        world = started_world(manifest, hosts, seed, keep_events=False)
+        world = start_world(manifest, hosts, seed, keep_events=False)
         world.run(1.0)
         traced = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
--- a/pollenstile/bench/fleetworld.py
+++ b/pollenstile/bench/fleetworld.py
@@ -182,7 +182,7 @@
         'key',
         'list',
         'manifest',
-        'places',
+        'host_locations',
         'random',
         'seeds',
         'starts',
@@ -199,7 +199,7 @@
         self.keep_events = keep_events
         self.key = 'shared'
         self.hosts = {}
-        self.places = {}
+        self.host_locations = {}
         self.starts = 0
         self.cut_platform = set()
         self.cut_pairs = set()
@@ -214,11 +214,13 @@
         domains = list(manifest.domains)
         for number in range(hosts):
             domain = domains[number % len(domains)]
-            self.places[f'{domain}-{number}'] = (
+            self.host_locations[f'{domain}-{number}'] = (
                 domain,
                 f'10.0.{number // 250}.{number % 250 + 1}:82',
             )
-        self.seeds = [place[1] for place in self.places.values()][:_SEEDS]
+        self.seeds = [place[1] for place in self.host_locations.values()][
+            :_SEEDS
+        ]
 
     def put(self, text, if_version=None):
         """Write a configuration and return a Deferred of the outcome."""
@@ -229,7 +231,7 @@
 
     def start(self, name, key=None, boot=None):
         """Start a host as a new process and return it."""
-        domain, address = self.places[name]
+        domain, address = self.host_locations[name]
         self.starts += 1
         host = FleetHost(name, domain, address)
         random = Random(f'{name}/{self.starts}/{self.random.random()}')
@@ -312,15 +314,15 @@
         """Return whether a version is in force at every running host."""
         return set(self.versions().values()) == {version}
 
-    def givers(self, upstream):
+    def dispatching_hosts(self, upstream):
         """Return the names of the hosts that would send work to an upstream."""
         now = self.clock.seconds()
-        givers = []
+        dispatching_hosts = []
         for name, host in self.hosts.items():
             state = host.tracker.state(upstream)
             if not state.leaving and state.ejected_until <= now:
-                givers.append(name)
-        return givers
+                dispatching_hosts.append(name)
+        return dispatching_hosts
 
     def _settings(self, host, key):
         return SimpleNamespace(
@@ -373,11 +375,11 @@
         return pair in self.cut_pairs
 
 
-def started_world(manifest, hosts, seed=1, **options):
+def start_world(manifest, hosts, seed=1, **options):
     """Return a world after the first configuration is in force everywhere."""
     world = FleetWorld(manifest, hosts, seed, **options)
     world.put(text_from_manifest(manifest), 0)
-    for name in world.places:
+    for name in world.host_locations:
         world.start(name)
     world.run(_SETTLE_SECONDS)
     return world
--- a/pollenstile/bench/lag.py
+++ b/pollenstile/bench/lag.py
@@ -161,7 +161,7 @@
     calls_host_s: float
 
 
-def lag_of(hosts, fault, **bounds):
+def measure_lag(hosts, fault, **bounds):
     """Measure the :class:`Lag` of a domain under a fault.
 
     Parameters
@@ -181,14 +181,16 @@
     refusing = []
 
     def record_ages():
-        ages.extend(host.configuration.age() for host in world.in_touch())
+        ages.extend(
+            host.configuration.age() for host in world.hosts_in_contact()
+        )
         refusing.extend(
             host.name
             for host in world.running()
             if not host.configuration.is_current()
         )
 
-    world.pass_by(_FAULT_SECONDS, record_ages)
+    world.advance(_FAULT_SECONDS, record_ages)
     calls = world.calls() - calls
     return Lag(
         hosts,
@@ -203,7 +205,7 @@
 def _propagation_ms(world, fault):
     """Return the time of each of three changes until all hosts apply it."""
     FAULTS[fault](world)
-    world.pass_by(_CHANGE_DELAY_SECONDS)
+    world.advance(_CHANGE_DELAY_SECONDS)
     acked = []
     for write in _WRITES:
         write(world)
@@ -213,10 +215,10 @@
     def record_lags():
         now = world.clock.seconds()
         for number, knows in enumerate(_IS_APPLIED):
-            if not all(knows(host) for host in world.in_touch()):
+            if not all(knows(host) for host in world.hosts_in_contact()):
                 lags[number] = now - acked[number]
 
-    world.pass_by(_FAULT_SECONDS, record_lags)
+    world.advance(_FAULT_SECONDS, record_lags)
     return [round(lag * _MS) for lag in lags]
 
 
@@ -239,7 +241,7 @@
     """Print a JSON line for each size of a domain and each fault."""
     for hosts in arguments.hosts.split(','):
         for fault in FAULTS:
-            lag = lag_of(
+            lag = measure_lag(
                 int(hosts),
                 fault,
                 apply_seconds=arguments.bound,
--- a/pollenstile/bench/stages.py
+++ b/pollenstile/bench/stages.py
@@ -130,7 +130,7 @@
 _ONE_WAY_SECONDS = 0.0015
 
 
-def played(load, seconds=30.0, seed=1, owners=1, desk=REPAIR):
+def simulate_load(load, seconds=30.0, seed=1, owners=1, desk=REPAIR):
     """Run a workload over shared or separate queues; return its requests.
 
     Parameters
@@ -160,7 +160,7 @@
     return requests
 
 
-def played_by_hosts(load, hosts, seconds=20.0, seed=1, *, owners_die=False):
+def simulate_hosts(load, hosts, seconds=20.0, seed=1, *, owners_die=False):
     """Run the repair workload over hosts with real hubs; return its requests.
 
     Parameters
@@ -177,7 +177,7 @@
     return _simulate(fleet, load, seconds, seed)
 
 
-def played_with_losses(load, hosts, share, after, away, seed=1):
+def simulate_power_losses(load, hosts, share, after, away, seed=1):
     """Run the repair workload while many hosts lose power at the same time.
 
     Parameters
@@ -237,18 +237,18 @@
     )
 
 
-def summed(requests):
+def summarize(requests):
     """Return the statistics of a simulated load as a JSON document."""
     chained = [served for served in requests if served.kind not in _SINGLE]
     in_time = [
         served
         for served in chained
-        if (served.staged or _TAIL_SECONDS) <= IN_TIME
+        if (served.stage_seconds or _TAIL_SECONDS) <= IN_TIME
     ]
     in_aim = [
         served
         for served in requests
-        if (served.staged or _TAIL_SECONDS) + served.read <= served.aim
+        if (served.stage_seconds or _TAIL_SECONDS) + served.read <= served.aim
     ]
     refused = [served for served in requests if served.refused]
     at_once = [
@@ -293,8 +293,8 @@
         args = (float(load), arguments.seconds, arguments.seed)
         desk = DESKS[arguments.desk]
         rows[load] = {
-            'one_queue': summed(played(*args, desk=desk)),
-            'hosts_alone': summed(played(*args, _HOSTS, desk)),
+            'one_queue': summarize(simulate_load(*args, desk=desk)),
+            'hosts_alone': summarize(simulate_load(*args, _HOSTS, desk)),
         }
     print(json.dumps(rows, indent=2))
     return 0
@@ -306,8 +306,8 @@
         for hosts in arguments.hosts.split(','):
             args = (float(load), int(hosts), arguments.seconds, arguments.seed)
             rows[f'load {load}, {hosts} hosts'] = {
-                'calm': summed(played_by_hosts(*args)),
-                'owners_die': summed(played_by_hosts(*args, owners_die=True)),
+                'calm': summarize(simulate_hosts(*args)),
+                'owners_die': summarize(simulate_hosts(*args, owners_die=True)),
             }
     print(json.dumps(rows, indent=2))
     return 0
