--- a/features/builders/claims.py
+++ b/features/builders/claims.py
@@ -7,11 +7,11 @@
 from twisted.internet.defer import Deferred, maybeDeferred
 from twisted.internet.task import Clock
 
-from features.builders.loop import advanced, kept_result
+from features.builders.loop import advance_in_steps, collect_result
 from pollenstile.claims import build_forwarder, connect_peers, send_append
 from pollenstile.claims._digests import object_name
 from pollenstile.claims._records import decode_segment
-from pollenstile.entry import built_node
+from pollenstile.entry import build_node
 from pollenstile.manifest import (
     Domain,
     Manifest,
@@ -23,13 +23,13 @@
     text_from_manifest,
 )
 from pollenstile.ops.settings import ENTRY, settings_from
-from pollenstile.pipeline import Request, outcome_of
+from pollenstile.pipeline import Request, run_request
 from pollenstile.platform import InDoubt, Unavailable
 from pollenstile.standin.objectapi import MemoryStore
 from pollenstile.standin.virtual import (
     Times,
     VirtualUpstream,
-    calm_network,
+    healthy_network,
 )
 
 WINDOW = 600
@@ -237,7 +237,7 @@
             ENTRY,
             {'POLLENSTILE_HOST': name, 'POLLENSTILE_DOMAIN': 'here'},
         )
-        self.node = built_node(
+        self.node = build_node(
             self.clock,
             Random(f'{name}/{boot}/{world.seed}'),
             settings,
@@ -264,9 +264,9 @@
             key,
         )
         self.world.requests[request.ident] = key
-        running = Deferred.fromCoroutine(outcome_of(self.node.core, request))
+        running = Deferred.fromCoroutine(run_request(self.node.core, request))
         self.node.track(running)
-        return kept_result(running)
+        return collect_result(running)
 
     def kill(self):
         """Kill the host: none of its calls run any more."""
@@ -355,7 +355,7 @@
             name: VirtualUpstream(self.clock, name, 'service', 64, times)
             for name in ('booking-1', 'members-1')
         }
-        self.network = calm_network(self.clock, self.upstreams)
+        self.network = healthy_network(self.clock, self.upstreams)
         self.hosts = {}
         self.answers = {}
         self.requests = {}
@@ -376,7 +376,9 @@
 
     def advance(self, seconds):
         """Advance the clock."""
-        advanced(self.clock, seconds, step=0.001 if seconds < 10 else 0.25)
+        advance_in_steps(
+            self.clock, seconds, step=0.001 if seconds < 10 else 0.25
+        )
 
     def count_runs(self, key):
         """Return how many times the booking service ran a key."""
--- a/features/builders/entryhost.py
+++ b/features/builders/entryhost.py
@@ -4,11 +4,11 @@
 
 from twisted.internet import reactor
 
-from pollenstile.entry import CallerFace, address_of, built_node
+from pollenstile.entry import CallerResource, address_of, build_node
 from pollenstile.manifest import manifest_from_text, text_from_manifest
 from pollenstile.ops.http import site_for
 from pollenstile.ops.settings import ENTRY, settings_from
-from pollenstile.standin.fleet import started_anywhere
+from pollenstile.standin.fleet import start_on_free_ports
 from pollenstile.upstream import http_transport
 
 _LOCAL = '127.0.0.1'
@@ -23,14 +23,14 @@
     def __init__(self, path):
         with open(path, encoding='utf-8') as source:
             manifest = manifest_from_text(source.read())
-        started = started_anywhere(reactor, manifest, _SCALE)
+        started = start_on_free_ports(reactor, manifest, _SCALE)
         self.standins = started[0]
         self.manifest = started[1]
         environment = {
             'POLLENSTILE_HOST': 'erie-hall-1',
             'POLLENSTILE_DOMAIN': 'erie-hall',
         }
-        self.node = built_node(
+        self.node = build_node(
             reactor,
             random.Random(_SEED),
             settings_from(None, ENTRY, environment),
@@ -38,7 +38,7 @@
         )
         text = text_from_manifest(self.manifest)
         self.node.in_force.offer(1, text, 'test')
-        site = site_for(CallerFace(self.node), reactor)
+        site = site_for(CallerResource(self.node), reactor)
         self.port = reactor.listenTCP(0, site, interface=_LOCAL)
         self.base = f'http://{address_of(self.port)}'
 
--- a/features/builders/forward.py
+++ b/features/builders/forward.py
@@ -29,7 +29,7 @@
     Team,
 )
 from pollenstile.stagework import GroupDone, GroupRefused
-from pollenstile.standin.exchanges import Head, HeldCall, KeptAnswer
+from pollenstile.standin.exchanges import Head, StubCall, RecordedAnswer
 
 NAMES = HeaderNames()
 SERVICE = 'desk'
@@ -62,7 +62,7 @@
     )
 
 
-class ScriptedCall(HeldCall):
+class ScriptedCall(StubCall):
     """A send that the test answers."""
 
     def __init__(self, address, headers):
@@ -218,7 +218,7 @@
             {KEY: Team(TEAM)},
         )
         self.core.configuration.table = self.table
-        self.answer = KeptAnswer()
+        self.answer = RecordedAnswer()
         self.work = None
 
     def send(self, address, method, target, headers, body):
--- a/features/builders/forwardfleet.py
+++ b/features/builders/forwardfleet.py
@@ -8,7 +8,7 @@
 from twisted.web.server import Site
 
 from features.builders.forwardhost import CallerConnection, open_connection
-from features.builders.loop import result_of, turned_until
+from features.builders.loop import result_of, run_reactor_until
 from pollenstile.forward import (
     ForwardDaemon,
     HeaderNames,
@@ -112,7 +112,7 @@
     def add_host(self, name):
         """Start a host and wait until it is ready."""
         daemon = self.start_host(name)
-        turned_until(daemon.is_ready)
+        run_reactor_until(daemon.is_ready)
 
     def start_host(self, name):
         """Start a host without waiting; return its daemon."""
@@ -141,7 +141,7 @@
         """Wait until every host has a link to every other."""
         count = len(self.daemons) - 1
         hubs = [daemon.parts.hub for daemon in self.daemons.values()]
-        turned_until(lambda: all(len(hub.links) == count for hub in hubs))
+        run_reactor_until(lambda: all(len(hub.links) == count for hub in hubs))
 
     def send(self, name, attempt):
         """Send a request to a host; return its :class:`CallerConnection`."""
--- a/features/builders/forwardhost.py
+++ b/features/builders/forwardhost.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import ClientFactory, Factory, Protocol
 
-from features.builders.loop import turned_until
+from features.builders.loop import run_reactor_until
 from pollenstile.forward import (
     ForwardCore,
     HeaderNames,
@@ -135,7 +135,9 @@
     def exchange(self, request, until=b'\r\n\r\n'):
         """Send bytes; wait for an answer with some bytes or for the close."""
         connection = self.send(request)
-        turned_until(lambda: until in connection.received or connection.closed)
+        run_reactor_until(
+            lambda: until in connection.received or connection.closed
+        )
         return connection
 
     def stop(self):
@@ -157,7 +159,7 @@
 def _stop_listening(port):
     stopped = Deferred()
     port.stopListening().addBoth(stopped.callback)
-    turned_until(lambda: stopped.called)
+    run_reactor_until(lambda: stopped.called)
 
 
 def _table(limits):
--- a/features/builders/limits.py
+++ b/features/builders/limits.py
@@ -5,7 +5,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from pollenstile.entry import built_node
+from pollenstile.entry import build_node
 from pollenstile.fleet import Snapshot
 from pollenstile.manifest import (
     Domain,
@@ -19,11 +19,11 @@
 )
 from pollenstile.ops.settings import ENTRY, settings_from
 from pollenstile.outcomes import Answered, Refused
-from pollenstile.pipeline import Request, outcome_of
+from pollenstile.pipeline import Request, run_request
 from pollenstile.standin.virtual import (
     Times,
     VirtualUpstream,
-    calm_network,
+    healthy_network,
 )
 
 WORK_SECONDS = 0.1
@@ -100,7 +100,7 @@
                 SLOTS,
                 Times(self._work, float),
             )
-        network = calm_network(self.clock, self.upstreams)
+        network = healthy_network(self.clock, self.upstreams)
         self.nodes = []
         for number in range(hosts):
             node = self._node(f'h{number}', network)
@@ -117,7 +117,7 @@
             ENTRY,
             {'POLLENSTILE_HOST': name, 'POLLENSTILE_DOMAIN': 'here'},
         )
-        return built_node(
+        return build_node(
             self.clock,
             random.Random(self.rng.getrandbits(32)),
             settings,
@@ -139,7 +139,7 @@
         record = {'team': team, 'urgency': urgency, 'asked': now}
         record['deadline'] = request.deadline
         self.records.append(record)
-        running = Deferred.fromCoroutine(outcome_of(node.core, request))
+        running = Deferred.fromCoroutine(run_request(node.core, request))
         running.addCallback(self._record, record)
 
     def _record(self, outcome, record):
--- a/features/builders/loop.py
+++ b/features/builders/loop.py
@@ -42,7 +42,7 @@
     return _unwrapped(outcomes[0])
 
 
-def turned_until(condition):
+def run_reactor_until(condition):
     """Turn the reactor until a condition holds."""
     hung = reactor.callLater(_HANG_SECONDS, lambda: None)
     while not condition():
@@ -51,7 +51,7 @@
     hung.cancel()
 
 
-def kept_result(waiting):
+def collect_result(waiting):
     """Return a list that a Deferred's or coroutine's result is added to."""
     outcomes = []
     if not isinstance(waiting, Deferred):
@@ -60,7 +60,7 @@
     return outcomes
 
 
-def advanced(clock, seconds, step=0.05):
+def advance_in_steps(clock, seconds, step=0.05):
     """Advance a virtual clock in small steps."""
     for _ in range(round(seconds / step)):
         clock.advance(step)
--- a/features/builders/mutations.py
+++ b/features/builders/mutations.py
@@ -104,7 +104,7 @@
     return outcome
 
 
-_ORIGINAL_OUTCOME = pipeline.outcome_of
+_ORIGINAL_OUTCOME = pipeline.run_request
 
 
 def _idle_at_once(node):
--- a/features/builders/placement.py
+++ b/features/builders/placement.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.internet.task import Clock
 
-from pollenstile.entry import built_node, place_engines
+from pollenstile.entry import build_node, add_placement
 from pollenstile.manifest import (
     Domain,
     Manifest,
@@ -37,7 +37,7 @@
 from pollenstile.standin.virtual import (
     Times,
     VirtualUpstream,
-    calm_network,
+    healthy_network,
 )
 from pollenstile.standin.weightstore import MemoryWeights
 
@@ -309,9 +309,9 @@
         times = Times(lambda: 0.05, lambda: 0.01)
         slots = upstream.slots
         engines[name] = VirtualUpstream(clock, name, 'engine', slots, times)
-    network = calm_network(clock, engines)
+    network = healthy_network(clock, engines)
     environment = {'POLLENSTILE_HOST': 'a', 'POLLENSTILE_DOMAIN': DOMAIN}
-    node = built_node(
+    node = build_node(
         clock,
         Random(1),
         settings_from(None, ENTRY, environment),
@@ -319,7 +319,7 @@
     )
     store = MemoryStore(clock)
     orders = MemoryOrders(clock, {})
-    place_engines(node, store, orders, succeed_at_once, clock.seconds)
+    add_placement(node, store, orders, succeed_at_once, clock.seconds)
     node.in_force.offer(1, text_from_manifest(_with_pipeline(manifest)), 'test')
     return node, engines
 
--- a/features/builders/processes.py
+++ b/features/builders/processes.py
@@ -31,7 +31,7 @@
         self.started.append(process)
         return process
 
-    def entry(self, name, domain, platform):
+    def start_entry_host(self, name, domain, platform):
         """Return an entry host's process and its addresses."""
         process = self.start(
             'entry',
@@ -42,10 +42,10 @@
             POLLENSTILE_PEER_LISTEN=_LOCAL,
             POLLENSTILE_PLATFORM=platform,
         )
-        line = line_with(process.stderr, 'started')
+        line = wait_for_line(process.stderr, 'started')
         return process, json.loads(line)
 
-    def end(self):
+    def kill_all(self):
         """End every process that still runs."""
         for process in self.started:
             if process.poll() is None:
@@ -53,7 +53,7 @@
             process.communicate()
 
 
-def line_with(stream, word):
+def wait_for_line(stream, word):
     """Return the next line that holds a word; read what comes before it."""
     for line in stream:
         if word in line:
@@ -61,7 +61,7 @@
     raise AssertionError(f'the process ended before it said {word!r}')
 
 
-def command(*arguments):
+def run_command(*arguments):
     """Return the finished process of one command."""
     return subprocess.run(
         [*COMMAND, *arguments],
--- a/features/builders/relay.py
+++ b/features/builders/relay.py
@@ -12,7 +12,7 @@
 from pollenstile.relay import Follower, RelayStore, Source, select_reader
 from pollenstile.routes import RouteTable
 from pollenstile.standin.objectapi import MemoryStore
-from pollenstile.standin.reach import ReachedStore
+from pollenstile.standin.partition import PartitionedStore
 
 KIND = 'upstreams'
 # The timing of the daemon's registry watch.
@@ -139,7 +139,7 @@
         self.drained = set()
         clock = fleet.clock
         self.link = Link(clock)
-        reached = ReachedStore(store or fleet.store, lambda: self.parted)
+        reached = PartitionedStore(store or fleet.store, lambda: self.parted)
         self.calls = _CountedStore(LinkedStore(reached, self.link))
         self.configuration = Configuration(
             self.calls,
--- a/features/builders/requests.py
+++ b/features/builders/requests.py
@@ -5,7 +5,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from pollenstile.entry import built_node
+from pollenstile.entry import build_node
 from pollenstile.manifest import (
     Domain,
     Manifest,
@@ -19,7 +19,7 @@
     text_from_manifest,
 )
 from pollenstile.ops.settings import ENTRY, settings_from
-from pollenstile.pipeline import Request, outcome_of
+from pollenstile.pipeline import Request, run_request
 from pollenstile.soak._clock import advance_exactly
 from pollenstile.standin.virtual import (
     UP,
@@ -175,7 +175,7 @@
             lambda origin, name: self.links.get(name, UP),
         )
         environment = {'POLLENSTILE_HOST': 'h', 'POLLENSTILE_DOMAIN': 'here'}
-        self.node = built_node(
+        self.node = build_node(
             self.clock,
             Random(seed),
             settings_from(None, ENTRY, environment),
@@ -213,7 +213,7 @@
         sent = Sent(request)
         self.sent.append(sent)
         sent.running = Deferred.fromCoroutine(
-            outcome_of(self.node.core, request, sent.tokens.append),
+            run_request(self.node.core, request, sent.tokens.append),
         )
         self.node.track(sent.running)
         sent.running.addBoth(self._ended, sent)
--- a/features/builders/requests_http.py
+++ b/features/builders/requests_http.py
@@ -7,13 +7,13 @@
 from twisted.web.resource import Resource
 from twisted.web.server import Site
 
-from features.builders.loop import kept_result, turned_until
+from features.builders.loop import collect_result, run_reactor_until
 from features.builders.requests import TEAM, TOKENS, Sent, requests_manifest
-from pollenstile.entry import built_node
+from pollenstile.entry import build_node
 from pollenstile.manifest import text_from_manifest
 from pollenstile.ops.http import site_for
 from pollenstile.ops.settings import ENTRY, settings_from
-from pollenstile.pipeline import Request, outcome_of
+from pollenstile.pipeline import Request, run_request
 from pollenstile.standin.plain import PlainResource, PlainServer
 from pollenstile.upstream import Call, http_transport, wire
 
@@ -154,7 +154,7 @@
     def ended(self, **options):
         """Make a call; return its attempt and its end."""
         made = self.call(**options)
-        turned_until(lambda: made.events)
+        run_reactor_until(lambda: made.events)
         self.ends.append((made.attempt, made.events[-1]))
         return self.ends[-1]
 
@@ -168,7 +168,7 @@
     def transport(name, upstream, call, sink):
         return raw(name, there, call, sink)
 
-    node = built_node(
+    node = build_node(
         reactor,
         Random(1),
         settings_from(None, ENTRY, environment),
@@ -190,10 +190,10 @@
         node.core.clock.seconds() + 1.0,
     )
     sent = Sent(request)
-    sent.outcomes = kept_result(
-        outcome_of(node.core, request, sent.tokens.append),
+    sent.outcomes = collect_result(
+        run_request(node.core, request, sent.tokens.append),
     )
-    turned_until(lambda: sent.outcomes)
+    run_reactor_until(lambda: sent.outcomes)
     return sent
 
 
--- a/features/builders/shutdown.py
+++ b/features/builders/shutdown.py
@@ -7,8 +7,8 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 from twisted.internet.task import Clock
 
-from features.builders.loop import turned_until
-from pollenstile.entry import Daemon, built_node
+from features.builders.loop import run_reactor_until
+from pollenstile.entry import Daemon, build_node
 from pollenstile.manifest import (
     Domain,
     Manifest,
@@ -26,7 +26,7 @@
 from pollenstile.standin.virtual import (
     Times,
     VirtualUpstream,
-    calm_network,
+    healthy_network,
 )
 
 LAME_DUCK_SECONDS = 2.0
@@ -152,7 +152,7 @@
             'e1': VirtualUpstream(self.clock, 'e1', 'engine', 8, times),
             'b1': VirtualUpstream(self.clock, 'b1', 'service', 8, times),
         }
-        network = calm_network(self.clock, self.upstreams)
+        network = healthy_network(self.clock, self.upstreams)
         settings = settings_from(
             None,
             ENTRY,
@@ -163,7 +163,7 @@
                 'POLLENSTILE_ADMIN': '127.0.0.1:0',
             },
         )
-        node = built_node(
+        node = build_node(
             self.clock,
             Random(1),
             settings,
@@ -193,7 +193,7 @@
         factory = RefusalCounter()
         factory.noisy = False
         reactor.connectTCP('127.0.0.1', self.port, factory)
-        turned_until(lambda: factory.refused)
+        run_reactor_until(lambda: factory.refused)
         return factory.refused == 1
 
     def advance(self, seconds):
--- a/features/steps/badinput_steps.py
+++ b/features/steps/badinput_steps.py
@@ -13,7 +13,7 @@
 
 from features.builders.entryhost import EntryHost
 from features.builders.loop import result_of
-from features.builders.processes import command
+from features.builders.processes import run_command
 from pollenstile.ops.agents import agent_for
 from pollenstile.ops.body import BytesProducer
 from pollenstile.ops.client import pipeline_client
@@ -139,7 +139,7 @@
 
 @when('the entry command is run with bad input "{arguments}"')
 def run_entry(context, arguments):
-    context.finished = command('entry', *arguments.split())
+    context.finished = run_command('entry', *arguments.split())
 
 
 @then('it exits with {code:d} and {count:d} lines for its bad input')
--- a/features/steps/claims_steps.py
+++ b/features/steps/claims_steps.py
@@ -4,7 +4,7 @@
 
 from features.builders.claims import WINDOW, ClaimsWorld
 from features.builders.claims_guards import without
-from features.builders.loop import kept_result
+from features.builders.loop import collect_result
 from pollenstile.claims import Held, Record, Segment
 from pollenstile.claims._digests import key_digest, object_name
 
@@ -226,7 +226,7 @@
         world.clock.seconds() + 100000,
     )
     pending = entry.claims.shard_log(record.key).submit(record)
-    world.answers['held'] = kept_result(pending.done)
+    world.answers['held'] = collect_result(pending.done)
 
 
 @when(
--- a/features/steps/drained_steps.py
+++ b/features/steps/drained_steps.py
@@ -5,7 +5,7 @@
 from twisted.internet.task import Clock
 
 from features.builders.forward import ForwardScenario, event_bytes
-from features.builders.loop import result_of, turned_until
+from features.builders.loop import result_of, run_reactor_until
 from features.builders.relay import RelayFleet, RelayHost
 from features.builders.stagework import LIMITS, Queue, group, workers
 from pollenstile.forward import DRAINED
@@ -260,20 +260,20 @@
 def when_fleet_drained(context):
     result_of(context.fleet.store.put(DRAINED, 'here', {}))
     found = _registries(context)
-    turned_until(lambda: all(one.drained for one in found))
+    run_reactor_until(lambda: all(one.drained for one in found))
 
 
 @when('the drain of the domain of the fleet ends')
 def when_fleet_taken_back(context):
     result_of(context.fleet.store.delete(DRAINED, 'here'))
     found = _registries(context)
-    turned_until(lambda: not any(one.drained for one in found))
+    run_reactor_until(lambda: not any(one.drained for one in found))
 
 
 @then('host "{name}" answers a draft with {status:d}')
 def then_answers(context, name, status):
     talk = context.fleet.send(name, 'drained')
-    turned_until(lambda: b'\r\n\r\n' in talk.received)
+    run_reactor_until(lambda: b'\r\n\r\n' in talk.received)
     assert str(status).encode() in talk.received.split(b'\r\n')[0]
     assert b'retry-after' in talk.received.lower(), talk.received
 
--- a/features/steps/forward_fleet_steps.py
+++ b/features/steps/forward_fleet_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from features.builders.forwardfleet import ForwardFleet
-from features.builders.loop import result_of, turned_until
+from features.builders.loop import result_of, run_reactor_until
 
 _END = b'0\r\n\r\n'
 
@@ -38,7 +38,7 @@
 def when_stopped(context, count, name, other):
     _send(context, name, count)
     fleet = context.fleet
-    turned_until(
+    run_reactor_until(
         lambda: any(event == 'stage-called' for _, event, _ in fleet.logged)
     )
     context.stopped = fleet.stop(other)
@@ -59,7 +59,7 @@
 def then_complete(context, count):
     connections = context.connections
     assert len(connections) == count
-    turned_until(
+    run_reactor_until(
         lambda: all(
             connection.received.endswith(_END) for connection in connections
         )
@@ -77,7 +77,7 @@
 def then_once(context):
     pieces = Counter(
         (piece['request'], piece['step'], piece['number'])
-        for piece in context.fleet.results.made
+        for piece in context.fleet.results.executed_pieces
     )
     assert len(pieces) == 4 * len(context.connections), len(pieces)
     assert set(pieces.values()) == {1}, pieces
@@ -99,7 +99,7 @@
 
 @then('all stage results are released')
 def then_released(context):
-    turned_until(lambda: not context.fleet.results.known)
+    run_reactor_until(lambda: not context.fleet.results.known)
 
 
 @then('forwarding host "{name}" stops with no request in flight')
@@ -117,7 +117,7 @@
 def then_not_ready(context, name, status):
     assert not context.starting.is_ready()
     connection = context.fleet.send(name, 'early')
-    turned_until(lambda: b'\r\n\r\n' in connection.received)
+    run_reactor_until(lambda: b'\r\n\r\n' in connection.received)
     assert str(status).encode() in connection.received.split(b'\r\n')[0]
 
 
--- a/features/steps/forward_http_steps.py
+++ b/features/steps/forward_http_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from features.builders.forwardhost import ForwardHost, request
-from features.builders.loop import turned_until
+from features.builders.loop import run_reactor_until
 from pollenstile.routes import Limits
 
 _ECHOED_HEADERS = b'X-Attempt: a1\r\nX-Proof: p\r\n'
@@ -69,7 +69,7 @@
     context.connection = context.host.exchange(request(), b'0\r\n\r\n')
     connection = context.connection
     connection.transport.write(request())
-    turned_until(lambda: connection.received.count(b'0\r\n\r\n') == 2)
+    run_reactor_until(lambda: connection.received.count(b'0\r\n\r\n') == 2)
 
 
 @given('its configuration may be outdated')
@@ -158,7 +158,7 @@
 @then('its connection is closed')
 def then_ends(context):
     connection = context.connection
-    turned_until(lambda: connection.closed)
+    run_reactor_until(lambda: connection.closed)
 
 
 @then('it gets {status:d} and its connection stays open')
--- a/features/steps/peer_steps.py
+++ b/features/steps/peer_steps.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import ClientFactory, Protocol
 
-from features.builders.loop import turned_until
+from features.builders.loop import run_reactor_until
 from features.builders.peers import (
     NEXT_SCHEMA,
     PeerWorld,
@@ -216,7 +216,7 @@
     for stranger in context.strangers:
         if not stranger.closed:
             stranger.transport.loseConnection()
-    turned_until(settled)
+    run_reactor_until(settled)
     assert not any(stranger.received for stranger in context.strangers)
 
 
--- a/features/steps/placement_http_steps.py
+++ b/features/steps/placement_http_steps.py
@@ -7,13 +7,13 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from features.builders.loop import advanced, kept_result, result_of
+from features.builders.loop import advance_in_steps, collect_result, result_of
 from features.builders.placement import DOMAIN, manifest_of, routed_node
 from features.builders.platform import listen_on_loopback
 from pollenstile.manifest import Upstream
 from pollenstile.ops.http import site_for
 from pollenstile.outcomes import Answered
-from pollenstile.pipeline import Request, outcome_of
+from pollenstile.pipeline import Request, run_request
 from pollenstile.placement import (
     Applied,
     EngineState,
@@ -25,7 +25,7 @@
 )
 from pollenstile.platform import ServerClient
 from pollenstile.standin.engine import Engine, EngineResource
-from pollenstile.standin.orders import Holdings, OrderedResource
+from pollenstile.standin.orders import Holdings, PlacementResource
 from pollenstile.upstream import wire
 
 _SIZES = {'draft': 8, 'tags': 8}
@@ -43,7 +43,7 @@
 def step_engine(context):
     holdings = Holdings(Clock(), 'e1', _SIZES, 16, checks=True)
     rest = EngineResource(Engine(reactor, 'e1'))
-    _serve(context, OrderedResource(holdings, rest))
+    _serve(context, PlacementResource(holdings, rest))
 
 
 @given('a placement engine of a release that lacks orders, over HTTP')
@@ -122,10 +122,10 @@
             context.clock.seconds() + 4,
             '',
         )
-        running = Deferred.fromCoroutine(outcome_of(node.core, request))
-        context.outcomes.append(kept_result(running))
-        advanced(context.clock, 0.1, step=0.001)
-    advanced(context.clock, 4, step=0.001)
+        running = Deferred.fromCoroutine(run_request(node.core, request))
+        context.outcomes.append(collect_result(running))
+        advance_in_steps(context.clock, 0.1, step=0.001)
+    advance_in_steps(context.clock, 4, step=0.001)
 
 
 @then('all placement requests are answered')
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, use_step_matcher, when
 from twisted.internet.defer import Deferred
 
-from features.builders.loop import kept_result
+from features.builders.loop import collect_result
 from features.builders.placement import (
     DOMAIN,
     World,
@@ -94,7 +94,7 @@
 def step_leave(context, name):
     host = context.world.hosts[name]
     context.old_fence = host.fence
-    kept_result(host.placement.leave())
+    collect_result(host.placement.leave())
 
 
 @when('placement host "{name}" is cut off from the store')
@@ -113,7 +113,7 @@
 def step_delete(context, name):
     step_cut(context, name)
     context.old_fence = context.world.hosts[name].fence
-    kept_result(context.world.store.delete('leases', DOMAIN))
+    collect_result(context.world.store.delete('leases', DOMAIN))
 
 
 @when('the answers of the next {count:d} placement writes are lost')
@@ -150,7 +150,7 @@
 
 @when('the placement lease is deleted')
 def step_deleted(context):
-    kept_result(context.world.store.delete('leases', DOMAIN))
+    collect_result(context.world.store.delete('leases', DOMAIN))
 
 
 @when('placement host "{name}" is paused for {seconds:d} seconds')
@@ -537,13 +537,13 @@
 
 @when('the placement state reads are counted for {seconds:d} seconds')
 def step_count_looks(context, seconds):
-    context.world.orders.looks = 0
+    context.world.orders.state_reads = 0
     context.world.advance(seconds)
 
 
 @then('from {least:d} to {most:d} placement state reads were counted')
 def step_looks(context, least, most):
-    assert least <= context.world.orders.looks <= most
+    assert least <= context.world.orders.state_reads <= most
 
 
 @then('placement engine "{name}" refused from {least:d} to {most:d} orders')
--- a/features/steps/platform_http_steps.py
+++ b/features/steps/platform_http_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 from twisted.internet.task import Clock
 
-from features.builders.loop import kept_result, result_of, turned_until
+from features.builders.loop import collect_result, result_of, run_reactor_until
 from features.builders.platform import (
     FixedResponse,
     PartwiseServer,
@@ -81,19 +81,19 @@
     context.clock = Clock()
     context.dropping = StateDroppingServer()
     _use_port(context, serve_resource(context.dropping), context.clock)
-    kept = [kept_result(context.http.get('config', 'm')) for _ in range(2)]
-    turned_until(lambda: all(kept))
+    kept = [collect_result(context.http.get('config', 'm')) for _ in range(2)]
+    run_reactor_until(lambda: all(kept))
     assert len(context.dropping.open) == 2
     context.dropping.drop_connections()
 
 
 @then('the first platform read over HTTP waits for its timeout')
 def step_first_waits(context):
-    kept = kept_result(context.http.get('config', 'm'))
-    turned_until(lambda: context.dropping.unanswered)
+    kept = collect_result(context.http.get('config', 'm'))
+    run_reactor_until(lambda: context.dropping.unanswered)
     assert not kept
     context.clock.advance(21)
-    turned_until(lambda: kept)
+    run_reactor_until(lambda: kept)
     assert isinstance(kept[0], Unavailable), kept
 
 
@@ -146,11 +146,11 @@
 def step_watch_waits(context):
     world = context.world
     since = world.store.objects.revision
-    kept = kept_result(context.http.watched('config', since))
-    turned_until(lambda: world.store.waiting)
+    kept = collect_result(context.http.watched('config', since))
+    run_reactor_until(lambda: world.store.waiting)
     result_of(context.http.put('config', 'm', {'a': 'ö'}))
     world.clock.advance(0)
-    turned_until(lambda: kept)
+    run_reactor_until(lambda: kept)
     assert isinstance(kept[0], Changes), kept
     assert [event.value for event in kept[0].events] == [{'a': 'ö'}]
 
@@ -183,9 +183,9 @@
     outcome = result_of(context.http.put('config', 'bare', 1))
     assert type(outcome).__name__ == single, outcome
     store.lose_answers = 1
-    kept = kept_result(context.world.put_manifest('w', 0, context.http))
-    turned_until(lambda: store.calls['get'])
-    turned_until(lambda: kept)
+    kept = collect_result(context.world.put_manifest('w', 0, context.http))
+    run_reactor_until(lambda: store.calls['get'])
+    run_reactor_until(lambda: kept)
     assert type(kept[0]).__name__ == read_back, kept
     assert store.objects.revision == 2
 
@@ -211,21 +211,21 @@
 @then('platform calls over HTTP time out as "{write}" and "{read}"')
 def step_time_out(context, write, read):
     kept = [
-        kept_result(context.http.put('config', 'm', 1)),
-        kept_result(context.http.get('config', 'm')),
+        collect_result(context.http.put('config', 'm', 1)),
+        collect_result(context.http.get('config', 'm')),
     ]
-    turned_until(lambda: context.unresponsive.received == 2)
+    run_reactor_until(lambda: context.unresponsive.received == 2)
     context.clock.advance(19)
     assert kept == [[], []]
     context.clock.advance(2)
-    turned_until(lambda: all(kept))
+    run_reactor_until(lambda: all(kept))
     names = [type(outcomes[0]).__name__ for outcomes in kept]
     assert names == [write, read], kept
 
 
 @then('the connections of the silent platform server are closed')
 def step_connections_lost(context):
-    turned_until(lambda: context.unresponsive.disconnected == 2)
+    run_reactor_until(lambda: context.unresponsive.disconnected == 2)
 
 
 @then("over HTTP the platform's host list shows a change after its lag")
@@ -263,8 +263,8 @@
 def step_begins(context, seconds):
     client = context.http.client
     call = client.call('GET', '/v1/x', timeout=seconds, fresh=True)
-    context.kept = kept_result(call)
-    turned_until(lambda: client.bodies_in_progress == 1)
+    context.kept = collect_result(call)
+    run_reactor_until(lambda: client.bodies_in_progress == 1)
 
 
 @when('{count:d} further parts arrive, {gap:g} seconds apart')
@@ -279,7 +279,7 @@
 def _send_part(context):
     before = _timeout_times(context)
     context.partwise.send_part()
-    turned_until(lambda: _timeout_times(context) != before)
+    run_reactor_until(lambda: _timeout_times(context) != before)
 
 
 def _timeout_times(context):
@@ -294,7 +294,7 @@
 @when('the last part arrives')
 def step_last(context):
     context.partwise.send_last_part()
-    turned_until(lambda: context.kept)
+    run_reactor_until(lambda: context.kept)
 
 
 @then('a response body is being received')
@@ -314,5 +314,5 @@
 
 @then('the raw platform call over HTTP timed out')
 def step_timed_out(context):
-    turned_until(lambda: context.kept)
+    run_reactor_until(lambda: context.kept)
     assert context.kept == [FailedCall(connected=True, reason='TimeoutError')]
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from features.builders.loop import advanced, kept_result
+from features.builders.loop import advance_in_steps, collect_result
 from features.builders.platform import World
 from pollenstile.platform import Budget
 
@@ -17,7 +17,7 @@
 @given('a platform store with the manifest of "{writer}"')
 def step_store(context, writer):
     context.world = World()
-    kept_result(context.world.put_manifest(writer, 0))
+    collect_result(context.world.put_manifest(writer, 0))
 
 
 @given('the platform store loses the next response')
@@ -43,19 +43,19 @@
 @when('writer "{writer}" puts the manifest over its version')
 @when('writer "{writer}" starts to put the manifest over its version')
 def step_put(context, writer):
-    context.results = kept_result(context.world.put_manifest(writer, 1))
+    context.results = collect_result(context.world.put_manifest(writer, 1))
 
 
 @when('the platform store answers immediately again after {seconds:g} seconds')
 def step_fast_again(context, seconds):
-    advanced(context.world.clock, seconds)
+    advance_in_steps(context.world.clock, seconds)
     assert not context.results
     context.world.store.latency = 0
 
 
 @when('{seconds:g} platform seconds pass')
 def step_pass(context, seconds):
-    advanced(context.world.clock, seconds)
+    advance_in_steps(context.world.clock, seconds)
 
 
 @when('writer "{one}" and writer "{other}" put the manifest over its version')
@@ -63,10 +63,10 @@
     world = context.world
     world.store.latency = 0.01
     context.racing = [
-        kept_result(world.put_manifest(one, 1)),
-        kept_result(world.put_manifest(other, 1)),
+        collect_result(world.put_manifest(one, 1)),
+        collect_result(world.put_manifest(other, 1)),
     ]
-    advanced(world.clock, 10)
+    advance_in_steps(world.clock, 10)
 
 
 @when(
@@ -75,20 +75,20 @@
 def step_follow(context, one, other):
     world = context.world
     world.store.latency = 0.1
-    context.results = kept_result(world.put_manifest(one, 1))
+    context.results = collect_result(world.put_manifest(one, 1))
     world.clock.advance(0.06)
-    kept_result(world.put_manifest(other, world.store.objects.revision))
-    advanced(world.clock, 10)
+    collect_result(world.put_manifest(other, world.store.objects.revision))
+    advance_in_steps(world.clock, 10)
 
 
 @when('writer "{writer}" puts the manifest and the store goes down')
 def step_put_down(context, writer):
     world = context.world
     world.store.latency = 0.1
-    context.results = kept_result(world.put_manifest(writer, 1))
+    context.results = collect_result(world.put_manifest(writer, 1))
     world.clock.advance(0.06)
     world.store.down = True
-    advanced(world.clock, 30)
+    advance_in_steps(world.clock, 30)
 
 
 @when('writer "{writer}" puts the manifest with a budget of 2 calls')
@@ -96,8 +96,8 @@
     world = context.world
     before = world.store.calls.total()
     client = world.make_paced(rate=0.001, burst=5)
-    context.results = kept_result(world.put_manifest(writer, 1, client))
-    advanced(world.clock, 30)
+    context.results = collect_result(world.put_manifest(writer, 1, client))
+    advance_in_steps(world.clock, 30)
     assert world.store.calls.total() - before == 2, world.store.calls
 
 
@@ -159,7 +159,7 @@
 
 @then('a platform read is answered immediately')
 def step_read_served(context):
-    kept = kept_result(context.clients[0].get('claims', 'one'))
+    kept = collect_result(context.clients[0].get('claims', 'one'))
     assert _outcome_name(kept) == 'Found', kept
 
 
@@ -173,7 +173,7 @@
         for number, client in enumerate(context.clients):
             kind = kinds[(tick + number) % len(kinds)]
             put = client.put(kind, 'one', tick)
-            context.calls.append((kind, kept_result(put)))
+            context.calls.append((kind, collect_result(put)))
         world.clock.advance(1 / rate)
         context.ticks.append(world.store.calls.total() - before)
         context.pending.append(
@@ -226,7 +226,7 @@
             kinds.append(other)
         for kind in kinds:
             put = client.put(kind, 'one', tick)
-            context.calls.append((kind, kept_result(put)))
+            context.calls.append((kind, collect_result(put)))
         world.clock.advance(1 / often)
 
 
--- a/features/steps/platform_watch_steps.py
+++ b/features/steps/platform_watch_steps.py
@@ -2,13 +2,13 @@
 
 from behave import given, then, when
 
-from features.builders.loop import advanced, kept_result
+from features.builders.loop import advance_in_steps, collect_result
 from features.builders.platform import SplitStore, World
 from pollenstile.standin.objectapi import MemoryStore
 
 
 def _put(store, name, writer):
-    kept_result(store.put('config', name, {'writer': writer}))
+    collect_result(store.put('config', name, {'writer': writer}))
 
 
 @given('a platform watch on a store with the manifest of "{writer}"')
@@ -25,13 +25,13 @@
 
 @given('watch calls of the platform store report no changes')
 def step_no_changes(context):
-    context.world.store.deaf_watches = True
+    context.world.store.empty_watches = True
 
 
 @given('the watched platform store has an extra object')
 def step_extra(context):
     _put(context.world.store, 'extra', 'extra')
-    advanced(context.world.clock, 1)
+    advance_in_steps(context.world.clock, 1)
 
 
 @given('a stale replica of the watched platform store')
@@ -48,7 +48,7 @@
 
 @when('the extra object is deleted from the watched platform store')
 def step_delete_extra(context):
-    kept_result(context.world.store.delete('config', 'extra'))
+    collect_result(context.world.store.delete('config', 'extra'))
 
 
 @given('the callback of the platform watch fails on "{writer}"')
@@ -83,7 +83,7 @@
 @when('the platform store is down for {seconds:d} seconds')
 def step_outage(context, seconds):
     context.world.store.down = True
-    advanced(context.world.clock, seconds)
+    advance_in_steps(context.world.clock, seconds)
     context.world.store.down = False
 
 
@@ -91,7 +91,7 @@
 def step_outage_compacts(context, seconds):
     store = context.world.store
     store.down = True
-    advanced(context.world.clock, seconds)
+    advance_in_steps(context.world.clock, seconds)
     store.objects.delete('config', 'extra', None)
     store.objects.put('config', 'manifest', b'{"writer":"second"}', None)
     store.objects.compact()
@@ -106,7 +106,7 @@
 @when('the replica answers the platform lists for {seconds:d} seconds')
 def step_old_lists(context, seconds):
     context.watch.store = SplitStore(context.replica, context.world.store)
-    advanced(context.world.clock, seconds)
+    advance_in_steps(context.world.clock, seconds)
     assert context.replica.calls['list']
 
 
--- a/features/steps/properties_steps.py
+++ b/features/steps/properties_steps.py
@@ -27,10 +27,10 @@
     stream_of,
 )
 from pollenstile.entry._caller import (
-    content_of,
-    deadline_of,
-    key_of,
-    team_of,
+    decode_input,
+    parse_deadline,
+    parse_idempotency_key,
+    authenticate_team,
 )
 from pollenstile.fleet import Snapshot
 from pollenstile.manifest import (
@@ -63,7 +63,7 @@
     @FIXED
     @given(st.binary(max_size=400) | st.text().map(str.encode))
     def check(body):
-        found = content_of(body)
+        found = decode_input(body)
         assert not isinstance(found, Refused) or found.status == 400
 
     check()
@@ -74,7 +74,7 @@
     @FIXED
     @given(HEADERS | st.text('k', min_size=150, max_size=250))
     def check(header):
-        found = key_of(header)
+        found = parse_idempotency_key(header)
         if len(header) > 200 or not header.isprintable():
             assert found.status == 400
             return
@@ -88,7 +88,7 @@
     @FIXED
     @given(HEADERS, st.sampled_from(['', 'Bearer ', 'Bearer  ', 'Basic ']))
     def check(header, scheme):
-        found = team_of(_SNAPSHOT, scheme + header)
+        found = authenticate_team(_SNAPSHOT, scheme + header)
         assert isinstance(found, Refused)
         assert found.status == 401
 
@@ -101,7 +101,7 @@
     @given(st.integers(min_value=0, max_value=10**12), st.integers(1, 10**6))
     def check(asked, declared):
         pipeline = SimpleNamespace(deadline_ms=declared)
-        found = deadline_of(str(asked), pipeline)
+        found = parse_deadline(str(asked), pipeline)
         if asked == 0:
             assert found.status == 400
             return
@@ -118,7 +118,7 @@
     @FIXED
     @given(HEADERS | digits | st.just('9' * 5000))
     def check(header):
-        found = deadline_of(header, SimpleNamespace(deadline_ms=4000))
+        found = parse_deadline(header, SimpleNamespace(deadline_ms=4000))
         refused = isinstance(found, Refused) and found.status == 400
         assert refused or 0 < found <= 4
 
@@ -252,7 +252,7 @@
         for start, end in attempts:
             for offset in range(start, min(end, len(tokens))):
                 gap = assembly.has_gap(offset)
-                taken = assembly.accepts(offset, tokens[offset])
+                taken = assembly.append_if_next(offset, tokens[offset])
                 assert not (gap and taken)
                 if taken:
                     passed.append(tokens[offset])
--- a/features/steps/requests_http_steps.py
+++ b/features/steps/requests_http_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from features.builders import requests_http as build
-from features.builders.loop import result_of, turned_until
+from features.builders.loop import result_of, run_reactor_until
 from pollenstile.standin.engine import wire
 from pollenstile.upstream import Reply
 
@@ -92,10 +92,10 @@
 def step_cut(context):
     context.server.faults.frozen = True
     call = context.caller.call()
-    turned_until(lambda: call.attempt in context.server.runs)
+    run_reactor_until(lambda: call.attempt in context.server.runs)
     call.cancel()
     context.server.faults.frozen = False
-    turned_until(lambda: context.counted.lost == 1)
+    run_reactor_until(lambda: context.counted.lost == 1)
     assert not call.events, call.events
 
 
@@ -125,7 +125,7 @@
 def step_no_answer(context):
     call = context.caller.call()
     # The silent server has read the call and will not answer it.
-    turned_until(lambda: context.silent)
+    run_reactor_until(lambda: context.silent)
     assert not call.events, call.events
     assert context.counted.made == 2
     call.cancel()
--- a/features/steps/shutdown_steps.py
+++ b/features/steps/shutdown_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 from twisted.internet.defer import succeed
 
-from features.builders.loop import kept_result, turned_until
+from features.builders.loop import collect_result, run_reactor_until
 from features.builders.shutdown import ListeningHost, request_bytes
 from pollenstile.ops.channels import Channels
 
@@ -38,7 +38,9 @@
 
 def _send_request(context, request, **named):
     context.caller = context.host.call(request, **named)
-    turned_until(lambda: context.host.node.in_flight or context.caller.received)
+    run_reactor_until(
+        lambda: context.host.node.in_flight or context.caller.received
+    )
 
 
 @when('a shutdown caller asks for "{pipeline}"')
@@ -66,7 +68,7 @@
 
 @when('the shutdown host gets the stop signal')
 def step_stop(context):
-    context.stopped = kept_result(context.host.daemon.stop())
+    context.stopped = collect_result(context.host.daemon.stop())
 
 
 @when('the shutdown store goes down')
@@ -92,7 +94,7 @@
 
 @then('the shutdown caller has {tokens:d} tokens and the complete answer')
 def step_whole(context, tokens):
-    turned_until(lambda: context.caller.closed)
+    run_reactor_until(lambda: context.caller.closed)
     received = context.caller.received
     assert received.count(b'{"text"') == tokens, received
     assert b'event: done' in received, received
@@ -101,7 +103,7 @@
 
 @then('the shutdown caller gets {size:d} bytes and the end of the stream')
 def step_much(context, size):
-    turned_until(lambda: context.caller.closed)
+    run_reactor_until(lambda: context.caller.closed)
     received = context.caller.received
     assert received.count(b'x') >= size, len(received)
     assert received.endswith(b'\r\n0\r\n\r\n'), received[-50:]
@@ -111,7 +113,7 @@
     'the shutdown caller received {status:d} "{outcome}", and its connection ended'
 )
 def step_told(context, status, outcome):
-    turned_until(lambda: context.caller.closed)
+    run_reactor_until(lambda: context.caller.closed)
     head, _, body = context.caller.received.partition(b'\r\n\r\n')
     assert head.startswith(b'HTTP/1.1 %d ' % status), head
     assert b'connection: close' in head.lower(), head
@@ -126,7 +128,7 @@
 
 @then('the shutdown host has stopped')
 def step_stopped(context):
-    turned_until(lambda: context.stopped)
+    run_reactor_until(lambda: context.stopped)
     assert context.stopped == [None], context.stopped
     assert context.host.events[-1] == 'stopped'
 
--- a/features/steps/thinpath_steps.py
+++ b/features/steps/thinpath_steps.py
@@ -8,8 +8,8 @@
 from twisted.internet import reactor
 from twisted.web.client import readBody
 
-from features.builders.loop import kept_result, result_of, turned_until
-from features.builders.processes import Processes, command, line_with
+from features.builders.loop import collect_result, result_of, run_reactor_until
+from features.builders.processes import Processes, run_command, wait_for_line
 from pollenstile.ops.agents import agent_for
 from pollenstile.ops.client import pipeline_client
 
@@ -34,7 +34,7 @@
 @given('the upstreams of "{path}" run as a thin path process')
 def start_upstreams(context, path):
     context.processes = Processes()
-    context.add_cleanup(context.processes.end)
+    context.add_cleanup(context.processes.kill_all)
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     context.manifest_path = f'{folder.name}/placed.json'
@@ -49,19 +49,19 @@
         '--scale',
         '2',
     )
-    line_with(fleet.stdout, 'listens')
+    wait_for_line(fleet.stdout, 'listens')
 
 
 @given('the object API runs as a thin path process')
 def start_platform(context):
     platform = context.processes.start('standin', 'objectapi')
-    line = line_with(platform.stdout, 'listens on')
+    line = wait_for_line(platform.stdout, 'listens on')
     context.platform = line.split()[-1]
 
 
 @given('the manifest is applied over the command line')
 def apply_manifest(context):
-    applied = command(
+    applied = run_command(
         'apply',
         context.manifest_path,
         '--platform',
@@ -78,14 +78,14 @@
     for number in range(count):
         domain = _DOMAINS[number % len(_DOMAINS)]
         context.entries.append(
-            context.processes.entry(
+            context.processes.start_entry_host(
                 f'{domain}-{number}',
                 domain,
                 context.platform,
             ),
         )
     for process, _ in context.entries:
-        line_with(process.stderr, 'config-in-force')
+        wait_for_line(process.stderr, 'config-in-force')
 
 
 @when('each entry host is called once with the thin path')
@@ -97,10 +97,10 @@
 
 def _start_stream(context):
     seen = []
-    results = kept_result(
+    results = collect_result(
         _call(context, 0, stream=True, on_bytes=seen.append),
     )
-    turned_until(lambda: seen or results)
+    run_reactor_until(lambda: seen or results)
     return results
 
 
@@ -108,7 +108,7 @@
 def kill_in_stream(context):
     results = _start_stream(context)
     context.entries[0][0].kill()
-    turned_until(lambda: results)
+    run_reactor_until(lambda: results)
     context.cut_off = results[0]
     context.answers = []
 
@@ -117,7 +117,7 @@
 def stop_in_stream(context):
     results = _start_stream(context)
     context.entries[0][0].send_signal(signal.SIGTERM)
-    turned_until(lambda: results)
+    run_reactor_until(lambda: results)
     context.answers = [results[0]]
 
 
--- a/pollenstile/bench/_crashworld.py
+++ b/pollenstile/bench/_crashworld.py
@@ -9,7 +9,7 @@
 from pollenstile.forward import RouteQuery, Exchange, serve
 from pollenstile.routes import Kind, Route, Target
 from pollenstile.standin.crashing import NAMES, CrashingUpstreams
-from pollenstile.standin.exchanges import KeptAnswer
+from pollenstile.standin.exchanges import RecordedAnswer
 
 _SERVICE = 's'
 _TEAM = 'team'
@@ -51,7 +51,7 @@
     at: float
     host: str
     body: bytes
-    answer: KeptAnswer = field(default_factory=KeptAnswer)
+    answer: RecordedAnswer = field(default_factory=RecordedAnswer)
 
 
 class CrashWorld:
--- a/pollenstile/bench/_placementworld.py
+++ b/pollenstile/bench/_placementworld.py
@@ -80,14 +80,14 @@
 
     def expire(self):
         """End the call without an answer at its deadline."""
-        if self.working or self.engine.slots.drop(self.begin):
+        if self.working or self.engine.slots.remove_waiting(self.begin):
             self.end()
 
     def end(self):
         """Release the slot."""
         self.engine.running[self.model] -= 1
         if self.working:
-            self.engine.slots.free()
+            self.engine.slots.release()
 
 
 class World:
@@ -190,7 +190,7 @@
         if engine is None:
             return
         call = _Call(self if counted else _Uncounted(self), engine, model, work)
-        engine.slots.take(call.begin)
+        engine.slots.acquire(call.begin)
 
     def _least_busy(self, model):
         best = None
--- a/pollenstile/bench/fleetpoll.py
+++ b/pollenstile/bench/fleetpoll.py
@@ -66,7 +66,7 @@
 
 
 async def _measured(reactor):
-    server = PlainServer(reactor, 'p1', work=0, most=_SLOTS)
+    server = PlainServer(reactor, 'p1', work=0, max_running=_SLOTS)
     counter = _CountingFactory(site_for(PlainResource(server), reactor))
     port = reactor.listenTCP(0, counter, interface='127.0.0.1')
     address = f'127.0.0.1:{port.getHost().port}'
--- a/pollenstile/bench/fleetworld.py
+++ b/pollenstile/bench/fleetworld.py
@@ -14,7 +14,7 @@
 
 from twisted.internet.defer import Deferred, succeed
 
-from pollenstile.entry import built_fleet, built_node
+from pollenstile.entry import build_fleet, build_node
 from pollenstile.fleet import CONFIG_KIND, CONFIG_NAME
 from pollenstile.manifest import (
     Domain,
@@ -33,7 +33,7 @@
 from pollenstile.standin.clock import VirtualClock
 from pollenstile.standin.hostlist import MemoryHosts
 from pollenstile.standin.objectapi import MemoryStore
-from pollenstile.standin.reach import ReachedStore
+from pollenstile.standin.partition import PartitionedStore
 from pollenstile.upstream import Load
 
 STORE_LATENCY = 0.004
@@ -237,8 +237,8 @@
         random = Random(f'{name}/{self.starts}/{self.random.random()}')
         settings = self._settings(host, self.key if key is None else key)
         log = host.log if self.keep_events else silent_log
-        host.node = built_node(self.clock, random, settings, None, log=log)
-        host.fleet = built_fleet(
+        host.node = build_node(self.clock, random, settings, None, log=log)
+        host.fleet = build_fleet(
             host.node,
             settings,
             self.wires.connect_from(address),
@@ -335,7 +335,7 @@
         )
 
     def _store(self, host, random, log):
-        store = ReachedStore(
+        store = PartitionedStore(
             self.store,
             lambda: host.domain in self.cut_platform,
         )
--- a/pollenstile/bench/floor.py
+++ b/pollenstile/bench/floor.py
@@ -21,7 +21,7 @@
 from twisted.web.http_headers import Headers
 
 from pollenstile.bench.forwarder import forwarder_site
-from pollenstile.entry import CallerFace, address_of, built_node
+from pollenstile.entry import CallerResource, address_of, build_node
 from pollenstile.manifest import (
     Domain,
     Manifest,
@@ -146,7 +146,7 @@
 def _entry_address(reactor, manifest):
     environment = {'POLLENSTILE_HOST': 'floor', 'POLLENSTILE_DOMAIN': 'here'}
     settings = settings_from(None, ENTRY, environment)
-    node = built_node(
+    node = build_node(
         reactor,
         random.Random(_SEED),
         settings,
@@ -154,12 +154,12 @@
         log=event_log(host='floor'),
     )
     node.in_force.offer(1, text_from_manifest(manifest), 'bench')
-    return _listen(reactor, _site(CallerFace(node), reactor))
+    return _listen(reactor, _site(CallerResource(node), reactor))
 
 
 def _upstreams(reactor):
     """Start a stage server and an engine; return their addresses."""
-    plain = PlainServer(reactor, 'p1', work=0, most=_SLOTS)
+    plain = PlainServer(reactor, 'p1', work=0, max_running=_SLOTS)
     engine = Engine(reactor, 'e1', 0, 0, _SLOTS)
     return (
         _listen(reactor, _site(PlainResource(plain), reactor)),
--- a/pollenstile/bench/policyrun.py
+++ b/pollenstile/bench/policyrun.py
@@ -9,7 +9,7 @@
 from pollenstile.bench import policymix
 from pollenstile.bench.policyworld import World
 from pollenstile.outcomes import Answered, Refused
-from pollenstile.pipeline import Request, outcome_of
+from pollenstile.pipeline import Request, run_request
 
 _WARM_UP_SECONDS = 10.0
 _MAX_ATTEMPTS = 3
@@ -238,7 +238,7 @@
         node = self.rng.choice(world.nodes)
         ident = node.next_ident()
         running = Deferred.fromCoroutine(
-            outcome_of(
+            run_request(
                 node.core,
                 Request(
                     ident,
--- a/pollenstile/bench/policyworld.py
+++ b/pollenstile/bench/policyworld.py
@@ -5,7 +5,7 @@
 
 from pollenstile.bench import policymix
 from pollenstile.bench.policyclock import HeapClock
-from pollenstile.entry import built_node
+from pollenstile.entry import build_node
 from pollenstile.manifest import text_from_manifest
 from pollenstile.ops.settings import ENTRY, settings_from
 from pollenstile.standin.virtual import (
@@ -99,7 +99,7 @@
             ENTRY,
             {'POLLENSTILE_HOST': host, 'POLLENSTILE_DOMAIN': domain},
         )
-        node = built_node(
+        node = build_node(
             self.clock,
             random.Random(self.rng.getrandbits(32)),
             settings,
--- a/pollenstile/entry/_assembly.py
+++ b/pollenstile/entry/_assembly.py
@@ -28,7 +28,7 @@
 _MS = 1000
 
 
-def built_node(
+def build_node(
     clock,
     rng,
     settings,
@@ -96,7 +96,7 @@
     return node
 
 
-def built_fleet(
+def build_fleet(
     node,
     settings,
     connect,
@@ -150,7 +150,7 @@
     return fleet
 
 
-def place_engines(node, store, orders, ticket, suspend_clock):
+def add_placement(node, store, orders, ticket, suspend_clock):
     """Give a host its part in placement; not started.
 
     Parameters
--- a/pollenstile/entry/_caller.py
+++ b/pollenstile/entry/_caller.py
@@ -26,7 +26,7 @@
 _decoded_body = msgspec.json.Decoder(CallerBody).decode
 
 
-def team_of(snapshot, authorization):
+def authenticate_team(snapshot, authorization):
     """Return the team whose key a header carries, or a refusal.
 
     Explanation
@@ -47,7 +47,7 @@
     return found or Refused(401, 'unknown key', _STEP)
 
 
-def pipeline_of(snapshot, name, team):
+def find_pipeline(snapshot, name, team):
     """Return the pipeline's declaration, or a refusal."""
     pipeline = snapshot.manifest.pipelines.get(name)
     if pipeline is None:
@@ -57,7 +57,7 @@
     return pipeline
 
 
-def content_of(body):
+def decode_input(body):
     """Return the input that a body carries, or a refusal."""
     try:
         return _decoded_body(body).input
@@ -65,7 +65,7 @@
         return Refused(400, f'the body is wrong: {error}', _STEP)
 
 
-def deadline_of(header, pipeline):
+def parse_deadline(header, pipeline):
     """Return seconds until the deadline, or a refusal.
 
     Explanation
@@ -82,7 +82,7 @@
     return min(declared, number / _MS)
 
 
-def key_of(header):
+def parse_idempotency_key(header):
     """Return the idempotency key, empty for none, or a refusal."""
     if not header:
         return ''
--- a/pollenstile/entry/_daemon.py
+++ b/pollenstile/entry/_daemon.py
@@ -7,7 +7,7 @@
 
 from pollenstile.entry import events
 from pollenstile.entry._admin import AdminFace
-from pollenstile.entry._face import CallerFace
+from pollenstile.entry._face import CallerResource
 from pollenstile.ops.http import site_for
 from pollenstile.peer import tcp_listen
 from pollenstile.peer.events import PEERS_OFF
@@ -67,7 +67,7 @@
         """Listen, join the fleet, flush metrics."""
         self.caller_port = self._listen(
             self.settings.listen,
-            CallerFace(self.node),
+            CallerResource(self.node),
         )
         self.admin_port = self._listen(
             self.settings.admin,
@@ -128,7 +128,7 @@
         handed_over = self._handed_over()
         await deferLater(self.reactor, wait)
         await self.caller_port.stopListening()
-        await self.node.idle()
+        await self.node.when_idle()
         await gatherResults([self._flushed(), self._drained(), handed_over])
         await self._closed()
         self.node.core.log(events.STOPPED)
--- a/pollenstile/entry/_face.py
+++ b/pollenstile/entry/_face.py
@@ -7,15 +7,15 @@
 
 from pollenstile.entry import events
 from pollenstile.entry._caller import (
-    content_of,
-    deadline_of,
-    key_of,
-    pipeline_of,
-    team_of,
+    decode_input,
+    parse_deadline,
+    parse_idempotency_key,
+    find_pipeline,
+    authenticate_team,
 )
 from pollenstile.ops.http import abort, answer_json, answer_problem
 from pollenstile.outcomes import Answered, Refused
-from pollenstile.pipeline import Request, outcome_of
+from pollenstile.pipeline import Request, run_request
 
 _STREAM = 'text/event-stream'
 _PREFIX = b'/v1/pipelines/'
@@ -124,7 +124,7 @@
     return content.decode(errors='surrogateescape')
 
 
-class CallerFace(Resource):
+class CallerResource(Resource):
     """``POST /v1/pipelines/NAME``.
 
     Parameters
@@ -158,7 +158,7 @@
 
     def _run(self, exchange, request):
         exchange.running = Deferred.fromCoroutine(
-            outcome_of(self.node.core, request, exchange.token),
+            run_request(self.node.core, request, exchange.token),
         )
         gone = exchange.http.notifyFinish()
         gone.addErrback(exchange.disconnected, request)
@@ -193,15 +193,15 @@
         return self._request(http, name, self.node.in_force.snapshot)
 
     def _request(self, http, name, snapshot):
-        team = team_of(snapshot, _header(http, b'authorization'))
+        team = authenticate_team(snapshot, _header(http, b'authorization'))
         if isinstance(team, Refused):
             return team
-        pipeline = pipeline_of(snapshot, name, team)
+        pipeline = find_pipeline(snapshot, name, team)
         if isinstance(pipeline, Refused):
             return pipeline
-        budget = deadline_of(_header(http, b'x-deadline-ms'), pipeline)
-        key = key_of(_header(http, b'idempotency-key'))
-        content = content_of(http.content.read())
+        budget = parse_deadline(_header(http, b'x-deadline-ms'), pipeline)
+        key = parse_idempotency_key(_header(http, b'idempotency-key'))
+        content = decode_input(http.content.read())
         for part in (budget, key, content):
             if isinstance(part, Refused):
                 return part
--- a/pollenstile/entry/_node.py
+++ b/pollenstile/entry/_node.py
@@ -82,7 +82,7 @@
         self.in_flight += 1
         running.addBoth(self._ended)
 
-    def idle(self):
+    def when_idle(self):
         """Return a Deferred that fires when nothing is in flight."""
         if not self.in_flight:
             return succeed(None)
--- a/pollenstile/ops/_democmd.py
+++ b/pollenstile/ops/_democmd.py
@@ -16,7 +16,7 @@
 from pollenstile.ops.logs import configure_logs
 from pollenstile.ops.running import result_of
 from pollenstile.ops.settings import ENTRY, settings_from
-from pollenstile.standin.fleet import started_anywhere
+from pollenstile.standin.fleet import start_on_free_ports
 from pollenstile.standin.objectapi import MemoryStore, platform_site
 from pollenstile.standin.weightstore import weightstore
 
@@ -82,7 +82,7 @@
 
 async def _start_hosts(reactor, manifest):
     """Start and return two hosts with stand-ins of all their dependencies."""
-    _, placed = started_anywhere(reactor, manifest)
+    _, placed = start_on_free_ports(reactor, manifest)
     store = MemoryStore(reactor)
     site = platform_site(store, weights=weightstore(reactor))
     port = reactor.listenTCP(0, site, interface=_LOCAL)
--- a/pollenstile/ops/_entrycmd.py
+++ b/pollenstile/ops/_entrycmd.py
@@ -6,9 +6,9 @@
 
 from pollenstile.entry import (
     Daemon,
-    built_fleet,
-    built_node,
-    place_engines,
+    build_fleet,
+    build_node,
+    add_placement,
 )
 from pollenstile.fleet import http_load_reader
 from pollenstile.ops.collector import configure_garbage_collector
@@ -52,7 +52,7 @@
     rng = random.Random(settings.seed or None)
     log = event_log(host=settings.host)
     store = paced_store(reactor, rng, settings, log)
-    node = built_node(
+    node = build_node(
         reactor,
         rng,
         settings,
@@ -60,7 +60,7 @@
         store=store,
         log=log,
     )
-    fleet = built_fleet(
+    fleet = build_fleet(
         node,
         settings,
         tcp_connect(reactor),
@@ -69,7 +69,7 @@
         read_hosts=hosts_reader(reactor, settings),
     )
     if store is not None:
-        place_engines(
+        add_placement(
             node,
             store,
             http_orders(reactor),
--- a/pollenstile/ops/_standincmd.py
+++ b/pollenstile/ops/_standincmd.py
@@ -6,7 +6,7 @@
 from pollenstile.ops.http import site_for
 from pollenstile.ops.settings import address, parse_argument
 from pollenstile.standin.engine import Engine, EngineResource
-from pollenstile.standin.fleet import started_anywhere, started_upstreams
+from pollenstile.standin.fleet import start_on_free_ports, start_upstreams
 from pollenstile.standin.objectapi import MemoryStore, platform_site
 from pollenstile.standin.plain import PlainResource, PlainServer
 from pollenstile.standin.weightstore import weightstore
@@ -75,12 +75,12 @@
 
 def _start_fleet(reactor, arguments):
     if not arguments.anywhere:
-        started_upstreams(reactor, arguments.manifest, arguments.scale)
+        start_upstreams(reactor, arguments.manifest, arguments.scale)
         print('fleet listens', flush=True)
         return
     with open(arguments.manifest, encoding='utf-8') as source:
         manifest = manifest_from_text(source.read())
-    _, placed = started_anywhere(reactor, manifest, arguments.scale)
+    _, placed = start_on_free_ports(reactor, manifest, arguments.scale)
     with open(arguments.anywhere, 'w', encoding='utf-8') as target:
         target.write(text_from_manifest(placed))
     print('fleet listens', flush=True)
--- a/pollenstile/pipeline/__init__.py
+++ b/pollenstile/pipeline/__init__.py
@@ -3,5 +3,5 @@
 from pollenstile.pipeline._core import Core
 from pollenstile.pipeline._ledger import Ledger
 from pollenstile.pipeline._request import Request
-from pollenstile.pipeline._run import outcome_of
+from pollenstile.pipeline._run import run_request
 from pollenstile.outcomes import Answered, Failed, Refused, Unknown
--- a/pollenstile/pipeline/_assembly.py
+++ b/pollenstile/pipeline/_assembly.py
@@ -27,7 +27,7 @@
     def __init__(self):
         self.parts = []
 
-    def accepts(self, offset, text):
+    def append_if_next(self, offset, text):
         """Return whether the token was the next one; keep it if so."""
         if offset != len(self.parts):
             return False
--- a/pollenstile/pipeline/_run.py
+++ b/pollenstile/pipeline/_run.py
@@ -18,7 +18,7 @@
     """Take a token that nobody waits for."""
 
 
-async def outcome_of(core, request, on_token=_ignore_token):
+async def run_request(core, request, on_token=_ignore_token):
     """Run a request and return its one outcome.
 
     Parameters
--- a/pollenstile/pipeline/_stage.py
+++ b/pollenstile/pipeline/_stage.py
@@ -228,7 +228,7 @@
             attempt.progress = True
             learn_first(self.attempts, attempt)
             self._listen(attempt)
-        if self.assembly.accepts(chunk.offset, chunk.text):
+        if self.assembly.append_if_next(chunk.offset, chunk.text):
             self.on_token(chunk.text)
             return
         if self.assembly.has_gap(chunk.offset):
--- a/pollenstile/soak/_callers.py
+++ b/pollenstile/soak/_callers.py
@@ -131,7 +131,7 @@
         key=ask.key,
     )
     running = Deferred.fromCoroutine(
-        pipeline.outcome_of(
+        pipeline.run_request(
             node.core,
             exchange.request,
             exchange.tokens.append,
--- a/pollenstile/soak/_faults.py
+++ b/pollenstile/soak/_faults.py
@@ -64,7 +64,7 @@
 
 
 def _end_when_idle(world, host):
-    host.node.idle().addCallback(
+    host.node.when_idle().addCallback(
         lambda _: world.clock.callLater(0, _drained, world, host),
     )
 
--- a/pollenstile/soak/_hosts.py
+++ b/pollenstile/soak/_hosts.py
@@ -4,13 +4,13 @@
 
 from twisted.internet.defer import Deferred
 
-from pollenstile.entry import built_fleet, built_node
+from pollenstile.entry import build_fleet, build_node
 from pollenstile.ops.settings import ENTRY, settings_from
 from pollenstile.platform import Budget, PacedStore
 from pollenstile.soak._gates import GatedHub, GatedStore, gated_connect
 from pollenstile.soak._process import Process
 from pollenstile.soak._wire import Wire
-from pollenstile.standin.reach import ReachedStore
+from pollenstile.standin.partition import PartitionedStore
 from pollenstile.standin.virtual import UP
 from pollenstile.upstream import Chunk, Reply
 
@@ -88,7 +88,7 @@
         self.gates = []
         settings = _settings(name, domain)
         store = self._store()
-        self.node = built_node(
+        self.node = build_node(
             self.process,
             world.rng,
             settings,
@@ -97,7 +97,7 @@
             log=self._log,
         )
         self.node.in_force.listeners.append(self._in_force)
-        self.fleet = built_fleet(
+        self.fleet = build_fleet(
             self.node,
             settings,
             gated_connect(
@@ -162,7 +162,7 @@
                 gate.wire.close()
 
     def _store(self):
-        reached = ReachedStore(
+        reached = PartitionedStore(
             self.world.store,
             lambda: self.name in self.world.links.no_platform,
         )
--- a/pollenstile/soak/_world.py
+++ b/pollenstile/soak/_world.py
@@ -128,7 +128,7 @@
         """Start an upstream anew: a new incarnation at the same address."""
         old = self.upstreams[name]
         self.former.append(old)
-        new = self._built_upstream(name, old.kind, old.slots.most)
+        new = self._built_upstream(name, old.kind, old.slots.max_running)
         number = sum(one.name == name for one in self.former)
         new.slots.incarnation = f'{name}-{number + 1}'
         self.upstreams[name] = new
--- a/pollenstile/standin/_memory.py
+++ b/pollenstile/standin/_memory.py
@@ -74,7 +74,7 @@
     __slots__ = (
         'calls',
         'clock',
-        'deaf_watches',
+        'empty_watches',
         'down',
         'latency',
         'lose_answers',
@@ -97,7 +97,7 @@
         self.lose_answers = 0
         self.lose_requests = 0
         self.silent_watches = False
-        self.deaf_watches = False
+        self.empty_watches = False
         self.stale_watches = 0
         self.calls = Counter()
         self.waiting = {}
@@ -198,7 +198,7 @@
         return outcome
 
     def _seen(self, kind, since, prefix):
-        if self.deaf_watches:
+        if self.empty_watches:
             return Changes(self.objects.revision)
         return self.objects.changes(kind, since, prefix)
 
@@ -220,7 +220,7 @@
         return result
 
     def _wake(self):
-        if self.silent_watches or self.deaf_watches or self.down:
+        if self.silent_watches or self.empty_watches or self.down:
             return
         for woken, watch in tuple(self.waiting.items()):
             found = self.objects.changes(*watch)
--- a/pollenstile/standin/_slots.py
+++ b/pollenstile/standin/_slots.py
@@ -31,30 +31,30 @@
     [1, 2]
     """
 
-    __slots__ = ('incarnation', 'most', 'running', 'waiting')
+    __slots__ = ('incarnation', 'max_running', 'running', 'waiting')
 
-    def __init__(self, most, incarnation):
-        self.most = most
+    def __init__(self, max_running, incarnation):
+        self.max_running = max_running
         self.incarnation = incarnation
         self.running = 0
         self.waiting = deque()
 
-    def take(self, begin):
+    def acquire(self, begin):
         """Call ``begin`` now or when a slot is free."""
-        if self.running < self.most:
+        if self.running < self.max_running:
             self.running += 1
             begin()
             return
         self.waiting.append(begin)
 
-    def free(self):
+    def release(self):
         """Give a slot back; the next in the queue gets it."""
         if self.waiting:
             self.waiting.popleft()()
             return
         self.running -= 1
 
-    def drop(self, begin):
+    def remove_waiting(self, begin):
         """Take a call out of the queue; return whether it was there."""
         if begin not in self.waiting:
             return False
--- a/pollenstile/standin/crashing.py
+++ b/pollenstile/standin/crashing.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred
 
 from pollenstile.forward import BodyEnd, HeaderNames, Lost, NotRun, ProbeResult
-from pollenstile.standin.exchanges import Head, HeldCall
+from pollenstile.standin.exchanges import Head, StubCall
 
 NAMES = HeaderNames()
 # Seconds one way between a host and an upstream.
@@ -48,7 +48,7 @@
     body: bytes
 
 
-class _Call(HeldCall):
+class _Call(StubCall):
     """One send of a host, under way."""
 
     def __init__(self, host, address, headers, body):
--- a/pollenstile/standin/engine.py
+++ b/pollenstile/standin/engine.py
@@ -62,12 +62,12 @@
         'slots',
     )
 
-    def __init__(self, clock, name, first=0.05, gap=0.01, most=8):
+    def __init__(self, clock, name, first=0.05, gap=0.01, max_running=8):
         self.clock = clock
         self.name = name
         self.first = first
         self.gap = gap
-        self.slots = Slots(most, name)
+        self.slots = Slots(max_running, name)
         self.faults = Faults()
         self.runs = []
         self.cancelled = []
@@ -134,7 +134,7 @@
     def begin(self):
         """Wait for a slot."""
         self.http.notifyFinish().addErrback(self.disconnected)
-        self.engine.slots.take(self.work)
+        self.engine.slots.acquire(self.work)
 
     def work(self):
         """Start to generate."""
@@ -202,7 +202,7 @@
         if self.ended:
             return
         self.ended = True
-        self.engine.slots.free()
+        self.engine.slots.release()
 
     def disconnected(self, failure):
         """Stop a completion that nobody waits for."""
@@ -212,7 +212,7 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if self.engine.slots.drop(self.work):
+        if self.engine.slots.remove_waiting(self.work):
             self.ended = True
             return
         self.stop()
--- a/pollenstile/standin/exchanges.py
+++ b/pollenstile/standin/exchanges.py
@@ -22,7 +22,7 @@
         self.headers = Headers(headers)
 
 
-class HeldCall:
+class StubCall:
     """One send of a host, which whoever plays the upstream answers.
 
     Attributes
@@ -57,7 +57,7 @@
         self.on_end = on_end
 
 
-class KeptAnswer:
+class RecordedAnswer:
     """A caller's side: what reached it.
 
     Attributes
--- a/pollenstile/standin/fleet.py
+++ b/pollenstile/standin/fleet.py
@@ -5,7 +5,7 @@
 from pollenstile.manifest import manifest_from_text
 from pollenstile.ops.http import site_for
 from pollenstile.standin.engine import Engine, EngineResource
-from pollenstile.standin.orders import OrderedResource, warm_holdings
+from pollenstile.standin.orders import PlacementResource, warm_holdings
 from pollenstile.standin.plain import PlainResource, PlainServer
 
 _WORK = {'stage': 0.02, 'service': 0.03}
@@ -24,7 +24,7 @@
     port: object
 
 
-def started_upstreams(reactor, path, scale=1.0):
+def start_upstreams(reactor, path, scale=1.0):
     """Return stand-ins that listen at the addresses of a manifest's file."""
     with open(path, encoding='utf-8') as source:
         manifest = manifest_from_text(source.read())
@@ -37,7 +37,7 @@
     return started
 
 
-def started_anywhere(reactor, manifest, scale=1.0):
+def start_on_free_ports(reactor, manifest, scale=1.0):
     """Start stand-ins on free ports.
 
     Parameters
@@ -80,7 +80,7 @@
             slots,
         )
         holdings = warm_holdings(reactor, server, manifest, pool)
-        resource = OrderedResource(holdings, EngineResource(server))
+        resource = PlacementResource(holdings, EngineResource(server))
     else:
         work = _WORK[pool.kind] * scale
         server = PlainServer(reactor, name, work, slots)
--- a/pollenstile/standin/forwarded.py
+++ b/pollenstile/standin/forwarded.py
@@ -21,11 +21,11 @@
 class Results:
     """Results of all stage upstreams of a test, by handle."""
 
-    __slots__ = ('known', 'made')
+    __slots__ = ('known', 'executed_pieces')
 
     def __init__(self):
         self.known = {}
-        self.made = []
+        self.executed_pieces = []
 
 
 class StageResource(Resource):
@@ -77,10 +77,10 @@
             if not all(one in self.results.known for one in piece['inputs']):
                 handles.append('')
                 continue
-            place = len(self.results.made)
+            place = len(self.results.executed_pieces)
             handle = f'{self.address}/{place}'
             self.results.known[handle] = piece
-            self.results.made.append(piece)
+            self.results.executed_pieces.append(piece)
             handles.append(handle)
         request.write(msgspec.json.encode(handles))
         request.finish()
--- a/pollenstile/standin/orders.py
+++ b/pollenstile/standin/orders.py
@@ -213,7 +213,7 @@
         'engines',
         'hold',
         'latency',
-        'looks',
+        'state_reads',
         'lose_answers',
         'lose_requests',
     )
@@ -223,14 +223,14 @@
         self.engines = engines
         self.latency = latency
         self.down = set()
-        self.looks = 0
+        self.state_reads = 0
         self.lose_answers = 0
         self.lose_requests = 0
         self.hold = None
 
     def read_state(self, name, upstream):
         """Return a Deferred of ``EngineState`` or ``Lost``."""
-        self.looks += 1
+        self.state_reads += 1
         if name in self.down:
             return succeed(Lost('look', name, 'no connection'))
         return self._after(lambda: self.engines[name].state())
@@ -313,7 +313,7 @@
     return holdings
 
 
-class OrderedResource(Resource):
+class PlacementResource(Resource):
     """``GET`` and ``PUT /v1/placement`` before an engine's other calls.
 
     Explanation
--- a/pollenstile/standin/reach.py
+++ b/pollenstile/standin/partition.py
@@ -13,7 +13,7 @@
 _PEER = 'cut off'
 
 
-class ReachedStore:
+class PartitionedStore:
     """One host's way to a store.
 
     Parameters
--- a/pollenstile/standin/plain.py
+++ b/pollenstile/standin/plain.py
@@ -35,11 +35,11 @@
 
     __slots__ = ('clock', 'faults', 'name', 'runs', 'slots', 'work')
 
-    def __init__(self, clock, name, work=0.02, most=8, incarnation='1'):
+    def __init__(self, clock, name, work=0.02, max_running=8, incarnation='1'):
         self.clock = clock
         self.name = name
         self.work = work
-        self.slots = Slots(most, incarnation)
+        self.slots = Slots(max_running, incarnation)
         self.faults = Faults()
         self.runs = []
 
@@ -89,7 +89,7 @@
     def begin(self):
         """Wait for a slot."""
         self.http.notifyFinish().addErrback(self.disconnected)
-        self.server.slots.take(self.work)
+        self.server.slots.acquire(self.work)
 
     def work(self):
         """Run the call."""
@@ -102,7 +102,7 @@
     def answer(self, took):
         """Answer and give the slot back."""
         self.timer = None
-        self.server.slots.free()
+        self.server.slots.release()
         output = {
             'by': self.server.name,
             'step': self.call.step,
@@ -123,9 +123,9 @@
     def disconnected(self, failure):
         """Stop a call that nobody waits for."""
         self.gone = True
-        if self.server.slots.drop(self.work):
+        if self.server.slots.remove_waiting(self.work):
             return
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        self.server.slots.free()
+        self.server.slots.release()
--- a/pollenstile/standin/virtual.py
+++ b/pollenstile/standin/virtual.py
@@ -136,7 +136,7 @@
                 ),
             )
             return
-        self.upstream.slots.take(self.work)
+        self.upstream.slots.acquire(self.work)
 
     def work(self):
         """Start to run."""
@@ -204,7 +204,7 @@
         if self.started is None:
             return
         self.upstream.busy += self.upstream.clock.seconds() - self.started
-        self.upstream.slots.free()
+        self.upstream.slots.release()
 
     def stop(self):
         """Stop a call that nobody waits for."""
@@ -213,7 +213,7 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if self.upstream.slots.drop(self.work):
+        if self.upstream.slots.remove_waiting(self.work):
             self.ended = True
             return
         self.end()
@@ -314,7 +314,7 @@
             self.run.stop()
 
 
-def calm_network(clock, upstreams, latency=0.001):
+def healthy_network(clock, upstreams, latency=0.001):
     """Return a network whose links are all up.
 
     Parameters
