--- a/pollenstile/bench/_crashworld.py
+++ b/pollenstile/bench/_crashworld.py
@@ -1,4 +1,4 @@
-"""Whole hosts, upstreams that some requests crash, and their callers."""
+"""Simulate entry hosts, upstreams that requests crash, and their callers."""
 
 import itertools
 from dataclasses import dataclass, field
@@ -14,19 +14,26 @@
 _SERVICE = 's'
 _TEAM = 'team'
 _TARGET = b'/a/x'
-_TIMEOUT = 12.0
-_AIM = 2.0
-# How the body begins of what crashes the upstream that runs it.
+_TIMEOUT_SECONDS = 12.0
+_TARGET_LATENCY = 2.0
+# The body of a request that crashes its upstream begins with this prefix.
 DEADLY = b'deadly'
-# Repeats that all hosts may send in the budget's window, beyond its ratio.
-_SLACK = 60.0
+# Retries that all hosts may send in a budget window in addition to the ratio.
+_RETRY_SLACK = 60.0
 
 
 def _route(name, kind, **fields):
-    """Return a route to the service."""
+    """Return a route to the simulated service."""
     targets = (Target(_SERVICE),)
     return Route(
-        name, 'host', '/a/', kind, _TIMEOUT, _AIM, targets=targets, **fields
+        name,
+        'host',
+        '/a/',
+        kind,
+        _TIMEOUT_SECONDS,
+        _TARGET_LATENCY,
+        targets=targets,
+        **fields,
     )
 
 
@@ -38,8 +45,8 @@
 
 
 @dataclass(slots=True)
-class Sent:
-    """A request that a caller sent to a host."""
+class SentRequest:
+    """Record of a request that a caller sent to a host."""
 
     at: float
     host: str
@@ -48,15 +55,15 @@
 
 
 class CrashWorld:
-    """Hosts and upstreams over failure domains, and requests to them.
+    """Hosts and upstreams spread over failure domains, and sent requests.
 
     Parameters
     ==========
 
     hosts, upstreams, domains : int
-        How many.
+        The number of hosts, upstreams and failure domains.
     route : str
-        ``'resumed'``, ``'repeated'`` or ``'once'``.
+        The kind of route: ``'resumed'``, ``'repeated'`` or ``'once'``.
 
     Attributes
     ==========
@@ -64,15 +71,15 @@
     fleet : DomainWorld
         The hosts and their store.
     upstreams : CrashingUpstreams
-        What they send to.
+        The upstreams that the hosts send requests to.
     sent : list of Sent
-        In their order.
+        The sent requests, in the order of sending.
     """
 
     __slots__ = ('fleet', 'numbers', 'route', 'sent', 'upstreams')
 
     def __init__(self, hosts, upstreams, domains, route='resumed'):
-        self.fleet = DomainWorld(hosts, domains, repeat_slack=_SLACK)
+        self.fleet = DomainWorld(hosts, domains, repeat_slack=_RETRY_SLACK)
         self.route = _ROUTES[route]
         self.numbers = itertools.count()
         self.sent = []
@@ -85,19 +92,19 @@
         for number in range(upstreams):
             domain = names[number % len(names)]
             self.upstreams.start(f'10.0.0.{number}:1', domain)
-        self.fleet.pass_by(1.0)
+        self.fleet.advance(1.0)
 
     def join(self, host):
-        """Let a host send to the upstreams."""
+        """Connect a host to the upstreams."""
         core = host.core
         core.client = self.upstreams.client_of(host.name)
         core.crashes.client = core.client
 
-    def ask(self, name, body):
-        """Send a request to a host; return the record of it."""
+    def send_request(self, name, body):
+        """Send a request to a host and return its record."""
         core = self.fleet.hosts[name].core
         now = core.clock.seconds()
-        sent = Sent(now, name, body)
+        sent = SentRequest(now, name, body)
         self.sent.append(sent)
         ident = f'a{next(self.numbers)}'
         exchange = Exchange(
@@ -111,42 +118,49 @@
             RouteQuery('host', '/a/x'),
             _TEAM,
             arrived=now,
-            aim=now + _AIM,
-            ends=now + _TIMEOUT,
+            aim=now + _TARGET_LATENCY,
+            ends=now + _TIMEOUT_SECONDS,
             service=_SERVICE,
             fingerprint=core.quarantine.fingerprint(_TARGET, body),
         )
         serve(core, exchange, sent.answer)
         return sent
 
-    def later(self, seconds, name, body):
-        """Send a request to a host after some seconds."""
-        self.fleet.clock.callLater(seconds, self.ask, name, body)
+    def schedule_request(self, seconds, name, body):
+        """Schedule a request to a host after a delay."""
+        self.fleet.clock.callLater(seconds, self.send_request, name, body)
 
-    def repeat(self, bodies, pause, seconds, names):
-        """Send requests again and again for some seconds, to hosts in turn."""
+    def schedule_requests(self, bodies, pause, seconds, names):
+        """Schedule requests at a fixed interval, to the hosts in rotation."""
         hosts = itertools.cycle(names)
         for number in range(round(seconds / pause)):
             for body in bodies:
-                self.later(number * pause, next(hosts), body)
+                self.schedule_request(number * pause, next(hosts), body)
 
-    def pass_by(self, seconds):
-        """Let time pass."""
-        self.fleet.pass_by(seconds)
+    def advance(self, seconds):
+        """Advance the virtual clock."""
+        self.fleet.advance(seconds)
 
-    def ends_of(self, body):
-        """Return when upstreams ended under a request."""
-        return [one.at for one in self.upstreams.ends if one.body == body]
+    def crash_times(self, body):
+        """Return the times at which a request crashed an upstream."""
+        return [crash.at for crash in self.upstreams.ends if crash.body == body]
 
-    def arrivals_after_third(self, body, seconds):
-        """Return sends of a request that came later after its third end."""
-        ends = self.ends_of(body)
+    def arrivals_after_third_crash(self, body, seconds):
+        """Return the arrivals of a request well after its third crash.
+
+        Parameters
+        ==========
+
+        seconds : float
+            Arrivals up to this time after the third crash are left out.
+        """
+        ends = self.crash_times(body)
         if len(ends) < 3:
             return []
         return [
-            one
-            for one in self.upstreams.arrivals
-            if one.body == body and one.at > ends[2] + seconds
+            arrival
+            for arrival in self.upstreams.arrivals
+            if arrival.body == body and arrival.at > ends[2] + seconds
         ]
 
     def _write(self, name, value):
@@ -158,5 +172,5 @@
 
 
 def is_deadly(body):
-    """Return whether a body crashes the upstream that runs it."""
+    """Return whether a request body crashes the upstream that runs it."""
     return body.startswith(DEADLY)
--- a/pollenstile/bench/_stageworld.py
+++ b/pollenstile/bench/_stageworld.py
@@ -1,11 +1,11 @@
-"""Stage services and model engines in virtual time.
+"""Simulate stage services and model engines in virtual time.
 
 Explanation
 ===========
 
-The product's own queues and chains run over these fakes: upstreams with one
-call at a time, a time for each call and piece, room for results, and inputs
-that are read when a call begins.
+The production queues and chains run over simulated upstreams. An upstream runs
+one call at a time, takes a fixed time for each call and each piece, has limited
+result memory, and reads the inputs of a call when the call begins.
 """
 
 from random import Random
@@ -27,25 +27,25 @@
     usual_seconds,
 )
 
-# Seconds between a host and an upstream, one way.
-_WAY = 0.0015
+# One-way latency between a host and an upstream, in seconds.
+_ONE_WAY_SECONDS = 0.0015
 _DOMAINS = ('a', 'b', 'c', 'd')
-# Seconds that the virtual clock moves at a time.
+# Seconds by which the virtual clock advances in each step.
 _STEP = 0.002
 
 
 class StageUpstream:
-    """One upstream of a stage service.
+    """One simulated upstream of a stage service.
 
     Attributes
     ==========
 
     results : dict
-        Bytes by handle.
+        Size in bytes of each stored result, by handle.
     ready_at : float
-        When its call under way ends.
+        Time on the clock at which the last accepted call ends.
     worked : float
-        Seconds that its calls took in all.
+        Total seconds of all calls.
     """
 
     __slots__ = ('clock', 'ident', 'limits', 'ready_at', 'results', 'worked')
@@ -59,16 +59,16 @@
         self.worked = 0.0
 
     def call(self, pieces, exists):
-        """Return a Deferred of results; calls wait for one another.
+        """Run a call after all earlier calls; return a Deferred of results.
 
         Parameters
         ==========
 
         exists : function
-            Takes a handle, returns whether its result is there.
+            Takes a handle and returns whether its result is still stored.
         """
         done = Deferred()
-        start = max(self.clock.seconds() + _WAY, self.ready_at)
+        start = max(self.clock.seconds() + _ONE_WAY_SECONDS, self.ready_at)
         work = self.limits.call_seconds
         work += self.limits.piece_seconds * len(pieces)
         self.ready_at = start + work
@@ -76,21 +76,21 @@
         made = []
         now = self.clock.seconds()
         self.clock.callLater(start - now, self._begin, pieces, exists, made)
-        end = self.ready_at + _WAY - now
+        end = self.ready_at + _ONE_WAY_SECONDS - now
         self.clock.callLater(end, _fire, done, made)
         return done
 
-    def room(self):
-        """Return bytes that are free."""
+    def free_memory(self):
+        """Return the free result memory in bytes."""
         return self.limits.room_bytes - sum(self.results.values())
 
     def _begin(self, pieces, exists, made):
         for piece in pieces:
             group = piece.group
-            if not all(exists(one) for one in group.inputs):
+            if not all(exists(needed) for needed in group.inputs):
                 made.append(Result(reason='gone'))
                 continue
-            if group.result_bytes > self.room():
+            if group.result_bytes > self.free_memory():
                 made.append(Result(reason='room'))
                 continue
             handle = f'{self.ident}/{group.request}.{group.step}.{piece.number}'
@@ -111,12 +111,12 @@
     ==========
 
     services : dict
-        :class:`StageLimits` by name.
+        :class:`StageLimits` by service name.
     count : int
-        Upstreams of each.
+        The number of upstreams of each service.
     owners : int
-        Queues of each service: one for the whole fleet, or one a host for
-        hosts that batch alone.
+        The number of queues of each service: 1 for a queue that the whole
+        fleet shares, or the number of hosts where each host batches alone.
     """
 
     __slots__ = ('budget', 'clock', 'queues', 'services', 'upstreams')
@@ -139,16 +139,16 @@
                 self._queue(name, limits, members) for _ in range(owners)
             ]
 
-    def lost(self, address):
-        """Let an upstream's process end, and its results with it."""
+    def end_upstream(self, address):
+        """End the process of an upstream, which loses its results."""
         self.upstreams.pop(address)
 
     def client(self, number=0):
-        """Return what a chain asks at one host."""
+        """Return the stage client that chains use at one host."""
         return _Client(self, number)
 
     def advance(self, seconds):
-        """Let virtual time pass."""
+        """Advance the virtual clock."""
         for _ in range(round(seconds / _STEP)):
             self.clock.advance(_STEP)
 
@@ -165,7 +165,9 @@
 
     def _free(self, address, handles):
         done = Deferred()
-        self.clock.callLater(2 * _WAY, self._freed, address, handles, done)
+        self.clock.callLater(
+            2 * _ONE_WAY_SECONDS, self._freed, address, handles, done
+        )
         return done
 
     def _freed(self, address, handles, done):
@@ -185,7 +187,7 @@
 
 
 class _Client:
-    """The side of a stage client that a chain uses, without peers."""
+    """A stage client as chains use it, without connections to peers."""
 
     __slots__ = ('fleet', 'number')
 
@@ -194,47 +196,47 @@
         self.number = number
 
     def submit(self, group, on_read):
-        """Hand a group to its queue."""
+        """Submit a group to the queue of its service."""
         owner = self._owner(group.service)
-        return owner.submit(group, on_read).addCallback(self._told)
+        return owner.submit(group, on_read).addCallback(self._with_owner)
 
     def cancel(self, service, plan):
-        """Forget a request's groups."""
+        """Cancel the groups of a request."""
         self._owner(service).cancel(plan.request)
 
     def release(self, host, service, handles):
-        """Release results."""
+        """Release stored results."""
         self._owner(service).release(handles)
 
     def seconds(self, service, count):
-        """Return what pieces take at the backlog of now."""
+        """Return the expected seconds of pieces at the current backlog."""
         usual = usual_seconds(self.fleet.services[service], count)
         return max(usual, self._owner(service).wait(count))
 
     def is_crowded(self, service):
-        """Return whether room is worth saving."""
+        """Return whether result memory is scarce or the queue is long."""
         limits = self.fleet.services[service]
         owner = self._owner(service)
         is_tight = owner.admission.is_tight()
         return is_tight or owner.wait() > crowded_seconds(limits)
 
     def is_queue_long(self, service):
-        """Return whether a queue has no place for what is late."""
+        """Return whether the queue is too long to accept late requests."""
         limits = self.fleet.services[service]
         return self._owner(service).wait() > long_wait(limits)
 
     def refresh_backlogs(self, services):
-        """Ask nobody: backlogs are those of now."""
+        """Return at once, as backlogs are read from the queues directly."""
         return succeed(None)
 
     def limits_of(self, service):
-        """Return a service's limits."""
+        """Return the limits of a service."""
         return self.fleet.services[service]
 
     def domains_with(self, service):
         """Return the domains that have upstreams of a service."""
         workers = self._owner(service).workers.values()
-        return tuple(sorted({one.domain for one in workers}))
+        return tuple(sorted({worker.domain for worker in workers}))
 
     def domain_of(self, handles):
         """Return the domain of the first result."""
@@ -244,20 +246,22 @@
         queues = self.fleet.queues[service]
         return queues[self.number % len(queues)]
 
-    def _told(self, outcome):
+    def _with_owner(self, outcome):
         return '', outcome
 
 
-class Served:
-    """One request of a played load: when it came, and how it ended.
+class SimulatedRequest:
+    """One request of a simulated load: its arrival and its outcome.
 
     Parameters
     ==========
 
     kind : str
-        Name of its route.
-    came, aim : float
-        On the clock, and seconds.
+        The name of the route.
+    came : float
+        Time on the clock at which the request arrived.
+    aim : float
+        Target latency in seconds.
     read : float
         Seconds until the model engine has read the results.
 
@@ -265,33 +269,36 @@
     ==========
 
     staged : float or None
-        Seconds until its last stage result; None without.
+        Seconds from the arrival to the last stage result; None if the stages
+        have not completed.
     refused : str
-        Reason; empty when it was not refused.
+        Reason of the refusal; empty if the request was not refused.
+    refused_after : float
+        Seconds from the arrival to the refusal.
     """
 
     __slots__ = (
         'aim',
-        'came',
+        'arrived_at',
         'kind',
         'read',
         'refused',
         'refused_after',
-        'staged',
+        'stage_seconds',
     )
 
-    def __init__(self, kind, came, aim, read):
+    def __init__(self, kind, arrived_at, aim, read):
         self.kind = kind
-        self.came = came
+        self.arrived_at = arrived_at
         self.aim = aim
         self.read = read
-        self.staged = None
+        self.stage_seconds = None
         self.refused = ''
         self.refused_after = 0.0
 
 
 class Arrival:
-    """The stage work of one request, as a plan needs it."""
+    """The fields of a request that :func:`build_plan` reads."""
 
     __slots__ = (
         'counts',
@@ -316,36 +323,38 @@
 
 
 def start_request(fleet, client, route, counts, ident, deadline, read_after):
-    """Start a request's stage work; return its :class:`Served`.
+    """Start the stage work of a request; return a :class:`SimulatedRequest`.
 
     Parameters
     ==========
 
     deadline : float
-        Seconds from now.
+        Seconds until the deadline.
     read_after : float
         Seconds after which the model engine has read the results.
     """
     now = fleet.clock.seconds()
-    served = Served(route.name, now, route.aim, read_after)
+    served = SimulatedRequest(route.name, now, route.aim, read_after)
     arrival = Arrival(ident, route, counts, now + deadline)
-    work = Deferred.fromCoroutine(_staged(client, arrival, served))
+    work = Deferred.fromCoroutine(_run_stages(client, arrival, served))
     work.addTimeout(deadline, fleet.clock)
-    work.addCallback(_note_end, served, fleet.clock, read_after)
-    work.addErrback(_note_timeout, served)
+    work.addCallback(_record_outcome, served, fleet.clock, read_after)
+    work.addErrback(_record_timeout, served)
     return served
 
 
-async def _staged(client, arrival, served):
-    """Return a request's chain and the end of its stage work."""
-    await client.refresh_backlogs([one.service for one in arrival.route.steps])
-    ready_by = served.came + served.aim - served.read
+async def _run_stages(client, arrival, served):
+    """Run the stages of a request; return its chain and the outcome."""
+    await client.refresh_backlogs(
+        [step.service for step in arrival.route.steps]
+    )
+    ready_by = served.arrived_at + served.aim - served.read
     chain = Chain(client, build_plan(arrival, ready_by, client.seconds))
     return chain, await chain.handles()
 
 
 def stage_route(name, aim, urgency, steps):
-    """Return a route with steps of service, ``after`` and result bytes."""
+    """Return a route whose steps are (service, ``after``, result bytes)."""
     return Route(
         name,
         'bench',
@@ -359,7 +368,7 @@
 
 
 def stage_limits(batch, call_ms, piece_ms, room_mb):
-    """Return limits in the units that operators write."""
+    """Return limits from milliseconds and megabytes, as in settings."""
     return StageLimits(
         batch=batch,
         call_seconds=call_ms / 1000,
@@ -368,35 +377,35 @@
     )
 
 
-def seeded(seed):
-    """Return a random generator."""
+def make_random(seed):
+    """Return a random generator with a seed."""
     return Random(seed)
 
 
 def stage_workers(name, count):
-    """Return a service's workers, spread over the failure domains."""
+    """Return the workers of a service, spread over the failure domains."""
     return [
         Worker(
-            f'{name}-{place}',
-            f'{name}.{_DOMAINS[place % len(_DOMAINS)]}:{place}',
-            _DOMAINS[place % len(_DOMAINS)],
+            f'{name}-{number}',
+            f'{name}.{_DOMAINS[number % len(_DOMAINS)]}:{number}',
+            _DOMAINS[number % len(_DOMAINS)],
         )
-        for place in range(count)
+        for number in range(count)
     ]
 
 
-def _note_end(ended, served, clock, read_after):
-    chain, outcome = ended
-    took = clock.seconds() - served.came
+def _record_outcome(completed, served, clock, read_after):
+    chain, outcome = completed
+    took = clock.seconds() - served.arrived_at
     if isinstance(outcome, ChainFailed):
         served.refused = outcome.reason
         served.refused_after = took
         return
-    served.staged = took
+    served.stage_seconds = took
     clock.callLater(read_after, chain.release)
 
 
-def _note_timeout(failure, served):
+def _record_timeout(failure, served):
     served.refused = 'timeout'
 
 
--- a/pollenstile/bench/stages.py
+++ b/pollenstile/bench/stages.py
@@ -1,12 +1,12 @@
-"""How much stage work gets through in time, by load and by who batches.
+"""``pollenstile bench stages``: stage throughput by load and batching mode.
 
 Explanation
 ===========
 
-The queue, the chain and the admission are the product's; upstreams and time
-are virtual. The loads are those of two sheets, with the rates, pieces and sizes
-that they name: a repair desk's summaries, drafts and tags, and a lesson desk's
-plans, advice and chats.
+The queue, the chain and the admission control are the production code;
+upstreams and time are virtual. There are two workloads with their own rates,
+pieces and result sizes: the summaries, drafts and tags of a repair desk, and
+the plans, advice and chats of a lesson desk.
 """
 
 import json
@@ -16,7 +16,7 @@
 from pollenstile.bench._stagehosts import HostFleet
 from pollenstile.bench._stageworld import (
     StageFleet,
-    seeded,
+    make_random,
     stage_limits,
     stage_route,
     start_request,
@@ -29,7 +29,7 @@
 
 
 def _chain(records, bytes_per_record, bytes_per_rank):
-    """Return the steps of a request that needs all three stages in a row."""
+    """Return the steps of a request that runs all three stages in sequence."""
     return (
         (_INTAKE, (), records),
         (_PORTAL, (0,), bytes_per_record),
@@ -39,18 +39,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Desk:
-    """A load: services, and the requests that need them.
+    """A workload: stage services and the requests that use them.
 
     Parameters
     ==========
 
     services : dict
-        :class:`~pollenstile.routes.StageLimits` by name.
+        :class:`~pollenstile.routes.StageLimits` by service name.
     upstreams : int
-        Of each service.
+        The number of upstreams of each service.
     rates : tuple of tuple
-        Route, requests a second, deadline in seconds, and functions that draw
-        the pieces of each step and the seconds until the results are read.
+        Route, requests per second, deadline in seconds, and functions that
+        draw the pieces of each step and the seconds until the results are read.
     """
 
     services: dict
@@ -58,7 +58,7 @@
     rates: tuple
 
 
-def _few(rng):
+def _few_pieces(rng):
     return (rng.choice((1, 2, 2, 3, 3, 4)),)
 
 
@@ -70,13 +70,13 @@
     return (1, 8, rng.randrange(8, 25))
 
 
-def _usual_read(rng):
+def _usual_read_seconds(rng):
     """Return seconds until the model engine has read the results."""
     return 0.2
 
 
-def _plan_read(rng):
-    # One prompt in four is large, and leaves half the time for the stage.
+def _plan_read_seconds(rng):
+    # One prompt in four is large, which leaves half the time for the stage.
     return rng.choice((0.15, 0.2, 0.25, 0.55))
 
 
@@ -92,12 +92,12 @@
     },
     4,
     (
-        (SUMMARY, 4.4, 12.0, _few, _usual_read),
-        (DRAFT, 10.3, 15.0, _repair_pieces, _usual_read),
-        (TAG, 9.1, 6.0, _repair_pieces, _usual_read),
+        (SUMMARY, 4.4, 12.0, _few_pieces, _usual_read_seconds),
+        (DRAFT, 10.3, 15.0, _repair_pieces, _usual_read_seconds),
+        (TAG, 9.1, 6.0, _repair_pieces, _usual_read_seconds),
     ),
 )
-# Shorter calls and aims, few upstreams, results of 3 MB.
+# Shorter calls and target latencies, fewer upstreams, results of 3 MB.
 PLAN = stage_route('plan', 1.0, 0, [(_INTAKE, (), 3_000_000)])
 ADVICE = stage_route('advice', 2.2, 1, _REPAIR_CHAIN)
 CHAT = stage_route('chat', 2.4, 2, _REPAIR_CHAIN)
@@ -109,119 +109,126 @@
     },
     3,
     (
-        (PLAN, 5.8, 6.0, _few, _plan_read),
-        (ADVICE, 11.8, 6.0, _lesson_pieces, _usual_read),
-        (CHAT, 10.2, 15.0, _lesson_pieces, _usual_read),
+        (PLAN, 5.8, 6.0, _few_pieces, _plan_read_seconds),
+        (ADVICE, 11.8, 6.0, _lesson_pieces, _usual_read_seconds),
+        (CHAT, 10.2, 15.0, _lesson_pieces, _usual_read_seconds),
     ),
 )
 DESKS = {'repair': REPAIR, 'lesson': LESSON}
-# Seconds in which drafts and tags are to be through their stages.
+# Seconds within which drafts and tags should complete their stages.
 IN_TIME = 1.6
-# Seconds after the last arrival until all has ended.
-_TAIL = 16.0
-# Kinds of requests without a chain of stages.
+# Seconds after the last arrival within which all requests end.
+_TAIL_SECONDS = 16.0
+# Names of the routes with a single stage.
 _SINGLE = frozenset((SUMMARY.name, PLAN.name))
 _HOSTS = 9
-# Requests are spread over hosts by a number below this.
-_MOST_HOSTS = 360
-# Seconds of arrivals of a load whose hosts lose power.
+# Exclusive limit of the random number that assigns a request to a host.
+_HOST_NUMBERS = 360
+# Seconds of arrivals in a run in which hosts lose power.
 _LOSS_SECONDS = 16.0
-# Seconds between two hosts, one way.
-_WAY = 0.0015
+# One-way latency between two hosts, in seconds.
+_ONE_WAY_SECONDS = 0.0015
 
 
-def played(load, seconds=30.0, seed=1, owners=1, desk=REPAIR):
-    """Play a load and return its requests.
+def simulate_load(load, seconds=30.0, seed=1, owners=1, desk=REPAIR):
+    """Run a workload over shared or separate queues; return its requests.
 
     Parameters
     ==========
 
     load : float
-        Times the sheet's rates.
+        Multiplier of the request rates of the workload.
     seconds : float
         Virtual time of arrivals.
     owners : int
-        Queues of each service; 1, or one a host.
+        The number of queues of each service: 1, or the number of hosts.
     desk : Desk
-        Whose load it is.
+        The workload.
 
     Returns
     =======
 
     list of Served
     """
-    rng = seeded(seed)
+    rng = make_random(seed)
     fleet = StageFleet(desk.services, desk.upstreams, owners)
     requests = [
-        _started(fleet, rng, number, *arrival)
+        _start_at(fleet, rng, number, *arrival)
         for number, arrival in enumerate(_arrivals(rng, desk, load, seconds))
     ]
-    fleet.advance(_TAIL)
+    fleet.advance(_TAIL_SECONDS)
     return requests
 
 
-def played_by_hosts(load, hosts, seconds=20.0, seed=1, *, owners_die=False):
-    """Play a load over hosts with real hubs; return its requests.
+def simulate_hosts(load, hosts, seconds=20.0, seed=1, *, owners_die=False):
+    """Run the repair workload over hosts with real hubs; return its requests.
 
     Parameters
     ==========
 
     owners_die : bool
-        Whether the hosts that own the first and the last stage lose power, at
-        a quarter and at a half of the time; their own requests end with them.
+        Whether the hosts that own the first and the last stage lose power,
+        after a quarter and after half of the time. Their own requests are lost.
     """
-    fleet = HostFleet(REPAIR.services, hosts, _WAY)
+    fleet = HostFleet(REPAIR.services, hosts, _ONE_WAY_SECONDS)
     if owners_die:
         fleet.lose_owner(_INTAKE, seconds / 4)
         fleet.lose_owner(_BILLS, seconds / 2)
-    return _played_over(fleet, load, seconds, seed)
+    return _simulate(fleet, load, seconds, seed)
 
 
-def played_with_losses(load, hosts, share, after, away, seed=1):
-    """Play a load over hosts of which many lose power; return its requests.
+def simulate_power_losses(load, hosts, share, after, away, seed=1):
+    """Run the repair workload while many hosts lose power at the same time.
 
     Parameters
     ==========
 
     share : float
-        Of the hosts, that lose power at once.
-    after, away : float
-        Seconds until then, and until they have started again.
+        The share of the hosts that lose power.
+    after : float
+        Seconds until the power loss.
+    away : float
+        Seconds from the power loss until the hosts start again.
+
+    Returns
+    =======
+
+    list of Served
     """
-    fleet = HostFleet(REPAIR.services, hosts, _WAY)
+    fleet = HostFleet(REPAIR.services, hosts, _ONE_WAY_SECONDS)
     fleet.lose_hosts(share, after, away)
-    return _played_over(fleet, load, _LOSS_SECONDS, seed)
+    return _simulate(fleet, load, _LOSS_SECONDS, seed)
 
 
-def _played_over(fleet, load, seconds, seed):
-    rng = seeded(seed)
+def _simulate(fleet, load, seconds, seed):
+    rng = make_random(seed)
     start = fleet.clock.seconds()
     requests = [
-        _started(fleet, rng, number, start + moment, *request)
-        for number, (moment, *request) in enumerate(
+        _start_at(fleet, rng, number, start + arrival_time, *request)
+        for number, (arrival_time, *request) in enumerate(
             _arrivals(rng, REPAIR, load, seconds)
         )
     ]
-    fleet.advance(_TAIL)
+    fleet.advance(_TAIL_SECONDS)
     return requests
 
 
 def _arrivals(rng, desk, load, seconds):
-    """Return the moment and the rest of each request, in order."""
+    """Return the arrival time and the parameters of each request, sorted."""
     arrivals = [
-        (moment, route, *request)
+        (arrival_time, route, *request)
         for route, rate, *request in desk.rates
-        for moment in _moments(rng, rate * load, seconds)
+        for arrival_time in _arrival_times(rng, rate * load, seconds)
     ]
     return sorted(arrivals, key=itemgetter(0))
 
 
-def _started(fleet, rng, number, moment, route, *request):
+def _start_at(fleet, rng, number, arrival_time, route, *request):
     deadline, pieces, read = request
-    fleet.advance(moment - fleet.clock.seconds())
+    fleet.advance(arrival_time - fleet.clock.seconds())
     return start_request(
         fleet,
-        fleet.client(rng.randrange(_MOST_HOSTS)),
+        fleet.client(rng.randrange(_HOST_NUMBERS)),
         route,
         pieces(rng),
         f'r{number}',
@@ -230,18 +237,26 @@
     )
 
 
-def summed(requests):
-    """Return figures of a played load, as a document."""
-    chained = [one for one in requests if one.kind not in _SINGLE]
-    through = [one for one in chained if (one.staged or _TAIL) <= IN_TIME]
+def summarize(requests):
+    """Return the statistics of a simulated load as a JSON document."""
+    chained = [served for served in requests if served.kind not in _SINGLE]
+    in_time = [
+        served
+        for served in chained
+        if (served.stage_seconds or _TAIL_SECONDS) <= IN_TIME
+    ]
     in_aim = [
-        one for one in requests if (one.staged or _TAIL) + one.read <= one.aim
+        served
+        for served in requests
+        if (served.stage_seconds or _TAIL_SECONDS) + served.read <= served.aim
+    ]
+    refused = [served for served in requests if served.refused]
+    at_once = [
+        served for served in refused if served.refused_after <= served.aim / 8
     ]
-    refused = [one for one in requests if one.refused]
-    at_once = [one for one in refused if one.refused_after <= one.aim / 8]
     return {
         'requests': len(requests),
-        'in_time': round(len(through) / max(1, len(chained)), 3),
+        'in_time': round(len(in_time) / max(1, len(chained)), 3),
         'in_aim': round(len(in_aim) / max(1, len(requests)), 3),
         'in_aim_number': len(in_aim),
         'refused': len(refused),
@@ -259,18 +274,18 @@
         '--desk',
         choices=sorted(DESKS),
         default='repair',
-        help='whose load (default: repair)',
+        help='workload (default: repair)',
     )
     parser.add_argument(
         '--hosts',
         default='',
-        help='play these numbers of hosts with real hubs, such as 9,65,340',
+        help='simulate these numbers of hosts with real hubs, e.g. 9,65,340',
     )
     parser.set_defaults(run=run)
 
 
 def run(arguments):
-    """Print figures by load, for one queue a stage and for hosts alone."""
+    """Print statistics by load, for a shared queue and for separate queues."""
     if arguments.hosts:
         return _run_hosts(arguments)
     rows = {}
@@ -278,8 +293,8 @@
         args = (float(load), arguments.seconds, arguments.seed)
         desk = DESKS[arguments.desk]
         rows[load] = {
-            'one_queue': summed(played(*args, desk=desk)),
-            'hosts_alone': summed(played(*args, _HOSTS, desk)),
+            'one_queue': summarize(simulate_load(*args, desk=desk)),
+            'hosts_alone': summarize(simulate_load(*args, _HOSTS, desk)),
         }
     print(json.dumps(rows, indent=2))
     return 0
@@ -291,15 +306,15 @@
         for hosts in arguments.hosts.split(','):
             args = (float(load), int(hosts), arguments.seconds, arguments.seed)
             rows[f'load {load}, {hosts} hosts'] = {
-                'calm': summed(played_by_hosts(*args)),
-                'owners_die': summed(played_by_hosts(*args, owners_die=True)),
+                'calm': summarize(simulate_hosts(*args)),
+                'owners_die': summarize(simulate_hosts(*args, owners_die=True)),
             }
     print(json.dumps(rows, indent=2))
     return 0
 
 
-def _moments(rng, rate, seconds):
-    moment = rng.expovariate(rate)
-    while moment < seconds:
-        yield moment
-        moment += rng.expovariate(rate)
+def _arrival_times(rng, rate, seconds):
+    arrival_time = rng.expovariate(rate)
+    while arrival_time < seconds:
+        yield arrival_time
+        arrival_time += rng.expovariate(rate)
