--- a/pollenstile/relay/_follower.py
+++ b/pollenstile/relay/_follower.py
@@ -26,9 +26,9 @@
 _LATE_SECONDS = 0.4
 # Default seconds for which an update stays valid.
 _UPDATE_VALIDITY_SECONDS = 1.7
-# A reader is skipped after this many answers in a row that it has no store. A
-# host that has just become the reader reports this until its first read is
-# answered.
+# Number of answers in a row without store contact after which a reader is
+# skipped. A host that has just become the reader answers so until its first
+# read of the store has succeeded.
 _MAX_NO_STORE_ANSWERS = 2
 # Delay per rank in the domain's order before a host reads the store itself
 # while the readers are up and the store does not answer them: it is unlikely to
@@ -93,7 +93,7 @@
     needs_full_config : bool
         Whether the next request is for the full configuration.
     word_seconds : float
-        Seconds after its date for which a reader's update is valid.
+        Seconds after its verification for which a reader's update is valid.
     expires_at : float
         Time, on the suspend clock, at which the last update expires.
     expiry_timer : IDelayedCall or None
@@ -291,10 +291,10 @@
         Explanation
         ===========
 
-        The expiry makes this host read the store itself in time for its bounds
-        when the next update is delayed: by readers that are skipped one by
-        one, by requests that hang, or by a long delay per rank in a large
-        domain.
+        At the expiry, this host begins to read the store itself. It thereby
+        keeps its bounds on the age of changes when the next update is delayed:
+        by readers that are skipped one by one, by requests that hang, or by the
+        long delay of a high rank in a large domain.
         """
         if self.expiry_timer is not None and self.expiry_timer.active():
             self.expiry_timer.cancel()
--- a/pollenstile/relay/_messages.py
+++ b/pollenstile/relay/_messages.py
@@ -16,8 +16,9 @@
 from pollenstile.platform import Change, Found
 
 _MS = 1000
-# A frame between peers fits one value of the store's largest size and not two;
-# a follower reads a configuration above this size from the store instead.
+# Bytes of JSON above which a follower reads the configuration from the store
+# instead: a frame between peers has room for one value of the store's largest
+# size, but not for two.
 _MAX_CONFIG_BYTES = 600_000
 _schema = load_schema(pathlib.Path(__file__).with_name('messages.capnp'))
 
@@ -88,9 +89,10 @@
     has_store : bool
         Whether the store has answered the source recently.
     aged : float
-        Seconds since the source verified its configuration, less those for
-        which it held the request. Subtracted from the time at which the
-        request was sent, they never give a verification time that is too late.
+        Seconds from the source's verification of its configuration to the
+        arrival of the request, negative if it was verified while the request
+        was held. Subtracted from the time at which the request was sent, they
+        never give a verification time that is too late.
     config_revision : int
         Revision of the verified configuration.
     config : Found or None
@@ -98,7 +100,8 @@
     kind_updates : tuple of KindUpdate
         Changes of each kind.
     patch : Patch or None
-        Replaces the configuration where the source knows the requester's text.
+        Edits of the requester's text, sent instead of the configuration if the
+        source has that text.
     seen : int
         Store revision up to which the source knows the configuration; 0 when
         the requester can't continue from it.
--- a/pollenstile/relay/_reader.py
+++ b/pollenstile/relay/_reader.py
@@ -2,7 +2,8 @@
 
 from pollenstile.stagework import owner_order
 
-# Key of the rendezvous order; owners of stage queues are ordered by stage name.
+# Key of the rendezvous hashing that orders readers; owners of stage queues are
+# ordered by the name of their service.
 _ORDER_KEY = 'store reader'
 
 
--- a/pollenstile/relay/_skipping.py
+++ b/pollenstile/relay/_skipping.py
@@ -17,13 +17,13 @@
 
 
 class SkippedReaders:
-    """Readers that are skipped after a failure.
+    """Exclusion times and failure counts of readers.
 
     Parameters
     ==========
 
     clock : IReactorTime
-        Times the skips.
+        Source of the current time.
 
     Examples
     ========
--- a/pollenstile/relay/_source.py
+++ b/pollenstile/relay/_source.py
@@ -18,11 +18,12 @@
 # of its own watch and the network delay are under the 2 s within which a host
 # in contact with the store must know that an upstream is leaving.
 CONTACT_SECONDS = 1.2
-# The same limit while an answer of the store is being received: the store is
-# up and the link is saturated. If the followers all read the store at once,
-# the same document would saturate their links.
+# The same limit in seconds while an answer of the store is being received: the
+# store is up, and the link is saturated. If all followers then read the store
+# at once, the same document would saturate their links too.
 _RECEIVING_CONTACT_SECONDS = 3.0
-# Changes kept of each kind; a follower that has missed more gets all objects.
+# Changes that are kept of each kind; a follower that has missed more gets the
+# full list of objects.
 _MAX_CHANGES = 512
 # Seconds for which simultaneous changes are collected into one answer.
 _BATCH_SECONDS = 0.01
@@ -56,9 +57,9 @@
         Explanation
         ===========
 
-        This host numbers the changes itself. The store's revisions can't be
-        used: a list can show a change that a watch has missed, with an older
-        revision than the one already sent to followers.
+        This host numbers the changes itself. The store's revisions can't serve
+        as numbers: a list can show a change that a watch has missed, and whose
+        revision is older than one already sent to followers.
 
         Parameters
         ==========
@@ -144,7 +145,7 @@
         configuration.listeners.append(self._record_config)
 
     def add(self, kind, watch):
-        """Register the watch that knows the last read revision of a kind."""
+        """Register the watch that has the last read revision of a kind."""
         self._get_history(kind).watch = watch
 
     def note(self, change):
--- a/pollenstile/relay/_store.py
+++ b/pollenstile/relay/_store.py
@@ -23,9 +23,10 @@
 # just started has read them all.
 _JOIN_TIMEOUT_SECONDS = 1.5
 # Seconds between calls for one kind while the store answers no read of the
-# configuration; those reads continue and detect when the store is back.
+# configuration. These reads continue and detect when the store is back.
 _AWAY_CALL_SECONDS = 4.0
-# Seconds for which a call waits for the store's return, and between two checks.
+# Seconds for which a call waits for the store to be back, and seconds between
+# two checks.
 _AWAY_WAIT_SECONDS = 1.5
 _AWAY_CHECK_SECONDS = 0.1
 
@@ -226,7 +227,7 @@
         if feed.listed and not feed.changes:
             await self._update_within(feed, timeout)
         if feed.revision <= since:
-            # The reader is behind what this host has read itself.
+            # This host has read a newer revision itself than the reader has.
             feed.listed = True
         if not feed.listed:
             return Compacted(feed.revision)
@@ -246,9 +247,10 @@
         Explanation
         ===========
 
-        Each call of the store is paid for, and if it refused all of them at
-        once, each host would repeat them for each kind. The reads of the
-        configuration continue; once one of them is answered, all calls proceed.
+        Each call of the store is paid for. If an unavailable store refused
+        calls at once, each host would repeat them for each kind. So the calls
+        wait, while the reads of the configuration continue; once one of these
+        reads is answered, all calls proceed.
         """
         if feed is None:
             return True
@@ -292,8 +294,9 @@
         for kind, feed in self.feeds.items():
             self.follower.request_full(kind)
             feed.reset()
-            # The configuration is read first: a store that does not answer
-            # that read is not called for each kind by each host of a domain.
+            # Counts as a call, so that the configuration is read first: a store
+            # that does not answer this read must not be called for each kind by
+            # each host of a domain.
             feed.last_call_at = now
             feed.notify()
 
@@ -303,4 +306,4 @@
 
 
 def _ignore_timeout(*_):
-    """Replace the timeout error of a watch in whose time nothing changed."""
+    """Ignore the timeout of a wait during which nothing has changed."""
--- a/pollenstile/stagework/_arrivals.py
+++ b/pollenstile/stagework/_arrivals.py
@@ -2,22 +2,24 @@
 
 from dataclasses import dataclass
 
-# Limit of remembered keys: ten times the usual load, for as long as callers
-# wait.
+# Maximum number of remembered keys: those of a burst of ten times the usual
+# load, for as long as callers wait.
 _MAX_KEYS = 20_000
 
 
 @dataclass(slots=True)
 class _Arrival:
-    """A caller's attempts so far.
+    """First arrival and latest attempt of a caller.
 
     Attributes
     ==========
 
     request : str
         Latest attempt.
-    first_at, deadline : float
-        On the clock.
+    first_at : float
+        Clock time of the first arrival, in seconds.
+    deadline : float
+        Latest deadline of the attempts, on the same clock.
     waited : float
         Seconds from the first arrival to the latest attempt's.
     """
@@ -36,9 +38,9 @@
 
     A refused caller retries as another attempt, possibly at another host and
     with less time remaining, but with the same stage key. Its target latency
-    counts from the first arrival. An estimate from the remaining time, relative
-    to the most patient caller, classified seven in eight new callers as
-    retries, by a third of their target latency.
+    counts from the first arrival. When the first arrival was instead estimated
+    from the remaining time, relative to the most patient caller, seven in eight
+    new callers were taken for retries and lost a third of their target latency.
 
     Attributes
     ==========
--- a/pollenstile/stagework/_backlogqueries.py
+++ b/pollenstile/stagework/_backlogqueries.py
@@ -22,9 +22,9 @@
 
     Backlogs are reported with the answers to groups. When a queue is reported
     as long, all requests are refused at the first step, and no group reaches
-    the queue any more, so no report shows that it is empty. Without a query,
-    all upstreams would be idle and all callers refused until the stored backlog
-    expires.
+    the queue any more, so no report can show that the queue has become empty.
+    Without a query, all upstreams would be idle and all callers refused until
+    the stored backlog expires.
 
     Parameters
     ==========
@@ -56,7 +56,8 @@
     =======
 
     GroupDone or GroupRefused
-        Without handles; refused when another host owns the queue.
+        ``GroupDone`` without handles, or ``GroupRefused`` when another host
+        owns the queue.
     """
     if client.leaving or client.owning_host(service) != client.host:
         return GroupRefused(NO_WORKERS)
--- a/pollenstile/stagework/_batchcall.py
+++ b/pollenstile/stagework/_batchcall.py
@@ -9,11 +9,12 @@
 # upstream needs twice its time when its queue holds one call of another owner.
 _SLOW_FACTOR = 2.0
 _SLOW_MARGIN_CALLS = 0.55
-# Times the usual time of an upstream's own calls from which a call is slow.
+# Multiple of an upstream's own usual call time from which a call is slow.
 _OWN_SLOW_FACTOR = 1.5
-# Times its expected time after which a call is given up.
+# Multiple of its expected time after which a call is given up.
 _GIVE_UP_FACTOR = 8.0
-# Seconds that a worker rests after its first failure in a row, and the maximum.
+# Seconds that a worker rests after its first failure in a row; each further one
+# doubles them, up to the maximum.
 _FIRST_REST_SECONDS = 0.25
 _MAX_REST_SECONDS = 4.0
 _MAX_REST_DOUBLINGS = 10
@@ -26,8 +27,8 @@
 # and a free upstream starts at once. If inputs were held until the call ends,
 # results of the step before would take up memory for four times as long.
 _INPUTS_FETCHED_SECONDS = 0.1
-# Times the usual call time up to which an upstream is considered to work for
-# this owner only.
+# Multiple of the usual call time up to which an upstream is considered to work
+# for this owner only.
 _MAX_EXCLUSIVE_SPEED = 1.25
 
 
--- a/pollenstile/stagework/_batching.py
+++ b/pollenstile/stagework/_batching.py
@@ -1,7 +1,7 @@
 """Selection of a batch's pieces by call size and result memory, without I/O."""
 
-# Number of results without a known size that fit in memory: more than a call
-# holds.
+# Number of results without a declared size that count as fitting in memory:
+# more than a call holds.
 _UNBOUNDED_COUNT = 1000
 # Share of all workers' planned memory in use from which a stage is short of
 # memory: calls are then sent with less than they could hold.
@@ -14,9 +14,9 @@
     Explanation
     ===========
 
-    The group of a suspect request is sent alone: a worker has crashed while it
-    processed the group, and the next call shows whether this group or another
-    one of the same call was the cause.
+    The group of a suspect request is sent alone: a worker has crashed while
+    processing the group, and the next call shows whether the cause was this
+    group or another one of the same call.
 
     Parameters
     ==========
@@ -65,17 +65,17 @@
     Explanation
     ===========
 
-    Takes as many pieces as a call may hold, in rank order, as far as the
-    results fit in the worker's memory. An upstream refuses a result that does
-    not fit only after the piece has waited for its turn, so such a piece is not
-    sent.
+    The batch has as many pieces as a call may hold, in rank order, as far as
+    the results fit in the worker's memory. An upstream refuses a result that
+    does not fit only after the piece has waited for its turn, so such a piece
+    is not sent.
 
-    All groups but the first are taken completely or not at all: a result is
+    All groups but the first are added completely or not at all: a result is
     held until the last one of its group is made and read, so a group that is
     split over two calls holds its memory for twice the time. Memory is also
-    reserved for complete groups. If it were reserved by pieces, a burst would
-    fill it with parts of many requests, none of which could finish until the
-    results expire, seconds later.
+    reserved for complete groups. If it were reserved piece by piece, a burst
+    would fill it with parts of many requests, none of which could finish until
+    the results expire, seconds later.
 
     Parameters
     ==========
@@ -97,7 +97,8 @@
             len(members), free_pieces, _fitting_count(free_bytes, size)
         )
         if not fitting and not batch and not worker.held:
-            # The operator's settings make it larger than all result memory.
+            # By the operator's settings, one result is larger than the whole
+            # result memory. Its piece is sent nevertheless.
             fitting = 1
         group_bytes = 0 if group.ident in started else group.count * size
         empty = not started and not worker.held
--- a/pollenstile/stagework/_calltimes.py
+++ b/pollenstile/stagework/_calltimes.py
@@ -7,10 +7,10 @@
 throughput when each free upstream takes as many waiting pieces as fit.
 """
 
-# Calls past its due time up to which a group is admitted. The estimate ends
-# with a full call, of which a piece waits half on average.
+# Lateness in full calls up to which a group is admitted. The estimated wait
+# ends with a full call, of which a piece waits half on average.
 LATE_CALLS = 0.55
-# Calls of wait in a later step's queue from which late requests are not
+# Wait in a later step's queue, in full calls, from which late requests are not
 # admitted. Lower values refuse requests that would be answered late, and do not
 # increase the number answered in time.
 _LONG_CALLS = 1.8
--- a/pollenstile/stagework/_chain.py
+++ b/pollenstile/stagework/_chain.py
@@ -14,11 +14,11 @@
 )
 from pollenstile.stagework._types import Group, GroupDone
 
-# Bytes that a step reads from which its pieces wait for a worker in the failure
-# domain of their inputs. Each piece of a step reads all results of the step
-# before. With a lower limit, a step that reads half a megabyte in all waited
-# 0.1 s at the median to save a transfer of a sixth of the size of one result of
-# another step.
+# Total bytes read by all pieces of a step above which they wait for a worker in
+# the failure domain of their inputs. Each piece of a step reads all results of
+# the step before. With a lower limit, a step that reads half a
+# megabyte in all waited 0.1 s at the median to save a transfer of a sixth of
+# the size of one result of another step.
 _LOCALITY_MIN_BYTES = 1_000_000
 
 
@@ -50,7 +50,8 @@
     pending : dict
         Deferreds of submitted groups, by step.
     done, read : set
-        Steps that are made, and steps whose inputs were fetched.
+        Numbers of the steps that are made, and of those that have fetched
+        their inputs.
     near_domains : dict
         Failure domain that holds most of a step's inputs, by step.
     crossed : int
@@ -226,9 +227,10 @@
         ===========
 
         A step with large inputs is made where they are held. Otherwise, a step
-        whose results are large inputs of another step is made where that step
-        has workers. Without the latter, a third of all chains crossed domains
-        while one of three domains had lost its only worker of the last step.
+        whose results are large inputs of another step is made where the other
+        step has workers. Without the second rule, a third of all chains crossed
+        domains while one of three domains had lost its only worker of the last
+        step.
         """
         plan = self.plan
         if inputs:
@@ -277,8 +279,8 @@
         ===========
 
         One piece in 500 fails and reads its inputs again. If they were released
-        while the first call ran, the request would be lost with them; kept,
-        they only take up memory, which is usually free.
+        while the first call ran, the request would fail. Inputs that are kept
+        only take up memory, which is usually free.
         """
         needs = self.plan.steps[number].after
         services = {self.plan.steps[need].service for need in needs}
--- a/pollenstile/stagework/_client.py
+++ b/pollenstile/stagework/_client.py
@@ -95,14 +95,14 @@
         self.leaving = False
 
     def seconds(self, service, count):
-        """Return the time that pieces of a service need, by its latest backlog.
+        """Return the seconds that pieces need at a service's latest backlog.
 
         Explanation
         ===========
 
         The reported backlog is not reduced by its age. In a burst, new pieces
-        arrive as fast as others are made, so a reduced backlog admitted
-        requests that were late at the next stage.
+        arrive as fast as others are made; with a reduced backlog, requests were
+        admitted that were late at the next stage.
         """
         limits = self.limits.get(service)
         if limits is None:
--- a/pollenstile/stagework/_dispatcher.py
+++ b/pollenstile/stagework/_dispatcher.py
@@ -14,8 +14,8 @@
 
 # Seconds for which simultaneous pieces are gathered before calls are made.
 _GATHER_SECONDS = 0.002
-# Calls for which a worker without free memory gets no new call: about half of
-# the time that a result is held before it is read.
+# Time in full calls for which a worker without free memory gets no new call:
+# about half of the time that a result is held before it is read.
 _NO_MEMORY_PAUSE_CALLS = 0.55
 
 
@@ -66,9 +66,9 @@
         Explanation
         ===========
 
-        The rest has a timer of its own. When it shared the gathering timer,
-        nothing was dispatched until a failed worker's rest was over, up to 4 s,
-        although other workers were free.
+        The end of a rest has a timer of its own. When it shared the gathering
+        timer, nothing was dispatched until a failed worker's rest was over, up
+        to 4 s, although other workers were free.
         """
         rests = [worker.rest_until - now for worker in workers]
         rests = [rest for rest in rests if rest > 0]
@@ -128,8 +128,8 @@
         ===========
 
         Results that another owner had made take up memory that this host does
-        not know of. Sent again at once, the refused pieces would only wait for
-        their turn to be refused again.
+        not know of. If the refused pieces were sent again at once, they would
+        only wait for their turn and be refused again.
         """
         now = self.owner.clock.seconds()
         free = max(0, worker.free_bytes(self.owner.limits, now))
--- a/pollenstile/stagework/_forwarding.py
+++ b/pollenstile/stagework/_forwarding.py
@@ -17,7 +17,8 @@
     Explanation
     ===========
 
-    The requesting host has no link to the owner yet, or does not know of it.
+    A host requests work here when it has no link to the owner yet, or does not
+    know of the owner.
     Work is forwarded only once, so that two hosts that each take the other one
     for the owner still process it.
 
@@ -75,8 +76,8 @@
         Explanation
         ===========
 
-        If they were released here, their memory would count as taken at that
-        host until they expire.
+        If this host released them at the upstream itself, their memory would
+        count as taken at the owner host until they expire.
 
         Parameters
         ==========
--- a/pollenstile/stagework/_jobs.py
+++ b/pollenstile/stagework/_jobs.py
@@ -4,7 +4,7 @@
 
 
 class Job:
-    """A group, its pieces, and the callers waiting for it.
+    """An admitted group with its pieces and waiting callers.
 
     Parameters
     ==========
@@ -12,7 +12,7 @@
     group : Group
         Requested group.
     now : float
-        Seconds on the clock.
+        Current time on the clock, in seconds.
     waited : float
         Seconds from the caller's first arrival to this attempt's.
 
--- a/pollenstile/stagework/_locality.py
+++ b/pollenstile/stagework/_locality.py
@@ -3,9 +3,9 @@
 from pollenstile.stagework._calltimes import LATE_CALLS
 from pollenstile.stagework._workers import is_answering
 
-# Slack in calls up to which a piece waits for a worker near its inputs, and
-# calls that a piece waits which is late anyway.
+# Slack, in calls, that a piece must keep to wait for a worker near its inputs.
 _LOCALITY_SLACK_CALLS = 0.6
+# Maximum wait, in calls, for such a worker if the piece is late anyway.
 _LATE_LOCALITY_WAIT_CALLS = 1.0
 
 
@@ -29,9 +29,9 @@
     work : float
         Seconds that the next call takes.
     round_size : int
-        Number of pieces that all workers take in one call each. When more
-        pieces wait, call capacity is the bottleneck, and calls restricted to
-        nearby inputs would be sent half empty.
+        Number of pieces that all workers together take in one call each. When
+        more pieces wait, call capacity is the bottleneck, and calls restricted
+        to nearby inputs would be sent half empty.
     """
     if len(pieces) > round_size:
         return list(pieces)
@@ -70,7 +70,7 @@
         if worker in free:
             wait = 0
         elif not worker.calls or not is_answering(worker, full, now):
-            # Pieces must not wait for a worker that is cut off.
+            # The worker may be cut off, and pieces must not wait for it.
             continue
         free_in[worker.domain] = min(wait, free_in.get(worker.domain, wait))
     return free_in
--- a/pollenstile/stagework/_owner.py
+++ b/pollenstile/stagework/_owner.py
@@ -16,10 +16,11 @@
 _MS = 1000
 # Refusal reason of a host that reaches no upstream of a stage.
 NO_WORKERS = 'no workers'
-# Maximum calls that may have made one piece.
+# Maximum number of calls that may have made one piece, after which it is not
+# sent again.
 _MAX_SENDS = 3
-# Reasons after which a piece is queued again. After an error it may have been
-# made.
+# Reasons after which a piece is queued again. After an error, the upstream may
+# have made the piece.
 _NO_MEMORY = 'room'
 _ERROR = 'error'
 
@@ -204,7 +205,7 @@
 
         When ownership of the queue passes to another host, both queues would
         use the same upstreams, and pieces in the older queue would wait twice
-        as long. The requesting hosts receive ``NO_WORKERS`` and submit the
+        as long. So the requesting hosts receive ``NO_WORKERS`` and submit the
         groups to the new owner; nothing is made twice.
         """
         for job in list(self.jobs.values()):
@@ -254,8 +255,8 @@
         ==========
 
         arrived : bool
-            Whether that call may have had them made; a repeat then uses the
-            repeat budget.
+            Whether the upstream may have received the call and made them; a
+            repeat is then charged to the repeat budget.
         """
         for piece in pieces:
             job = self._job_of(piece)
@@ -283,7 +284,7 @@
             self._store_handle(job, piece, result.handle)
             return
         if piece.calls_in_flight:
-            # Another call holds it as well, and may still make it.
+            # Another call holds the piece as well, and may still make it.
             return
         if result.reason in {_NO_MEMORY, _ERROR}:
             self.requeue([piece], arrived=result.reason == _ERROR)
--- a/pollenstile/stagework/_ownerorder.py
+++ b/pollenstile/stagework/_ownerorder.py
@@ -50,7 +50,7 @@
     Entries of hosts that lost power stay in the store. With links to the first
     few entries only, a service whose first owners are dead would have no owner,
     and every host would batch on its own. Unreachable hosts are therefore not
-    counted. They are still dialed, with increasing delays.
+    counted. They stay in the result and are dialed with increasing delays.
 
     Parameters
     ==========
--- a/pollenstile/stagework/_ownership.py
+++ b/pollenstile/stagework/_ownership.py
@@ -2,7 +2,8 @@
 
 from pollenstile.stagework._ownerorder import hosts_to_link, owner_order
 
-# Hosts of each service that are linked in advance: its owner and the next one.
+# Number of live hosts per service that are linked in advance: the owner and its
+# successor.
 # Each link costs a heartbeat in both directions three times a second.
 _LINKED_OWNERS = 2
 # Failed dials after which a host counts as dead; one dial may be under way.
--- a/pollenstile/stagework/_plan.py
+++ b/pollenstile/stagework/_plan.py
@@ -4,8 +4,8 @@
 
 from pollenstile.stagework._calltimes import call_seconds, full_seconds
 
-# Share of a call by which a step starts before its results are needed, so that
-# a step that finds all upstreams busy is still in time.
+# Share of a full call by which a delayed step starts early, so that it is still
+# in time when it finds all upstreams busy.
 _EARLY_START_CALLS = 0.55
 # Share of a call that a group waits on average for a free upstream.
 _MEAN_WAIT_CALLS = 0.5
@@ -19,7 +19,7 @@
     ==========
 
     request, key : str
-        The attempt, and the input of its first steps.
+        Identifier of the attempt, and key of the input of its first steps.
     steps : tuple of StageStep
         Steps of the route.
     counts : tuple of int
@@ -27,9 +27,12 @@
     due_times : tuple of float
         On the clock: when each step's pieces are due.
     deadline : float
-        On the clock.
+        Clock time after which the request is over.
+    urgency : int
+        0 is the most urgent.
     near : str
-        Failure domain in which the last results are read, if it is known.
+        Failure domain in which the last results are read; empty if it is not
+        known.
     content, team : str
         Fingerprint of the request, and the team that sent it.
     """
@@ -139,8 +142,8 @@
     Explanation
     ===========
 
-    A piece that finds a worker busy waits for half a call on average and for
-    its own call, which is at most a full one.
+    A piece that finds all workers busy waits for half a call on average and
+    then for its own call, which is at most a full one.
     """
     return full_seconds(limits) + _MEAN_WAIT_CALLS * limits.call_seconds
 
--- a/pollenstile/stagework/_queuestats.py
+++ b/pollenstile/stagework/_queuestats.py
@@ -55,8 +55,8 @@
         =======
 
         float
-            0 when the queue was empty within the window, so the rate is
-            unknown.
+            0 when the rate is unknown because the queue was empty at some time
+            within the window.
         """
         if not queued:
             self.queued_since = None
--- a/pollenstile/stagework/_ranking.py
+++ b/pollenstile/stagework/_ranking.py
@@ -21,7 +21,8 @@
     now : float
         Seconds on the clock.
     work : float
-        Seconds that the next call takes.
+        Seconds that the next call takes; a group that is due before the end of
+        such a call is late.
     """
 
     def rank(piece):
--- a/pollenstile/stagework/_requesters.py
+++ b/pollenstile/stagework/_requesters.py
@@ -15,8 +15,8 @@
 
     A host that dies releases nothing. Its results would take up memory until
     they expire, seconds later, and its requested pieces would still be made.
-    When most hosts of a fleet have died, that is most of a stage's result
-    memory.
+    When most hosts of a fleet have died, these results are most of a stage's
+    result memory.
 
     A live host whose link is cut sends its work through another host, which
     forwards it. Ownership of the results that this work needs then passes to
--- a/pollenstile/stagework/_types.py
+++ b/pollenstile/stagework/_types.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass, field
 
 # Share of result memory that is used, because sizes of results are estimates.
-# With all of it, one call in fifteen had a piece refused for lack of memory,
-# which then waited for a further call while the other results of its group kept
-# their memory.
+# When all of it was used, one call in fifteen had a piece refused for lack of
+# memory, which then waited for a further call while the other results of its
+# group kept their memory.
 _PLANNED_SHARE = 0.9
 
 
@@ -106,7 +106,8 @@
     handle : str
         Name of the result; empty when there is none.
     reason : str
-        ``'late'``, ``'gone'``, ``'room'`` or ``'error'``.
+        Why there is no result: ``'late'``, ``'gone'``, ``'room'`` (no result
+        memory) or ``'error'``.
     """
 
     handle: str = ''
@@ -163,10 +164,13 @@
     ==========
 
     reason : str
-        ``'busy'``, ``'late'``, ``'gone'``, ``'failed'``, ``'no owner'``,
-        :data:`~pollenstile.quarantine.HELD_REASON`.
+        ``'busy'``, ``'late'``, ``'gone'``, ``'failed'``, ``'cancelled'``,
+        ``'no workers'``, :data:`~pollenstile.quarantine.HELD_REASON`, or why
+        the owner did not answer.
     retry_after : float
         Seconds until a retry is useful.
+    wait : float
+        Seconds of the owner's backlog.
     waited : float
         Seconds from the caller's first arrival to this attempt's.
     """
@@ -196,7 +200,7 @@
     speed : float
         Smoothed ratio of actual to expected call time.
     rest_until : float
-        Time before which it is not called, after failures.
+        Time before which the worker is not called, after failures.
     failures : int
         Failures in a row.
     busy_until : float
--- a/pollenstile/stagework/_waiting.py
+++ b/pollenstile/stagework/_waiting.py
@@ -12,8 +12,9 @@
 # wait. A fixed time instead refused groups with short target latencies under
 # light load.
 _OVERTAKEN_SHARE = 0.3
-# Calls that a short queue takes: one, and the remainder of one under way. Late
-# groups are ranked last, so they only delay others by lengthening calls.
+# Wait in calls up to which a queue counts as short: one call, and the remainder
+# of one under way. Late groups are ranked last, so they only delay others by
+# lengthening calls.
 _IDLE_CALLS = 1.6
 # Share of the groups of one urgency that are admitted at any load if they can
 # be in time at all, so that no kind of request is starved by another.
@@ -28,10 +29,10 @@
 
     The lower bound assumes full calls at the speed of the workers that answer.
     When a stage is short of memory for results and pieces have waited for a
-    while, the measured rate of finished pieces is used as well. Pieces in calls
-    under way are finished first. Without them, the expected wait at a stage
-    without free memory is half of the actual one, and requests are admitted
-    that finish too late.
+    while, the measured rate of finished pieces gives another lower bound. This
+    one counts the pieces in calls under way too, because they are finished
+    first. Without them, the expected wait at a stage without free memory is
+    half of the actual one, and requests are admitted that finish too late.
 
     A worker whose call is long overdue does not answer. If such workers counted
     as free while the rate excludes them, a failure domain that is cut off would
@@ -42,7 +43,7 @@
     ==========
 
     ahead : int
-        Pieces that wait and are made before it, its own group included.
+        Waiting pieces that are made before the piece, its own group included.
     workers : list of Worker
         Workers that may be called.
     rate : float
@@ -72,8 +73,8 @@
     ===========
 
     Pieces that are made too late delay others that would have been in time, and
-    take up memory that these need. After an immediate refusal, the caller can
-    retry when the queue is shorter. A group with inputs is always admitted
+    take up memory that the others need. After an immediate refusal, the caller
+    can retry when the queue is shorter. A group with inputs is always admitted
     because the work of earlier steps is done.
 
     Parameters
@@ -84,7 +85,7 @@
     full : float
         Seconds of a full call.
     share : float
-        Share of recent groups of its urgency that were admitted.
+        Share of recent groups of the same urgency that were admitted.
     """
     if not group.is_first:
         return True
--- a/pollenstile/stagework/_workers.py
+++ b/pollenstile/stagework/_workers.py
@@ -1,7 +1,7 @@
 """Selection of workers that may be called, without I/O."""
 
-# Ratio of call times from which a worker gets only pieces that others cannot
-# take.
+# Speed (ratio of actual to expected call time) from which a worker is slow and
+# gets only pieces that others cannot take.
 _SLOW_SPEED = 1.8
 # Calls beyond its expected end after which a call under way means that its
 # worker does not answer: one call of another owner may be processed first.
@@ -15,8 +15,8 @@
     ===========
 
     A slow worker holds its pieces longer than they would wait for the next call
-    of a healthy one. It gets pieces only while more of them wait than the
-    healthy workers take in one round.
+    of a healthy one. So it gets pieces only while more of them wait than the
+    healthy workers take in one call each.
     """
     if worker.calls >= limits.slots or worker.rest_until > now:
         return False
