--- a/pollenstile/estimates/_fetching.py
+++ b/pollenstile/estimates/_fetching.py
@@ -4,8 +4,8 @@
 # the engine's calls to the upstreams that hold the results, across failure
 # domains.
 _BASE_SECONDS = 0.05
-# Multiple of the pure transfer time, because links carry the results of several
-# requests at once.
+# Multiple of the bare transfer time for which results are kept, because links
+# carry the results of several requests at once.
 _LINK_FACTOR = 4.0
 # Maximum number of doublings after failed fetches, and the fraction of a
 # doubling that each successful fetch removes.
@@ -21,10 +21,10 @@
 
     Results occupy result memory until they are released. When they were kept
     until the engine's first token, they stayed 0.25 s and more after the fetch,
-    half as long again as the call that made them. Releasing them as soon as
-    the fetch must be over frees the memory for more requests. An engine that
-    fetches too late reports it and has run nothing; the estimate is then
-    doubled at once and reduced slowly by successful fetches.
+    half as long again as the call that made them. They are instead released as
+    soon as the fetch must be over, so that the memory serves more requests. An
+    engine that fetches too late reports this and has run nothing; the estimate
+    is then doubled at once, and reduced slowly by successful fetches.
 
     Examples
     ========
--- a/pollenstile/estimates/_firsttoken.py
+++ b/pollenstile/estimates/_firsttoken.py
@@ -19,9 +19,9 @@
 
     Requests with stage work are scheduled so that the engine still meets the
     target latency, and engines are compared by the tokens that they have to
-    read. The estimates of one engine type make requests of another type that
-    reads 1.3 times as fast look late: three heavy days had a mean worth of
-    0.635 with the prior alone and of 0.643 with learned estimates.
+    read. With the estimates of one engine type, requests to another type that
+    reads 1.3 times as fast are taken for late: three heavy days had a mean
+    worth of 0.635 with the prior alone and of 0.643 with learned estimates.
 
     Examples
     ========
--- a/pollenstile/estimates/_linear.py
+++ b/pollenstile/estimates/_linear.py
@@ -52,7 +52,7 @@
         return self.intercept + self.slope * abscissa
 
     def learn(self, abscissa, ordinate):
-        """Add a sample; cap it at :data:`_MAX_RATIO` times the prediction."""
+        """Add a sample, capped at :data:`_MAX_RATIO` times the prediction."""
         ordinate = min(ordinate, _MAX_RATIO * self.at(abscissa))
         terms = _terms(abscissa, ordinate, 1.0)
         self.sums = [
--- a/pollenstile/fleet/_census.py
+++ b/pollenstile/fleet/_census.py
@@ -6,7 +6,8 @@
 The query is flooded over the links. A host that receives it for the first time
 forwards it to its other peers, and answers when these have answered or when
 the time budget is over; a host that receives it again answers at once with an
-empty list. A query costs two messages a link, and there is no cost without one.
+empty list. A query costs two messages per link; without queries there is no
+cost.
 
 References
 ==========
@@ -22,9 +23,10 @@
 from pollenstile.peer import BadMessageError, Unanswered, decode_struct, schema
 
 SUBJECT = 'status'
+# Queries that are remembered, so that a repeated one is recognised.
 _MAX_QUERIES = 256
 _MS = 1000
-# Share of its time budget that each hop passes on to the next one.
+# Share of its time budget that each hop gives to the next one.
 _HOP_BUDGET_SHARE = 0.8
 _BITS = 64
 
--- a/pollenstile/fleet/_fleet.py
+++ b/pollenstile/fleet/_fleet.py
@@ -12,6 +12,7 @@
 from pollenstile.peer import Beat, neighbours
 
 _TICK_SECONDS = 0.5
+# Seconds between two dials of hosts that are gone.
 _PROBE_SECONDS = 5.0
 
 
@@ -215,9 +216,9 @@
         self.watchers.assign()
 
     def _probe_absent(self):
-        # After a partition each side considers the hosts of the other side gone
-        # and links to none of them. One dial every few seconds to a host that
-        # is gone or to a seed address joins the sides again.
+        # After a partition, each side considers the hosts of the other side as
+        # gone and has no links to them. One dial every few seconds, to a host
+        # that is gone or to a seed address, joins the sides again.
         absent = {record.name: record.address for record in self.hosts.absent()}
         for address in self.hub.dialer.seeds:
             absent.setdefault(address, address)
--- a/pollenstile/fleet/_hosts.py
+++ b/pollenstile/fleet/_hosts.py
@@ -10,9 +10,10 @@
     with_witnesses_only,
 )
 
+# Seconds after which the record of a host that is gone is removed.
 _FORGET_SECONDS = 600.0
 # A broken link is dialed again at once; the peer is reported as unreachable
-# only if that fails too.
+# only if there is no link after this delay, or after this many failed dials.
 _WITNESS_DELAY_SECONDS = 2.0
 _WITNESS_DIALS = 3
 
@@ -57,7 +58,7 @@
 
 
 class Hosts:
-    """Entry hosts known from links, records of peers and the own start.
+    """Entry hosts known from links, from records of peers, and this host.
 
     Parameters
     ==========
@@ -181,8 +182,9 @@
         Explanation
         ===========
 
-        Hosts remove the record of a host that is gone at different times; one
-        that has removed it must not accept it again from one that has not.
+        Hosts remove the record of a host that is gone at different times. A
+        host that has removed it must not accept it again from one that still
+        has it.
         """
         return not record.leaving and len(record.witnesses) < 2
 
--- a/pollenstile/fleet/_loads.py
+++ b/pollenstile/fleet/_loads.py
@@ -7,6 +7,7 @@
 from pollenstile.upstream import Load
 
 _TIMEOUT_SECONDS = 1.0
+# Seconds for which an idle connection is kept.
 _IDLE_SECONDS = 30.0
 _OK = 200
 
@@ -17,9 +18,9 @@
     Explanation
     ===========
 
-    Connections are kept between polls. After a failure all idle ones are
-    closed: if a middlebox has dropped their state, the next poll uses a new
-    connection, before the upstream counts as missed.
+    Connections are kept between polls. After a failure, all idle ones are
+    closed, because a middlebox may have dropped their state. The next poll then
+    uses a new connection, before the upstream counts as unreachable.
     """
     pool = HTTPConnectionPool(reactor, persistent=True)
     pool.retryAutomatically = False
--- a/pollenstile/fleet/_platform_reader.py
+++ b/pollenstile/fleet/_platform_reader.py
@@ -9,13 +9,18 @@
 CONFIG_KIND = 'config'
 CONFIG_NAME = 'manifest'
 
+# Number of hosts per domain that watch the configuration, and number of those
+# that read the host list.
 _WATCHING_HOSTS = 3
 _LISTING_HOSTS = 2
-# A manifest for 1,400 teams has 250 KB. Reading it once a minute would by
-# itself take twice the bandwidth that a host may use for control.
+# Seconds between reads of the configuration by the other hosts. A manifest for
+# 1,400 teams has 250 KB; reading it once a minute would by itself take twice
+# the bandwidth that a host may use for control.
 _READ_SECONDS = 600.0
 _TIMING = WatchTiming(list_every=600.0)
+# Seconds between reads of the host list.
 _LIST_SECONDS = 3.0
+# Seconds after which a host that is no longer chosen stops its watch.
 _STOP_WATCH_SECONDS = 15.0
 
 
@@ -123,7 +128,8 @@
             if self.watch is None:
                 self.watch = self._watch()
             return
-        # This host may be chosen again soon while the fleet is restarted.
+        # The watch is kept for a while: while the fleet is restarted, this host
+        # may soon be chosen again.
         if (
             self.watch is not None
             and now - self.chosen_at > _STOP_WATCH_SECONDS
--- a/pollenstile/fleet/_record.py
+++ b/pollenstile/fleet/_record.py
@@ -7,7 +7,7 @@
 commutative, associative and idempotent: all hosts end with the same record
 whatever the order of the updates. Each part of a record is monotonic:
 
-- the incarnation, ordered by its order, then by its text;
+- the incarnation, ordered by its ``order``, then by its text;
 - within an incarnation, *leaving* goes from false to true and never back;
 - the counter of each witness of a failure: odd while the witness can't reach
   the host or upstream, even when it can again, so that two witnesses that
@@ -20,6 +20,7 @@
 
 HOST = 1
 UPSTREAM = 2
+# Maximum number of witness counters in a record.
 MAX_VIEWS = 16
 
 
@@ -35,7 +36,7 @@
     name : str
         Unique within the kind.
     order : int
-        Rises with each incarnation.
+        Number that rises with each incarnation.
     incarnation : str
         Incarnation reported by the process; empty while none was seen.
     leaving : bool
--- a/pollenstile/fleet/_sharing.py
+++ b/pollenstile/fleet/_sharing.py
@@ -4,12 +4,14 @@
 from pollenstile.fleet._table import BUCKETS
 from pollenstile.peer import News, Sums
 
-# Changes within this time are sent in one message.
+# Seconds within which changes are collected into one message.
 _BATCH_SECONDS = 0.02
-# After a message was lost, tables differ until their sums are compared; this is
-# the minimum time between two comparisons with one peer.
+# Minimum seconds between two comparisons with one peer. After a message was
+# lost, tables differ until their sums are compared.
 _COMPARE_SECONDS = 2.0
+# Seconds for which a table must be unchanged before it is compared.
 _SETTLE_SECONDS = 0.5
+# Records per message.
 _PAGE_RECORDS = 200
 _KINDS = frozenset((HOST, UPSTREAM))
 _FIELDS = tuple(Record.__slots__)
@@ -122,7 +124,7 @@
     def _on_record(self, before, after, source):
         self.changed_at = self.hub.clock.seconds()
         key = (after.kind, after.name)
-        # A record that changed from several sources is sent to all of them.
+        # A record that was changed by several sources is sent to all of them.
         has_other_source = self.pending.get(key, source) is not source
         self.pending[key] = None if has_other_source else source
         if self.timer is None or not self.timer.active():
--- a/pollenstile/fleet/_table.py
+++ b/pollenstile/fleet/_table.py
@@ -9,6 +9,7 @@
 BUCKETS = 64
 _HASH_BYTES = 8
 _MASK = 2**64 - 1
+# Incarnations that are remembered as leaving, per upstream.
 _MAX_LEFT_INCARNATIONS = 4
 
 
@@ -113,8 +114,8 @@
         self.records[key] = after
 
     def _record_left(self, key, record):
-        # Includes records that a newer one supersedes: the order in which the
-        # two arrive must make no difference.
+        # Includes records that are older than the one in the table: the order
+        # in which the two arrive must make no difference.
         if not record.leaving or record.kind == HOST:
             return
         incarnations = self.left_incarnations.setdefault(
--- a/pollenstile/fleet/_upstreams.py
+++ b/pollenstile/fleet/_upstreams.py
@@ -10,13 +10,24 @@
     with_witnesses_only,
 )
 
+# Share of a pool above which reports that its upstreams are down are ignored.
 _MAX_DOWN_SHARE = 0.5
+# Seconds for which a bar lasts; it is renewed while the upstream is down.
 _BAR_SECONDS = 3.0
 
 
 def is_leaving(record, bound):
     """Return whether an upstream gets no new work because it is leaving.
 
+    Explanation
+    ===========
+
+    The host list lags: the state that it shows for a previous process must not
+    stop the process that reuses the address. The incarnation in the list is
+    bound to the incarnation of the process that was known when the list first
+    showed its own as live. If the list never showed it as live, the listed
+    state applies until the list shows a newer incarnation.
+
     Parameters
     ==========
 
@@ -25,14 +36,6 @@
     bound : dict
         Incarnation of the process, by the incarnation in the host list.
 
-    Explanation
-    ===========
-
-    The host list lags: its state of the previous process must not stop the one
-    that reuses the address. The incarnation in the list is bound to the one
-    that was known when the list first showed it as live; when the list never
-    showed it as live, its state applies until it shows a newer incarnation.
-
     Examples
     ========
 
@@ -64,7 +67,7 @@
         State of upstreams for routing; leaving and failed ones are marked in
         it.
     clock : IReactorTime
-        Gives the time.
+        Source of the current time.
     log : function
         Writes events.
 
@@ -212,10 +215,10 @@
         Explanation
         ===========
 
-        A successful call of this host lifts the bar at once: own observations
-        take precedence. Where more than half of a pool seems down, it is more
-        likely that the hosts are cut off than that all these upstreams failed,
-        and none of them is barred.
+        A successful call of this host lifts the bar at once: its own
+        observations take precedence. Where more than half of a pool seems down,
+        it is more likely that the hosts are cut off than that all these
+        upstreams failed, and none of them is barred.
         """
         now = self.clock.seconds()
         down = {}
--- a/pollenstile/fleet/_watchers.py
+++ b/pollenstile/fleet/_watchers.py
@@ -5,14 +5,16 @@
 from pollenstile.peer import rank_candidates
 
 
+# Hosts that poll one upstream, and seconds between polls of each of them.
 WATCHERS = 2
 POLL_SECONDS = 2.0
 _TICK_SECONDS = 0.25
+# Misses in a row after which a host reports an upstream as unreachable.
 _MAX_MISSES = 2
 
 
 class Poll:
-    """Due time of an upstream's next poll, and its misses in a row."""
+    """Due time of an upstream's next poll, and missed answers in a row."""
 
     __slots__ = ('due_at', 'in_flight', 'misses', 'watchers')
 
@@ -139,8 +141,8 @@
 
 
 def _first_delay(name, rank, now):
-    # The second watcher of an upstream polls half a period after the first.
-    # Offsets are relative to the clock and not to the start of each watcher.
+    # The second watcher of an upstream polls half a period after the first, so
+    # both count their offsets from zero on the clock, not from their own start.
     offset = sum(name.encode()) % 8 * POLL_SECONDS / 8
     offset += rank * POLL_SECONDS / WATCHERS
     return (offset - now) % POLL_SECONDS
--- a/pollenstile/limits/_admission.py
+++ b/pollenstile/limits/_admission.py
@@ -20,6 +20,7 @@
 from pollenstile.outcomes import Refused
 
 _TOO_BUSY = 503
+# Bounds of the delay after which a refused caller is told to retry.
 _MIN_RETRY_SECONDS = 1.0
 _MAX_RETRY_SECONDS = 60.0
 
@@ -32,16 +33,24 @@
 
     request : Request
         The accepted request.
+    times : list of float
+        Expected time of each stage, in seconds.
     needed : float
-        Seconds that it needs after its start.
-    arrived_at : float
-        Clock time of its arrival, in seconds.
+        Seconds that the request needs after its start.
+    now : float
+        Clock time of the arrival, in seconds.
+
+    Attributes
+    ==========
+
+    latest : float
+        Clock time by which the request must start to meet its deadline.
     cost : float
-        Its expected cost, in the unit of the manifest.
+        Expected cost, in the unit of the manifest.
     work : dict
-        Slot seconds by pool.
+        Expected slot seconds by pool.
     shares : dict
-        Capacity that it reserves; see :func:`stage_shares`.
+        Capacity to reserve; see :func:`stage_shares`.
     """
 
     __slots__ = (
@@ -155,8 +164,9 @@
 
         A request that can't meet its deadline behind the present queue is
         refused at once, before any call is sent for it, so that the refusal can
-        state that it has not run. Requests without a chance are never queued.
-        After None, the caller must call :meth:`request_ended` exactly once.
+        state that the request has not run. A request that can't be in time is
+        never queued. When the result is None, :meth:`request_ended` must be
+        called exactly once.
         """
         times = expected_times(request, self.tracker)
         needed = needed_time(request, self.tracker, times)
@@ -241,9 +251,10 @@
         Explanation
         ===========
 
-        A flooding team would fill the queue for all others. So when the queue
-        is full, the newest request of the longest flow (by weight) is refused
-        instead, unless it is of the same team.
+        A flooding team could fill the queue, and all others would be refused.
+        So when the queue is full, the newest request of the longest flow (in
+        relation to its weight) is refused instead, unless that flow is of the
+        same team.
         """
         policy = waiting.request.snapshot.manifest.policy
         if self.queue.size < policy.max_queue:
--- a/pollenstile/limits/_backlog.py
+++ b/pollenstile/limits/_backlog.py
@@ -36,7 +36,7 @@
         ==========
 
         since : float
-            Time from which on its flow has waited, in seconds.
+            Clock time from which on the flow has waited, in seconds.
         """
         now = self.clock.seconds()
         total, observed_since = self._decayed(key, now)
@@ -68,9 +68,9 @@
     Explanation
     ===========
 
-    Shares and rates of other classes are estimates. For a flow that has waited
-    for some time, the measured rate of its own starts gives the time in which
-    its present requests start.
+    Estimates from shares and from the rates of other classes are uncertain. For
+    a flow that has waited for some time, the measured rate of its own starts
+    gives the time in which its present requests start.
 
     Parameters
     ==========
@@ -154,15 +154,15 @@
     ===========
 
     All work of more urgent classes starts first. Another team of the same
-    class is served concurrently, by weight, so only that part of its work
-    counts which is served while the work of the request's team is. A team that
-    has exceeded its share waits for all others.
+    class is served concurrently, by weight, so its work counts only as far as
+    it is served while the work of the request's own team is. A team that has
+    exceeded its share waits for all others.
 
     Parameters
     ==========
 
     queue : FairQueue
-        Its items have ``work``, slot seconds by pool.
+        Queued items; each has ``work``, slot seconds by pool.
     waiting : object
         The new request, with the attributes of a queued item.
     pool : str
@@ -226,7 +226,7 @@
     urgent_rate : float
         Slot seconds per second that more urgent classes use.
     reserve : float
-        Share of the slots that is reserved from more urgent classes.
+        Share of the slots that more urgent classes can't use.
 
     Examples
     ========
--- a/pollenstile/limits/_concurrency.py
+++ b/pollenstile/limits/_concurrency.py
@@ -3,21 +3,26 @@
 from pollenstile.limits import events
 from pollenstile.ops.logs import silent_log
 
+# Maximum ratio of a call's time to its expected time that a sample counts with.
 _MAX_RATIO = 20.0
+# Weight of the latest sample in the smoothed ratio, and of the target in a step
+# of :func:`gradient`.
 _SMOOTHING = 0.2
 # A call that takes more than this many times its expected time is unlikely to
-# be slow by chance. It gets the larger weight, so that one or two such calls,
-# not ten, are enough to keep the next requests away from the upstream.
+# be slow by chance. It gets the weight below, which is larger, so that one or
+# two such calls, not ten, keep the next requests away from the upstream.
 _SLOW_RATIO = 4.0
 _SLOW_SMOOTHING = 0.5
 # Ratio of a call's time to its expected time above which an upstream is full.
 _FULL_RATIO = 1.4
 # Running and queued calls per slot above which an upstream is full.
 _FULL_CALLS_PER_SLOT = 1.0
+# Factor of a reduction, and calls by which one sample raises a limit.
 _DECREASE_FACTOR = 0.85
 _INCREASE = 0.05
 # Initial limit as a share of the slots.
 _INITIAL_SHARE = 0.25
+# Minimum limit of an upstream, in calls of this host.
 _MIN_LIMIT = 0.25
 # A limit grows only while calls in flight use at least this share of it.
 _MIN_UTILIZATION = 0.6
@@ -119,9 +124,9 @@
 
     Each host adjusts its limits independently. The calls of other hosts show
     only in an upstream's load report and in the time of calls, and both arrive
-    with a delay. So limits change in steps, and are reduced at most once per
-    expected call time, so that a burst of outdated samples does not reduce
-    them to the minimum.
+    with a delay. Limits therefore change in small steps. They are reduced at
+    most once per expected call time; otherwise a burst of outdated samples
+    would reduce them to the minimum.
 
     Parameters
     ==========
--- a/pollenstile/limits/_cost.py
+++ b/pollenstile/limits/_cost.py
@@ -1,7 +1,7 @@
 """Cost accounting by stage and team, with the share of wasted work."""
 
 USEFUL = 'useful'
-# An attempt without an answer, or with an incomplete one.
+# Kinds of wasted cost: an attempt without an answer, or with an incomplete one.
 FAILED = 'failed'
 # An attempt that lost to another one, or whose caller disconnected.
 CANCELLED = 'cancelled'
--- a/pollenstile/limits/_estimates.py
+++ b/pollenstile/limits/_estimates.py
@@ -1,6 +1,7 @@
 """Expected times of stages and requests, from measured quantiles."""
 
 _MS = 1000
+# Percentiles of measured stage times that count as expected and as late.
 _EXPECTED_PERCENT = 50
 _LATE_PERCENT = 60
 
--- a/pollenstile/limits/_fairqueue.py
+++ b/pollenstile/limits/_fairqueue.py
@@ -21,9 +21,11 @@
 # Cost by which a team may exceed its share, in average requests of a team of
 # weight 1.
 _MAX_LEAD = 6.0
+# Weight of the latest request in the average cost.
 _SMOOTHING = 0.05
 # Share of all started cost that is reserved for each rank.
 RESERVES = {0: 0.0, 1: 0.05, 2: 0.1}
+# Maximum credit or debt of a rank, as a multiple of its largest first item.
 _MAX_CREDIT = 2.0
 
 
@@ -72,7 +74,8 @@
     reserves : dict
         Share of all started cost that a rank gets while it waits.
     max_lead : float
-        How far a team may exceed its share; infinite for strict priorities.
+        Cost by which a team may exceed its share, in average requests;
+        infinite for strict priorities.
     """
 
     __slots__ = (
@@ -165,7 +168,8 @@
         return item
 
     def _order(self, flow):
-        # Between pipelines of one team, the earliest latest start goes first.
+        # Between pipelines of one team, the request that must start earliest
+        # goes first.
         head = flow.items[0]
         tie_break = (self.tag(flow.team, flow.rank), head.latest)
         if self.is_ahead(flow.team, flow.rank):
--- a/pollenstile/limits/_reservations.py
+++ b/pollenstile/limits/_reservations.py
@@ -2,7 +2,8 @@
 
 # Seconds for which the limit of a pool is cached.
 _CACHE_SECONDS = 0.05
-# Sums of fractions accumulate rounding errors; a smaller rest counts as zero.
+# Sums of fractions accumulate rounding errors; a remainder below this number of
+# calls counts as zero.
 _ROUNDING_ERROR = 1e-6
 
 
@@ -29,9 +30,9 @@
     ===========
 
     A reservation at a pool lasts from the admission of a request to the end of
-    its stage there, but the pool is in use only during the stage itself.
-    Weighting the reservation with the stage's share of that time makes the sum
-    equal to the mean number of calls at the pool (Little's law).
+    its stage there, but the request uses the pool only during the stage itself.
+    Each reservation is weighted with the stage's share of that time, so that
+    their sum is the mean number of calls at the pool (Little's law).
 
     Parameters
     ==========
--- a/pollenstile/quarantine/_evidence.py
+++ b/pollenstile/quarantine/_evidence.py
@@ -6,8 +6,8 @@
 
 # Seconds for which a report counts as evidence against a request.
 KEPT_SECONDS = 600.0
-# Crashes that are remembered, and suspects of each. The number of suspects is
-# that of two batches.
+# Crashes that are remembered, and suspects that are remembered of each: as many
+# as two batches hold.
 _MAX_CRASHES = 256
 _MAX_SUSPECTS = 128
 # Incarnations that are remembered because reports of them were retracted.
@@ -127,7 +127,7 @@
                 self._drop(crash)
 
     def _add_suspect(self, crash, report, suspect):
-        """Add a suspect to a crash; return whether it was changed by it."""
+        """Add a suspect to a crash; return whether that changed the crash."""
         known = crash.suspects.get(suspect.fingerprint)
         if known is None and len(crash.suspects) >= _MAX_SUSPECTS:
             return False
--- a/pollenstile/quarantine/_quarantine.py
+++ b/pollenstile/quarantine/_quarantine.py
@@ -222,8 +222,8 @@
             left_ms=int((verdict.expires_at - self.clock.seconds()) * _MS),
         )
         if self.completed_runs.has_recent(verdict.fingerprint):
-            # The hosts that saw the crashes don't know of the completed run on
-            # this host.
+            # The hosts that saw the crashes can't know that the request ran to
+            # completion on this host.
             self.release(verdict.fingerprint, 'it ran to its end here')
         else:
             self.on_held(verdict.fingerprint)
@@ -241,7 +241,7 @@
         return True
 
     def _clear(self, fingerprint):
-        """Apply a completed run; return whether it changed anything."""
+        """Clear a completed request; return whether it was suspect or held."""
         was_suspect = self.evidence.clear(fingerprint)
         was_held = self.is_held(fingerprint)
         if was_suspect:
--- a/pollenstile/quarantine/_record.py
+++ b/pollenstile/quarantine/_record.py
@@ -12,7 +12,8 @@
 # Kind of the store's entries: one for each quarantined request, named by its
 # fingerprint.
 QUARANTINE_KIND = 'pollenstile-quarantine'
-# Seconds that a host waits for each host ranked before it to write a verdict.
+# Seconds for which a host waits, per host that is ranked before it, before it
+# writes a verdict.
 _TURN_SECONDS = 1.0
 # Seconds between attempts to write while the store does not answer.
 _RETRY_SECONDS = 1.0
@@ -26,9 +27,9 @@
     ===========
 
     The hosts that reported the request as a suspect are ranked by rendezvous
-    hashing. The first writes the entry; each further one writes it a second
-    later, unless the entry has appeared by then. Deleting an entry releases
-    the request.
+    hashing. The first one writes the entry; each further one waits a second
+    longer, and writes it only if no entry has appeared by then. Deleting an
+    entry releases the request.
 
     Parameters
     ==========
--- a/pollenstile/quarantine/_types.py
+++ b/pollenstile/quarantine/_types.py
@@ -80,12 +80,14 @@
     ==========
 
     reports : tuple of Report
+        New reports of crashes.
     alive : tuple of str
         Incarnations that answer requests, so that reports of their crash are
         void.
     cleared : tuple of str
         Fingerprints of requests that ran to completion.
     verdicts : tuple of Verdict
+        New verdicts, or all verdicts of the sender.
     """
 
     reports: tuple[Report, ...] = ()
--- a/pollenstile/quarantine/_verdict.py
+++ b/pollenstile/quarantine/_verdict.py
@@ -7,8 +7,8 @@
 # attributed to it. With one or two, every request that ran beside it is as
 # likely a cause.
 MIN_CRASHES = 3
-# Crashes are attributed to a request when that many would occur by chance with
-# a smaller probability than this.
+# Maximum probability that a request which causes no crashes meets so many of
+# them by chance. Above it, crashes are not attributed to a request.
 _MAX_CHANCE = 1e-5
 # Seconds before and after a crash over which the crash rate of the service's
 # upstreams is measured.
@@ -42,11 +42,11 @@
     ===========
 
     A request that crashes upstreams does so soon after its start, each time.
-    Requests that run beside it have run for longer; from their run times and
-    the crash rate of the upstreams follows how many crashes to expect by
-    chance. Crashes are first attributed to the request for which they are
-    least probable. These crashes are then explained, and no longer count as
-    evidence against other requests.
+    Requests that run beside it have run for longer; their run times and the
+    crash rate of the upstreams give the number of crashes to expect by chance.
+    Crashes are first attributed to the request for which they are least
+    probable. They are then explained, and no longer count as evidence against
+    other requests.
 
     Parameters
     ==========
@@ -97,7 +97,7 @@
 
 
 def _crash_rate(crashes, upstreams, now):
-    """Return a function of the crash rate per upstream around a time."""
+    """Return a function that gives the crash rate per upstream at a time."""
 
     def rate(moment):
         near = sum(
@@ -110,9 +110,9 @@
 
 
 def _attribution(fingerprint, own, rate):
-    # A request that causes crashes crashes each upstream soon after its start.
-    # One that ran for longer once may have been hit by chance during as long a
-    # time in each crash, so its longest run time counts for all of them.
+    # A request that causes crashes does so soon after its start, each time. One
+    # that ran for longer once may have been in flight by chance for as long at
+    # each crash, so its longest run time counts for all of them.
     run_seconds = max(crash.suspects[fingerprint].run_seconds for crash in own)
     expected = run_seconds * sum(rate(crash.at) for crash in own)
     suspect = own[-1].suspects[fingerprint]
--- a/pollenstile/routing/_affinity.py
+++ b/pollenstile/routing/_affinity.py
@@ -3,6 +3,7 @@
 import msgspec
 import xxhash
 
+# Leading bytes of the encoded input that count as the prompt's prefix.
 _PREFIX_BYTES = 256
 
 
@@ -39,6 +40,6 @@
     ===========
 
     Rendezvous hashing gives all hosts the same order without coordination, and
-    the removal of an upstream moves only the keys that it had.
+    the removal of an upstream moves only the keys that preferred it.
     """
     return xxhash.xxh3_64_intdigest(name.encode(), seed=key)
--- a/pollenstile/routing/_choose.py
+++ b/pollenstile/routing/_choose.py
@@ -9,7 +9,7 @@
 # calls per slot: another domain is chosen when its upstream is less busy than
 # those of the host's own domain by more than this.
 _CROSS_DOMAIN_PENALTY = 0.25
-# Calls per slot above which the upstream that has a prefix cached is not
+# Calls per slot from which the upstream that has a prefix cached is no longer
 # preferred: waiting in its queue costs more than reading the prompt again.
 _MAX_AFFINITY_LOAD = 0.9
 # Bonus for a cached prefix, in calls per slot.
@@ -50,11 +50,11 @@
     Explanation
     ===========
 
-    A load report is outdated when it arrives. So this host's share of the
-    report is replaced by its present calls in flight, which are also the lower
-    bound of the result. The rest, calls of other hosts, decays with the age of
-    the report: an old report would otherwise keep an upstream idle that was
-    busy once.
+    A load report is outdated when it arrives. So this host's calls are
+    subtracted from the report, and its present calls in flight are added; they
+    are also the lower bound of the result. The remainder, calls of other hosts,
+    decays with the age of the report: without the decay, an old report could
+    keep an upstream idle for good that was busy once.
     """
     if state.load is None:
         return state.in_flight / upstream.slots
--- a/pollenstile/routing/_decayed.py
+++ b/pollenstile/routing/_decayed.py
@@ -7,6 +7,7 @@
 _BUCKET_RATIO = 1.08
 _LOG_BUCKET_RATIO = math.log(_BUCKET_RATIO)
 _BUCKETS = 210
+# Weight of a new measurement above which all weights are scaled down.
 _MAX_WEIGHT = 1e9
 
 
@@ -21,7 +22,7 @@
     grow with time instead of old ones being scaled down (Cormode et al.,
     *Forward decay*, 2009). Quantiles are exact to 4%. HdrHistogram is not used
     because its counts do not decay: it would need rotating windows, and each
-    read iterates over thousands of counts.
+    read of it iterates over thousands of counts.
 
     Parameters
     ==========
--- a/pollenstile/routing/_ejection.py
+++ b/pollenstile/routing/_ejection.py
@@ -1,5 +1,7 @@
 """Temporary ejection of failing upstreams, and the panic threshold."""
 
+# An ejection lasts this base, doubled for each consecutive failure, up to the
+# maximum.
 _BASE_SECONDS = 0.1
 _MAX_SECONDS = 5.0
 # Consecutive failures after which an upstream is ejected.
--- a/pollenstile/routing/_tracker.py
+++ b/pollenstile/routing/_tracker.py
@@ -3,7 +3,7 @@
 from pollenstile.routing._decayed import DecayedQuantiles
 from pollenstile.routing._ejection import ejection_time
 
-# Measurements from which on quantiles are used.
+# Number of measurements from which on quantiles are used.
 _MIN_MEASUREMENTS = 20
 
 
@@ -62,8 +62,8 @@
     ==========
 
     observer : function or None
-        Called with the name of an upstream and its load report; returns whether
-        the upstream is leaving, which it tracks by incarnation.
+        Called with the name of an upstream and its load report; tracks the
+        upstream's incarnations and returns whether it is leaving.
     """
 
     __slots__ = ('clock', 'observer', 'states', 'times')
