--- a/pollenstile/limits/_backlog.py
+++ b/pollenstile/limits/_backlog.py
@@ -56,9 +56,9 @@
         )
 
     def _decayed(self, key, now):
-        total, when, observed_since = self.sums.get(key, (0.0, now, now))
+        total, updated_at, observed_since = self.sums.get(key, (0.0, now, now))
         return total * math.exp(
-            (when - now) / _FLOW_WINDOW_SECONDS
+            (updated_at - now) / _FLOW_WINDOW_SECONDS
         ), observed_since
 
 
@@ -139,11 +139,11 @@
         return total / _WORK_WINDOW_SECONDS
 
     def _decayed(self, rank, pool):
-        total, when = self.sums.get((rank, pool), (0.0, 0.0))
+        total, updated_at = self.sums.get((rank, pool), (0.0, 0.0))
         if not total:
             return 0.0
         return total * math.exp(
-            (when - self.clock.seconds()) / _WORK_WINDOW_SECONDS
+            (updated_at - self.clock.seconds()) / _WORK_WINDOW_SECONDS
         )
 
 
--- a/pollenstile/limits/_concurrency.py
+++ b/pollenstile/limits/_concurrency.py
@@ -112,8 +112,8 @@
     if load_pressure <= 1 and in_flight < _MIN_UTILIZATION * value:
         return value
     target = value * min(1.5, max(0.5, 1 / max(load_pressure, 0.1)))
-    moved = value + _SMOOTHING * (target - value)
-    return min(slots, max(_MIN_LIMIT, moved))
+    adjusted = value + _SMOOTHING * (target - value)
+    return min(slots, max(_MIN_LIMIT, adjusted))
 
 
 class Concurrency:
--- a/pollenstile/limits/_fairqueue.py
+++ b/pollenstile/limits/_fairqueue.py
@@ -179,29 +179,29 @@
         return (flow.rank, *tie_break)
 
     def _charge(self, flow, cost):
-        waiting = {flow.team: flow.weight}
-        heads = {}
+        weights = {flow.team: flow.weight}
+        head_costs = {}
         for other in self.flows.values():
-            waiting[other.team] = other.weight
+            weights[other.team] = other.weight
             head = other.items[0].cost if other.items else cost
-            heads[other.rank] = max(head, heads.get(other.rank, 0))
+            head_costs[other.rank] = max(head, head_costs.get(other.rank, 0))
         for rank in RANKS.values():
             if rank < flow.rank:
                 continue
             tag = self.tag(flow.team, rank)
             self.tags[flow.team, rank] = tag + cost / flow.weight
-        self.virtual_time += cost / sum(waiting.values())
-        self._credit(heads, flow.rank, cost)
+        self.virtual_time += cost / sum(weights.values())
+        self._credit(head_costs, flow.rank, cost)
 
-    def _credit(self, heads, started, cost):
+    def _credit(self, head_costs, started_rank, cost):
         for rank, share in self.reserves.items():
-            if rank not in heads:
+            if rank not in head_costs:
                 self.credits.pop(rank, None)
                 continue
             credit = self.credits.get(rank, 0) + share * cost
-            if rank == started:
+            if rank == started_rank:
                 credit -= cost
-            limit = _MAX_CREDIT * heads[rank]
+            limit = _MAX_CREDIT * head_costs[rank]
             self.credits[rank] = max(-limit, min(credit, limit))
 
     def _drop_empty(self, key):
--- a/pollenstile/limits/_reservations.py
+++ b/pollenstile/limits/_reservations.py
@@ -81,11 +81,11 @@
     def limit(self, name, pool):
         """Return the current concurrency limit of a pool."""
         now = self.clock.seconds()
-        found = self.cached_limits.get(name)
-        if found is None or now - found[0] > _CACHE_SECONDS:
-            found = (now, self.total(pool))
-            self.cached_limits[name] = found
-        return found[1]
+        cached = self.cached_limits.get(name)
+        if cached is None or now - cached[0] > _CACHE_SECONDS:
+            cached = (now, self.total(pool))
+            self.cached_limits[name] = cached
+        return cached[1]
 
     def has_capacity(self, shares, pools):
         """Return whether every pool of a request has capacity for it.
@@ -114,8 +114,8 @@
         if held is None:
             return
         name, share = held
-        rest = self.reserved[name] - share
-        self.reserved[name] = rest if rest > _ROUNDING_ERROR else 0
+        remaining = self.reserved[name] - share
+        self.reserved[name] = remaining if remaining > _ROUNDING_ERROR else 0
 
     def release(self, reservation):
         """Release what is still reserved."""
--- a/pollenstile/quarantine/_evidence.py
+++ b/pollenstile/quarantine/_evidence.py
@@ -114,10 +114,12 @@
 
     def reporters(self, fingerprint):
         """Return the hosts that reported a request as a suspect."""
-        found = set()
+        reporting = set()
         for incarnation in self.incarnations.get(fingerprint, ()):
-            found.update(self.crashes[incarnation].hosts.get(fingerprint, ()))
-        return found
+            reporting.update(
+                self.crashes[incarnation].hosts.get(fingerprint, ())
+            )
+        return reporting
 
     def expire(self):
         """Drop crashes older than :data:`KEPT_SECONDS`."""
--- a/pollenstile/quarantine/_quarantine.py
+++ b/pollenstile/quarantine/_quarantine.py
@@ -176,15 +176,17 @@
         ]
         if not suspected:
             return
-        held = {verdict.fingerprint for verdict in self.verdicts.all_held()}
-        found = attribute_crashes(
+        held_fingerprints = {
+            verdict.fingerprint for verdict in self.verdicts.all_held()
+        }
+        attributions = attribute_crashes(
             suspected,
             self.evidence.crashes_of(report.service),
             self.count_upstreams(report.service),
             self.clock.seconds(),
-            held,
+            held_fingerprints,
         )
-        for attribution in found:
+        for attribution in attributions:
             self._hold(report.service, attribution)
 
     def _hold(self, service, attribution):
--- a/pollenstile/quarantine/_types.py
+++ b/pollenstile/quarantine/_types.py
@@ -97,8 +97,8 @@
 
     def is_empty(self):
         """Return whether the update holds nothing."""
-        held = self.reports or self.alive or self.cleared or self.verdicts
-        return not held
+        entries = self.reports or self.alive or self.cleared or self.verdicts
+        return not entries
 
 
 def merge_updates(updates):
--- a/pollenstile/quarantine/_verdict.py
+++ b/pollenstile/quarantine/_verdict.py
@@ -70,13 +70,13 @@
     unexplained = [
         crash for crash in crashes if crash.suspects.keys().isdisjoint(held)
     ]
-    found = []
+    attributions = []
     while True:
-        first = _least_probable(suspected, unexplained, upstreams, now)
-        if first is None:
-            return found
-        found.append(first)
-        fingerprint = first.suspect.fingerprint
+        attribution = _least_probable(suspected, unexplained, upstreams, now)
+        if attribution is None:
+            return attributions
+        attributions.append(attribution)
+        fingerprint = attribution.suspect.fingerprint
         unexplained = [
             crash for crash in unexplained if fingerprint not in crash.suspects
         ]
@@ -85,15 +85,17 @@
 def _least_probable(suspected, crashes, upstreams, now):
     """Return the least probable attribution, or None if chance explains it."""
     rate = _crash_rate(crashes, upstreams, now)
-    found = []
+    attributions = []
     for fingerprint in suspected:
         own = [crash for crash in crashes if fingerprint in crash.suspects]
         if len(own) >= MIN_CRASHES:
-            found.append(_attribution(fingerprint, own, rate))
-    first = min(found, key=lambda candidate: candidate.chance, default=None)
-    if first is None or first.chance > _MAX_CHANCE:
+            attributions.append(_attribution(fingerprint, own, rate))
+    least = min(
+        attributions, key=lambda candidate: candidate.chance, default=None
+    )
+    if least is None or least.chance > _MAX_CHANCE:
         return None
-    return first
+    return least
 
 
 def _crash_rate(crashes, upstreams, now):
--- a/pollenstile/relay/_source.py
+++ b/pollenstile/relay/_source.py
@@ -206,15 +206,15 @@
 
     def _check_held(self, done):
         """Answer a request at the end of its hold time or of store contact."""
-        held = self.held.get(done)
-        if held is None:
+        entry = self.held.get(done)
+        if entry is None:
             return
         now = self.clock.seconds()
-        if now >= held[2] or not self.has_store_contact():
+        if now >= entry[2] or not self.has_store_contact():
             self._answer_held(done, is_final=True)
             return
         age = self.suspend_clock() - self.configuration.loop.read_at
-        remaining = min(held[2] - now, self._contact_seconds() - age)
+        remaining = min(entry[2] - now, self._contact_seconds() - age)
         self.clock.callLater(
             max(_BATCH_SECONDS, remaining), self._check_held, done
         )
--- a/pollenstile/routing/_decayed.py
+++ b/pollenstile/routing/_decayed.py
@@ -82,11 +82,11 @@
 
     def quantile(self, percent):
         """Return a quantile in seconds."""
-        found = self.cached_quantiles.get(percent)
-        if found is None:
-            found = self._quantile(percent)
-            self.cached_quantiles[percent] = found
-        return found
+        cached = self.cached_quantiles.get(percent)
+        if cached is None:
+            cached = self._quantile(percent)
+            self.cached_quantiles[percent] = cached
+        return cached
 
     def _quantile(self, percent):
         remaining = self.total * percent / 100
--- a/pollenstile/stagework/_locality.py
+++ b/pollenstile/stagework/_locality.py
@@ -47,10 +47,13 @@
 
 def _may_cross_domains(group, wait, now, work):
     """Return whether a group should be made away from its inputs now."""
-    near = now + wait + work
+    nearby_end = now + wait + work
     if now + work > group.due + LATE_CALLS * work:
-        return wait > _LATE_LOCALITY_WAIT_CALLS * work or near > group.deadline
-    return near + _LOCALITY_SLACK_CALLS * work > group.due
+        return (
+            wait > _LATE_LOCALITY_WAIT_CALLS * work
+            or nearby_end > group.deadline
+        )
+    return nearby_end + _LOCALITY_SLACK_CALLS * work > group.due
 
 
 def seconds_until_free(workers, free, now, full):
--- a/pollenstile/stagework/_waiting.py
+++ b/pollenstile/stagework/_waiting.py
@@ -58,12 +58,12 @@
         return limits.call_seconds * 4
     rounds = ahead / (limits.batch * effective_workers(answering))
     free_in = sorted(max(0, worker.busy_until - now) for worker in answering)
-    last = call_seconds(limits, min(limits.batch, max(1, ahead)))
-    least = free_in[0] + int(rounds) * full + last
+    last_call = call_seconds(limits, min(limits.batch, max(1, ahead)))
+    lower_bound = free_in[0] + int(rounds) * full + last_call
     if not rate:
-        return least
+        return lower_bound
     pieces_in_flight = sum(worker.pieces_in_flight for worker in workers)
-    return max(least, (pieces_in_flight + ahead) / rate)
+    return max(lower_bound, (pieces_in_flight + ahead) / rate)
 
 
 def may_join_queue(group, wait, now, full, share=1.0):
