--- a/pollenstile/quarantine/messages.capnp
+++ b/pollenstile/quarantine/messages.capnp
@@ -1,6 +1,6 @@
 @0xa93e5c17d08b42f6;
 # Updates about requests that crash upstreams, exchanged between hosts as bodies
-# of asks and answers. Fingerprints are raw bytes.
+# of requests and answers. Fingerprints are raw bytes.
 
 struct Suspect {
   fingerprint @0 :Data;
--- a/pollenstile/relay/_messages.py
+++ b/pollenstile/relay/_messages.py
@@ -62,6 +62,8 @@
     Parameters
     ==========
 
+    kind : str
+        Kind of the objects.
     number : int
         Number of the newest change, as counted by the source.
     revision : int
@@ -86,6 +88,8 @@
     Parameters
     ==========
 
+    source : str
+        Incarnation of the source.
     has_store : bool
         Whether the store has answered the source recently.
     aged : float
