--- a/features/builders/claims_trace.py
+++ b/features/builders/claims_trace.py
@@ -60,7 +60,7 @@
             'open',
             host=host,
             shard=name.partition('/')[0],
-            place=parse_sequence(name),
+            position=parse_sequence(name),
             append=segment.batch,
             claims=tuple(steps['claim']),
             frees=tuple(steps['release']),
@@ -71,7 +71,7 @@
         self._add(
             'apply',
             shard=name.partition('/')[0],
-            place=parse_sequence(name),
+            position=parse_sequence(name),
             append=batch,
         )
 
--- a/features/builders/fleet.py
+++ b/features/builders/fleet.py
@@ -5,7 +5,7 @@
 from pollenstile.bench.fleetworld import (
     changed_text,
     fleet_manifest,
-    started_world,
+    start_world,
 )
 from pollenstile.fleet import HOST, Record, apply_manifest, by_domain
 from pollenstile.peer import neighbours
@@ -17,7 +17,7 @@
 def started_fleet(hosts, domains, upstreams, seed=1):
     """Return a started fleet of hosts named by domain and number."""
     manifest = fleet_manifest(DOMAINS[:domains], upstreams)
-    return started_world(manifest, hosts, seed)
+    return start_world(manifest, hosts, seed)
 
 
 def next_text(world, name):
--- a/features/builders/fleetfaults.py
+++ b/features/builders/fleetfaults.py
@@ -77,7 +77,7 @@
         world.store.silent_watches = False
         for upstream in world.upstreams.values():
             upstream.dead = False
-        for name in sorted(world.places.keys() - world.hosts.keys()):
+        for name in sorted(world.host_locations.keys() - world.hosts.keys()):
             world.start(name)
         self.record_disturbance()
         self.pass_time(seconds)
@@ -96,7 +96,7 @@
         for name, left_at in self.left_at.items():
             dead = self.world.upstreams[name].dead
             if now - left_at > _LEAVING_LIMIT_SECONDS and not dead:
-                late = self.world.givers(name)
+                late = self.world.dispatching_hosts(name)
                 self.late.extend((giver, name, now) for giver in late)
 
 
@@ -112,7 +112,7 @@
 
 
 def _start(run):
-    gone = sorted(run.world.places.keys() - run.world.hosts.keys())
+    gone = sorted(run.world.host_locations.keys() - run.world.hosts.keys())
     if gone:
         run.world.start(run.random.choice(gone))
         run.record_disturbance()
--- a/features/builders/relay.py
+++ b/features/builders/relay.py
@@ -240,7 +240,7 @@
         self.hosts = {}
         for name in names:
             self.hosts[name] = RelayHost(self, name)
-        self.pass_by(3.0)
+        self.advance(3.0)
 
     def write(self, kind, name, value):
         """Write an object and wait until it is written."""
@@ -254,7 +254,7 @@
         while not done.called:
             self.clock.advance(_STEP)
 
-    def pass_by(self, seconds):
+    def advance(self, seconds):
         """Advance the clock in small steps."""
         for _ in range(round(seconds / _STEP)):
             self.clock.advance(_STEP)
--- a/features/builders/spec.py
+++ b/features/builders/spec.py
@@ -8,22 +8,22 @@
     return TraceEvent('begin', host=host, request=request, key=key)
 
 
-def opened(append, host='h1', place=1, claims=(), frees=()):
+def opened(append, host='h1', position=1, claims=(), frees=()):
     """Return the event of a batch that is sent."""
     return TraceEvent(
         'open',
         host=host,
         shard='7',
-        place=place,
+        position=position,
         append=append,
         claims=tuple(claims),
         frees=tuple(frees),
     )
 
 
-def applied(append, place=1):
+def applied(append, position=1):
     """Return the event of a batch that the store takes."""
-    return TraceEvent('apply', shard='7', place=place, append=append)
+    return TraceEvent('apply', shard='7', position=position, append=append)
 
 
 def event(action, request, host='h1'):
@@ -47,9 +47,9 @@
         crash('h1'),
         begin('r2', host='h2'),
         begin('other', host='h2', key='k2'),
-        opened('a2', host='h2', place=2, claims=['other']),
+        opened('a2', host='h2', position=2, claims=['other']),
         event('repeat', 'r2', host='h2'),
-        applied('a2', place=2),
+        applied('a2', position=2),
         event('dispatch', 'other', host='h2'),
     ],
     'a lost race': [
@@ -59,8 +59,8 @@
         opened('a2', host='h2', claims=['r2']),
         applied('a1'),
         event('dispatch', 'r1'),
-        opened('a3', host='h2', place=2, claims=['r2']),
-        applied('a3', place=2),
+        opened('a3', host='h2', position=2, claims=['r2']),
+        applied('a3', position=2),
         event('dispatch', 'r2', host='h2'),
     ],
     'a release and a repeat': [
@@ -68,11 +68,11 @@
         opened('a1', host='h2', claims=['r1']),
         applied('a1'),
         event('refuse', 'r1'),
-        opened('a2', place=2, frees=['r1']),
-        applied('a2', place=2),
+        opened('a2', position=2, frees=['r1']),
+        applied('a2', position=2),
         begin('r2', host='h3'),
-        opened('a3', host='h3', place=3, claims=['r2']),
-        applied('a3', place=3),
+        opened('a3', host='h3', position=3, claims=['r2']),
+        applied('a3', position=3),
         event('dispatch', 'r2', host='h3'),
     ],
     'a call that was given back': [
@@ -90,13 +90,13 @@
         begin('r1'),
         begin('r2', host='h2'),
         opened('a1', claims=['r1']),
-        opened('a2', host='h2', place=2, claims=['r2']),
+        opened('a2', host='h2', position=2, claims=['r2']),
     ],
     'an append left in doubt': [
         begin('r1'),
         begin('r2', key='k1'),
         opened('a1', claims=['r1']),
-        opened('a2', place=1, claims=['r1', 'r2']),
+        opened('a2', position=1, claims=['r1', 'r2']),
         applied('a1'),
     ],
     'a create over an object': [
@@ -111,7 +111,7 @@
         *_claimed(),
         event('dispatch', 'r1'),
         begin('r2', host='h2'),
-        opened('a2', host='h2', place=2, claims=['r2']),
+        opened('a2', host='h2', position=2, claims=['r2']),
     ],
     'dispatch after refusal': [
         begin('r1'),
--- a/features/steps/askers_steps.py
+++ b/features/steps/askers_steps.py
@@ -7,7 +7,7 @@
 
 from features.builders.stagework import chain_plan, group
 from pollenstile.bench._stagehosts import HostFleet
-from pollenstile.bench.stages import REPAIR, played_with_losses
+from pollenstile.bench.stages import REPAIR, simulate_power_losses
 from pollenstile.stagework import Chain, ChainFailed, GroupDone
 from pollenstile.stagework._codec import group_bytes
 from pollenstile.stagework._subjects import ASK, BACKLOG
@@ -24,7 +24,7 @@
 )
 def when_most_lose(context, share, hosts, away, load):
     context.lost_at = 5.0
-    context.served = played_with_losses(
+    context.served = simulate_power_losses(
         load, hosts, share / 100, context.lost_at, away, seed=_SEED
     )
 
@@ -34,17 +34,17 @@
     ' target latency'
 )
 def then_in_time(context, seconds, share):
-    first = context.served[0].came
+    first = context.served[0].arrived_at
     later = [
         request
         for request in context.served
-        if request.came - first > context.lost_at + seconds
+        if request.arrived_at - first > context.lost_at + seconds
     ]
     in_time = [
         request
         for request in later
-        if request.staged is not None
-        and request.staged + request.read <= request.aim
+        if request.stage_seconds is not None
+        and request.stage_seconds + request.read <= request.aim
     ]
     assert len(in_time) * 100 >= share * len(later), (len(in_time), len(later))
 
@@ -153,7 +153,7 @@
 def when_replaced(context, seconds):
     fleet = context.fleet
     context.host.lose_power()
-    fleet.start_again(context.host)
+    fleet.restart(context.host)
     fleet.advance(seconds)
 
 
--- a/features/steps/drained_steps.py
+++ b/features/steps/drained_steps.py
@@ -146,7 +146,7 @@
 def when_store_drained(context, domain, seconds):
     before = _called(context)
     context.fleet.write(DRAINED, domain, {})
-    context.fleet.pass_by(seconds)
+    context.fleet.advance(seconds)
     context.called = {
         name: count - before[name] for name, count in _called(context).items()
     }
@@ -158,7 +158,7 @@
 )
 def when_store_taken_back(context, domain, seconds):
     context.fleet.remove(DRAINED, domain)
-    context.fleet.pass_by(seconds)
+    context.fleet.advance(seconds)
 
 
 @when('the reader {fault}, and "{domain}" is drained {seconds:g} seconds later')
@@ -167,7 +167,7 @@
     reader.parted = fault == 'loses the store'
     reader.frozen = fault == 'freezes'
     reader.gone = fault == 'is gone'
-    context.fleet.pass_by(seconds)
+    context.fleet.advance(seconds)
     context.fleet.write(DRAINED, domain, {})
 
 
@@ -186,7 +186,7 @@
 def when_reads_fail(context, name):
     context.fleet.hosts[name].relayed.is_away = _always
     # The pending watch ends within this time.
-    context.fleet.pass_by(3.0)
+    context.fleet.advance(3.0)
 
 
 def _always():
@@ -199,7 +199,7 @@
     before = _called(context)
     for host in fleet.hosts.values():
         host.parted = True
-    fleet.pass_by(seconds)
+    fleet.advance(seconds)
     context.called = {
         name: count - before[name] for name, count in _called(context).items()
     }
@@ -223,7 +223,7 @@
 def when_starts(context, name, seconds):
     fleet = context.fleet
     fleet.hosts[name] = RelayHost(fleet, name)
-    fleet.pass_by(seconds)
+    fleet.advance(seconds)
 
 
 @then('"{names}" have drained "{domain}"')
--- a/features/steps/fleet_random_steps.py
+++ b/features/steps/fleet_random_steps.py
@@ -43,7 +43,10 @@
     for host in world.hosts.values():
         assert host.fleet.hosts.live.keys() == world.hosts.keys()
     for name, upstream in world.upstreams.items():
-        givers = [] if upstream.leaving else sorted(world.hosts)
-        assert sorted(world.givers(name)) == givers, (name, givers)
+        dispatching_hosts = [] if upstream.leaving else sorted(world.hosts)
+        assert sorted(world.dispatching_hosts(name)) == dispatching_hosts, (
+            name,
+            dispatching_hosts,
+        )
     assert not run.late, run.late[:5]
     assert not run.reverted
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -185,7 +185,7 @@
 @when('every fleet host leaves and restarts, one by one')
 def step_rolling(context):
     world = context.world
-    for name in list(world.places):
+    for name in list(world.host_locations):
         world.leave(name)
         world.run(1)
         host = world.start(name)
--- a/features/steps/lag_steps.py
+++ b/features/steps/lag_steps.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import succeed
 
 from pollenstile.bench._domainworld import DomainWorld
-from pollenstile.bench.lag import lag_of
+from pollenstile.bench.lag import measure_lag
 from pollenstile.relay._messages import (
     RelayUpdate,
     encode_update,
@@ -46,7 +46,7 @@
         )
     for host in context.world.readers():
         host.path.refuses = True
-    context.world.pass_by(seconds)
+    context.world.advance(seconds)
 
 
 @when('the store {fault} all hosts, and {seconds:g} seconds pass')
@@ -55,7 +55,7 @@
         host.path.refuses = fault == 'refuses'
         host.path.silent = fault == 'ignores'
         host.path.kinds.clear()
-    context.world.pass_by(seconds)
+    context.world.advance(seconds)
 
 
 @when(
@@ -67,7 +67,7 @@
     for world in (context.world, alone):
         before = world.calls()
         world.write_configuration('none')
-        world.pass_by(seconds)
+        world.advance(seconds)
         context.calls.append((world.calls() - before) / len(world.hosts))
 
 
@@ -84,7 +84,7 @@
     relay = host.daemon.parts.relay
     relay.follower.ask = lambda *_: succeed(encode_update(update))
     ages = []
-    context.world.pass_by(
+    context.world.advance(
         seconds, lambda: ages.append(host.configuration.age())
     )
     context.oldest = max(ages)
@@ -117,7 +117,7 @@
 
 @then('one of the other hosts reads the store and the rest follow it')
 def then_one_followed(context):
-    others = context.world.in_touch()
+    others = context.world.hosts_in_contact()
     followed = [host.following for host in others]
     readers = [host.name for host in others if not host.following]
     assert len(readers) == 1, readers
@@ -144,12 +144,14 @@
 
 @when('the fault "{fault}" affects a domain of {hosts:d} hosts')
 def when_fault(context, fault, hosts):
-    context.lags = [lag_of(hosts, fault)]
+    context.lags = [measure_lag(hosts, fault)]
 
 
 @when('the fault "{fault}" affects domains of {sizes} hosts each')
 def when_faults(context, fault, sizes):
-    context.lags = [lag_of(int(hosts), fault) for hosts in sizes.split(',')]
+    context.lags = [
+        measure_lag(int(hosts), fault) for hosts in sizes.split(',')
+    ]
 
 
 @then(
--- a/features/steps/large_configuration_steps.py
+++ b/features/steps/large_configuration_steps.py
@@ -33,7 +33,7 @@
 def when_ages_recorded(context, seconds):
     context.oldest = 0
     for _ in range(round(seconds / _STEP_SECONDS)):
-        context.fleet.pass_by(_STEP_SECONDS)
+        context.fleet.advance(_STEP_SECONDS)
         ages = [
             host.configuration.age() for host in context.fleet.hosts.values()
         ]
@@ -45,7 +45,7 @@
     context.version += 1
     context.fleet.update_sizes.clear()
     context.fleet.write('config', 'main', large_config(context.version))
-    context.fleet.pass_by(seconds)
+    context.fleet.advance(seconds)
 
 
 @when('the large configuration changes {count:d} times, {gap:g} seconds apart')
@@ -55,7 +55,7 @@
     for _ in range(count):
         context.version += 1
         context.fleet.write('config', 'main', large_config(context.version))
-        context.fleet.pass_by(gap)
+        context.fleet.advance(gap)
 
 
 @when('the configuration text of "{name}" is corrupted')
@@ -67,13 +67,13 @@
 @when('an invalid configuration is written and {seconds:g} seconds pass')
 def when_invalid(context, seconds):
     context.fleet.write('config', 'main', 'nonsense')
-    context.fleet.pass_by(seconds)
+    context.fleet.advance(seconds)
 
 
 @when('the configuration is deleted and {seconds:g} seconds pass')
 def when_deleted(context, seconds):
     context.fleet.remove('config', 'main')
-    context.fleet.pass_by(seconds)
+    context.fleet.advance(seconds)
 
 
 @when(
@@ -83,16 +83,16 @@
     objects = context.fleet.store.objects
     context.fleet.write('other', 'a', 1)
     objects.compact()
-    context.fleet.pass_by(seconds)
+    context.fleet.advance(seconds)
 
 
 @when('all watches are answered with old changes for {seconds:g} seconds')
 def when_lagging(context, seconds):
     context.fleet.write('config', 'main', 1)
-    context.fleet.pass_by(1)
+    context.fleet.advance(1)
     context.fleet.store.calls.clear()
     context.fleet.store.stale_watches = 1000
-    context.fleet.pass_by(seconds)
+    context.fleet.advance(seconds)
 
 
 @then('"{name}" has sent a full read again, and trusts keys by that read only')
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -23,7 +23,7 @@
 @given('a membership fleet of {hosts:d} hosts with {upstreams:d} upstreams')
 def step_fleet(context, hosts, upstreams):
     context.world = started_fleet(hosts, 4, upstreams)
-    assert len(context.world.givers('engine-1')) == hosts
+    assert len(context.world.dispatching_hosts('engine-1')) == hosts
 
 
 @given('the membership platform is up')
@@ -122,14 +122,16 @@
 @then('no membership host gives "{name}" new work after {seconds:d} seconds')
 def step_none(context, name, seconds):
     context.world.run(seconds)
-    assert not context.world.givers(name), context.world.givers(name)
+    assert not context.world.dispatching_hosts(name), (
+        context.world.dispatching_hosts(name)
+    )
 
 
 @then('no membership host gives it new work in the next {seconds:d} seconds')
 def step_none_later(context, seconds):
     for _ in range(seconds):
         context.world.run(1)
-        assert not context.world.givers('engine-1')
+        assert not context.world.dispatching_hosts('engine-1')
 
 
 @then(
@@ -138,13 +140,15 @@
 )
 def step_none_of(context, domain, name, seconds):
     context.world.run(seconds)
-    for giver in context.world.givers(name):
+    for giver in context.world.dispatching_hosts(name):
         assert context.world.hosts[giver].domain != domain, giver
 
 
 @then('membership host "{host}" gives "{name}" new work')
 def step_gives(context, host, name):
-    assert context.world.givers(name) == [host], context.world.givers(name)
+    assert context.world.dispatching_hosts(name) == [host], (
+        context.world.dispatching_hosts(name)
+    )
 
 
 @then('all membership hosts give "{name}" work within {seconds:d} seconds')
@@ -152,9 +156,11 @@
     world = context.world
 
     def all_give():
-        return len(world.givers(name)) == len(world.hosts)
+        return len(world.dispatching_hosts(name)) == len(world.hosts)
 
-    assert world.run_until(all_give, seconds) is not None, world.givers(name)
+    assert world.run_until(all_give, seconds) is not None, (
+        world.dispatching_hosts(name)
+    )
 
 
 def _watchers(world, name):
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -56,13 +56,13 @@
     store = _fleet(context).store
     work = Deferred.fromCoroutine(store.listed(QUARANTINE_KIND))
     work.addCallback(listed.append)
-    context.world.pass_by(0.1)
+    context.world.advance(0.1)
     return listed[0].objects
 
 
 def _send_crashing(context, bodies, pause, seconds, names):
-    context.world.repeat(bodies, pause, seconds, names)
-    context.world.pass_by(seconds + 1)
+    context.world.schedule_requests(bodies, pause, seconds, names)
+    context.world.advance(seconds + 1)
 
 
 @given(_WORLD)
@@ -80,7 +80,7 @@
         for attempt in range(4):
             moment = number / 8 + attempt * _RETRY_SECONDS
             body = _HARMLESS + b'%d' % number
-            context.world.later(moment, rng.choice(names), body)
+            context.world.schedule_request(moment, rng.choice(names), body)
 
 
 @given('"{text}" arrives 40 times a second for {seconds:d} seconds')
@@ -88,7 +88,9 @@
     rng = Random(1)
     names = list(_fleet(context).hosts)
     for number in range(40 * seconds):
-        context.world.later(number / 40, rng.choice(names), text.encode())
+        context.world.schedule_request(
+            number / 40, rng.choice(names), text.encode()
+        )
 
 
 @given('the fault "{fault}"')
@@ -134,7 +136,7 @@
     context.bodies = [DEADLY + b'%d' % number for number in range(count)]
     names = list(_fleet(context).hosts)
     _send_crashing(context, context.bodies, pause, seconds, names)
-    context.world.pass_by(5.0)
+    context.world.advance(5.0)
 
 
 @when('upstreams crash once a second for {seconds:d} seconds, by seed {seed:d}')
@@ -142,17 +144,17 @@
     rng = Random(seed)
     upstreams = context.world.upstreams
     for _ in range(seconds):
-        context.world.pass_by(rng.uniform(0.5, 1.5))
+        context.world.advance(rng.uniform(0.5, 1.5))
         upstreams.crash(rng.choice(upstreams.running()))
-    context.world.pass_by(5.0)
+    context.world.advance(5.0)
 
 
 @when('{count:d} upstreams crash at the same time, after {seconds:g} seconds')
 def when_crash_together(context, count, seconds):
-    context.world.pass_by(seconds)
+    context.world.advance(seconds)
     for process in context.world.upstreams.running()[:count]:
         context.world.upstreams.crash(process)
-    context.world.pass_by(seconds + 1)
+    context.world.advance(seconds + 1)
 
 
 @when('the partition heals')
@@ -169,7 +171,7 @@
     domains = {host.name: host.domain for host in fleet.hosts.values()}
     for host in fleet.hosts.values():
         host.end()
-    fleet.pass_by(1.0)
+    fleet.advance(1.0)
     for name, domain in domains.items():
         context.world.join(fleet.add_host(name, domain))
 
@@ -220,20 +222,20 @@
     suspect = Suspect(quarantine.fingerprint(b'a'), 'team', 0.001)
     for process in world.upstreams.running()[:3]:
         quarantine.note_crash(f'{process.ident}/0', 's', (suspect,))
-    world.pass_by(1.0)
+    world.advance(1.0)
     assert len(_quarantining_hosts(context)) == len(_fleet(context).hosts)
 
 
 @when('a request is answered by one of them')
 def when_answered(context):
     for name in _fleet(context).hosts:
-        context.world.ask(name, _HARMLESS)
-    context.world.pass_by(1.0)
+        context.world.send_request(name, _HARMLESS)
+    context.world.advance(1.0)
 
 
 @when('{seconds:g} seconds pass for all hosts')
 def when_time_passes(context, seconds):
-    _fleet(context).pass_coarsely(seconds)
+    _fleet(context).advance_coarsely(seconds)
 
 
 @then(
@@ -241,7 +243,7 @@
     ' most {most:d} more times'
 )
 def then_few_arrivals(context, seconds, most):
-    late = context.world.arrivals_after_third(DEADLY, seconds)
+    late = context.world.arrivals_after_third_crash(DEADLY, seconds)
     assert len(late) <= most, late
 
 
@@ -254,7 +256,7 @@
 @then('each of them has crashed at most {most:d} upstreams')
 def then_few_crashes_each(context, most):
     for body in context.bodies:
-        ends = context.world.ends_of(body)
+        ends = context.world.crash_times(body)
         assert len(ends) <= most, (body, ends)
     for host in _fleet(context).running():
         held = host.core.quarantine.verdicts.all_held()
@@ -278,7 +280,7 @@
     ' third crash'
 )
 def then_all_hold(context, seconds):
-    late = context.world.arrivals_after_third(DEADLY, seconds)
+    late = context.world.arrivals_after_third_crash(DEADLY, seconds)
     assert not late, late
     running = [host.name for host in _fleet(context).running()]
     assert running and _quarantining_hosts(context) == running, (
@@ -288,7 +290,7 @@
 
 @then('each running host keeps it from upstreams within {seconds:g} seconds')
 def then_all_hold_soon(context, seconds):
-    context.world.pass_by(seconds)
+    context.world.advance(seconds)
     running = [host.name for host in _fleet(context).running()]
     assert running and _quarantining_hosts(context) == running, (
         _quarantining_hosts(context)
@@ -297,13 +299,13 @@
 
 @then('no host keeps it from upstreams after {seconds:g} seconds')
 def then_none_holds(context, seconds):
-    context.world.pass_by(seconds)
+    context.world.advance(seconds)
     assert not _quarantining_hosts(context), _quarantining_hosts(context)
 
 
 @then('its entry does not reappear')
 def then_no_entry(context):
-    context.world.pass_by(2.0)
+    context.world.advance(2.0)
     assert not _entries(context), _entries(context)
 
 
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -20,13 +20,13 @@
 
 @when('{seconds:g} seconds of relaying pass')
 def when_passed(context, seconds):
-    context.fleet.pass_by(seconds)
+    context.fleet.advance(seconds)
 
 
 @when('version {version:d} is written and {seconds:g} seconds pass')
 def when_written(context, version, seconds):
     context.fleet.write('config', 'main', version)
-    context.fleet.pass_by(seconds)
+    context.fleet.advance(seconds)
 
 
 @when('the upstream "{name}" is added and "{gone}" is removed')
@@ -45,14 +45,14 @@
 @when('the reader {fault}, and "{name}" is removed {seconds:g} seconds later')
 def when_reader_fails(context, fault, name, seconds):
     _fail_reader(context, fault)
-    context.fleet.pass_by(seconds)
+    context.fleet.advance(seconds)
     context.fleet.remove(KIND, name)
 
 
 @when('messages take {seconds:g} seconds in each direction')
 def when_slow(context, seconds):
     context.fleet.delay = seconds
-    context.fleet.pass_by(2)
+    context.fleet.advance(2)
 
 
 @when(
@@ -64,7 +64,7 @@
     context.oldest = 0
     hosts = context.fleet.hosts
     for _ in range(round(seconds / _STEP)):
-        context.fleet.pass_by(_STEP)
+        context.fleet.advance(_STEP)
         newest = hosts['r'].configuration.verified_at
         for name in ('s', 't', 'u'):
             verified_at = hosts[name].configuration.verified_at
@@ -87,14 +87,14 @@
 @when('"{name}" loses the store and {seconds:g} seconds of relaying pass')
 def when_parted(context, name, seconds):
     context.fleet.hosts[name].parted = True
-    context.fleet.pass_by(seconds)
+    context.fleet.advance(seconds)
 
 
 @when('all lose the store and {seconds:g} seconds of relaying pass')
 def when_all_parted(context, seconds):
     for host in context.fleet.hosts.values():
         host.parted = True
-    context.fleet.pass_by(seconds)
+    context.fleet.advance(seconds)
 
 
 @when('"{name}" has read version {version:d} with a newer revision')
@@ -211,7 +211,7 @@
 @when('the reader leaves and {seconds:g} seconds of relaying pass')
 def when_reader_leaves(context, seconds):
     context.fleet.hosts['r'].gone = True
-    context.fleet.pass_by(seconds)
+    context.fleet.advance(seconds)
 
 
 @when(
@@ -224,8 +224,8 @@
     fleet.hosts[name] = RelayHost(fleet, name)
     for number in range(count):
         fleet.write(KIND, f'n{number}', {'state': 'ready'})
-        fleet.pass_by(seconds / count)
-    fleet.pass_by(2.0)
+        fleet.advance(seconds / count)
+    fleet.advance(2.0)
 
 
 @then('"{name}" has called the store at most {most:d} times')
@@ -256,13 +256,13 @@
 def when_regained(context, seconds):
     for host in context.fleet.hosts.values():
         host.parted = False
-    context.fleet.pass_by(seconds)
+    context.fleet.advance(seconds)
 
 
 @when('the store stops answering watches, and {seconds:g} seconds pass')
 def when_silent(context, seconds):
     context.fleet.store.silent_watches = True
-    context.fleet.pass_by(seconds)
+    context.fleet.advance(seconds)
 
 
 @then('hosts have logged "{event}" with "{names}"')
--- a/features/steps/stagework_steps.py
+++ b/features/steps/stagework_steps.py
@@ -12,7 +12,7 @@
     pieces_of,
     workers,
 )
-from pollenstile.bench.stages import LESSON, played, summed
+from pollenstile.bench.stages import LESSON, simulate_load, summarize
 from pollenstile.routes import StageStep
 from pollenstile.stagework import (
     CallLost,
@@ -36,12 +36,12 @@
 
 @given('the stage load of a repair desk at {load:g} times its rate')
 def given_load(context, load):
-    context.requests = played(load, _SECONDS)
+    context.requests = simulate_load(load, _SECONDS)
 
 
 @given('the stage load of a lesson desk at {load:g} times its rate')
 def given_lesson_load(context, load):
-    context.requests = played(load, _SECONDS, desk=LESSON)
+    context.requests = simulate_load(load, _SECONDS, desk=LESSON)
 
 
 @then('none of them is refused')
@@ -52,13 +52,13 @@
 
 @then('at least {share:d} in 100 staged requests meet their target latency')
 def then_in_time(context, share):
-    figures = summed(context.requests)
+    figures = summarize(context.requests)
     assert figures['in_aim'] * 100 >= share, figures
 
 
 @then('with hosts that batch alone fewer than {share:d} in 100 do')
 def then_alone(context, share):
-    figures = summed(played(1.0, _SECONDS, owners=_HOSTS))
+    figures = summarize(simulate_load(1.0, _SECONDS, owners=_HOSTS))
     assert figures['in_aim'] * 100 < share, figures
 
 
@@ -67,8 +67,8 @@
     ' time'
 )
 def then_goodput(context, share, load):
-    before = summed(played(load, _SECONDS))['in_aim_number']
-    figures = summed(context.requests)
+    before = summarize(simulate_load(load, _SECONDS))['in_aim_number']
+    figures = summarize(context.requests)
     assert figures['in_aim_number'] * 10 >= share * before, (figures, before)
 
 
@@ -77,7 +77,7 @@
     ' latency',
 )
 def then_refused_at_once(context, share):
-    figures = summed(context.requests)
+    figures = summarize(context.requests)
     assert figures['refused_at_once'] * 100 >= share * figures['refused']
 
 
@@ -85,7 +85,9 @@
 def then_not_starved(context, share):
     kinds = {}
     for request in context.requests:
-        kinds.setdefault(request.kind, []).append(request.staged is not None)
+        kinds.setdefault(request.kind, []).append(
+            request.stage_seconds is not None
+        )
     for kind, served in kinds.items():
         assert sum(served) * 100 >= share * len(served), (kind, len(served))
 
--- a/pollenstile/bench/_crashworld.py
+++ b/pollenstile/bench/_crashworld.py
@@ -85,7 +85,7 @@
         for number in range(upstreams):
             domain = names[number % len(names)]
             self.upstreams.start(f'10.0.0.{number}:1', domain)
-        self.fleet.pass_by(1.0)
+        self.fleet.advance(1.0)
 
     def join(self, host):
         """Let a host send to the upstreams."""
@@ -93,7 +93,7 @@
         core.client = self.upstreams.client_of(host.name)
         core.crashes.client = core.client
 
-    def ask(self, name, body):
+    def send_request(self, name, body):
         """Send a request to a host; return the record of it."""
         core = self.fleet.hosts[name].core
         now = core.clock.seconds()
@@ -119,28 +119,28 @@
         serve(core, exchange, sent.answer)
         return sent
 
-    def later(self, seconds, name, body):
+    def schedule_request(self, seconds, name, body):
         """Send a request to a host after some seconds."""
-        self.fleet.clock.callLater(seconds, self.ask, name, body)
+        self.fleet.clock.callLater(seconds, self.send_request, name, body)
 
-    def repeat(self, bodies, pause, seconds, names):
+    def schedule_requests(self, bodies, pause, seconds, names):
         """Send requests again and again for some seconds, to hosts in turn."""
         hosts = itertools.cycle(names)
         for number in range(round(seconds / pause)):
             for body in bodies:
-                self.later(number * pause, next(hosts), body)
+                self.schedule_request(number * pause, next(hosts), body)
 
-    def pass_by(self, seconds):
+    def advance(self, seconds):
         """Let time pass."""
-        self.fleet.pass_by(seconds)
+        self.fleet.advance(seconds)
 
-    def ends_of(self, body):
+    def crash_times(self, body):
         """Return when upstreams ended under a request."""
         return [one.at for one in self.upstreams.ends if one.body == body]
 
-    def arrivals_after_third(self, body, seconds):
+    def arrivals_after_third_crash(self, body, seconds):
         """Return sends of a request that came later after its third end."""
-        ends = self.ends_of(body)
+        ends = self.crash_times(body)
         if len(ends) < 3:
             return []
         return [
--- a/pollenstile/bench/_domainworld.py
+++ b/pollenstile/bench/_domainworld.py
@@ -239,7 +239,7 @@
         self.hosts = {}
         for number in range(count):
             self.add_host(f'h{number}', _domain(number % domains))
-        self.pass_by(_SETTLE)
+        self.advance(_SETTLE)
         order = [
             name
             for number in range(min(count, domains))
@@ -253,14 +253,14 @@
         self.hosts[name] = DomainHost(self, name, domain, log)
         return self.hosts[name]
 
-    def pass_by(self, seconds, look=None):
+    def advance(self, seconds, look=None):
         """Let time pass; call a function at each step."""
         for _ in range(round(seconds / STEP)):
             self.clock.advance(STEP)
             if look is not None:
                 look()
 
-    def pass_coarsely(self, seconds):
+    def advance_coarsely(self, seconds):
         """Let a long time pass, in which nobody looks."""
         for _ in range(round(seconds / _COARSE_STEP)):
             self.clock.advance(_COARSE_STEP)
@@ -292,7 +292,7 @@
             if not (host.frozen or host.gone)
         ]
 
-    def in_touch(self):
+    def hosts_in_contact(self):
         """Return the hosts that run and are in touch with the store."""
         return [host for host in self.running() if host.path.is_in_touch()]
 
--- a/pollenstile/bench/_stagehosts.py
+++ b/pollenstile/bench/_stagehosts.py
@@ -237,9 +237,9 @@
         count = round(share * len(self.hosts))
         for host in self.hosts[:count]:
             host.lose_power()
-            self.clock.callLater(back_after, self.start_again, host)
+            self.clock.callLater(back_after, self.restart, host)
 
-    def start_again(self, host):
+    def restart(self, host):
         """Start a host that lost power: a new process under its name."""
         self.dark.discard(host.name)
         again = StageHost(self, host.name, host.hub.hello.boot + 1)
--- a/pollenstile/bench/_stageworld.py
+++ b/pollenstile/bench/_stageworld.py
@@ -248,7 +248,7 @@
         return '', outcome
 
 
-class Served:
+class SimulatedRequest:
     """One request of a played load: when it came, and how it ended.
 
     Parameters
@@ -272,20 +272,20 @@
 
     __slots__ = (
         'aim',
-        'came',
+        'arrived_at',
         'kind',
         'read',
         'refused',
         'refused_after',
-        'staged',
+        'stage_seconds',
     )
 
-    def __init__(self, kind, came, aim, read):
+    def __init__(self, kind, arrived_at, aim, read):
         self.kind = kind
-        self.came = came
+        self.arrived_at = arrived_at
         self.aim = aim
         self.read = read
-        self.staged = None
+        self.stage_seconds = None
         self.refused = ''
         self.refused_after = 0.0
 
@@ -316,7 +316,7 @@
 
 
 def start_request(fleet, client, route, counts, ident, deadline, read_after):
-    """Start a request's stage work; return its :class:`Served`.
+    """Start a request's stage work; return its :class:`SimulatedRequest`.
 
     Parameters
     ==========
@@ -327,7 +327,7 @@
         Seconds after which the model engine has read the results.
     """
     now = fleet.clock.seconds()
-    served = Served(route.name, now, route.aim, read_after)
+    served = SimulatedRequest(route.name, now, route.aim, read_after)
     arrival = Arrival(ident, route, counts, now + deadline)
     work = Deferred.fromCoroutine(_staged(client, arrival, served))
     work.addTimeout(deadline, fleet.clock)
@@ -339,7 +339,7 @@
 async def _staged(client, arrival, served):
     """Return a request's chain and the end of its stage work."""
     await client.refresh_backlogs([one.service for one in arrival.route.steps])
-    ready_by = served.came + served.aim - served.read
+    ready_by = served.arrived_at + served.aim - served.read
     chain = Chain(client, build_plan(arrival, ready_by, client.seconds))
     return chain, await chain.handles()
 
@@ -387,12 +387,12 @@
 
 def _note_end(ended, served, clock, read_after):
     chain, outcome = ended
-    took = clock.seconds() - served.came
+    took = clock.seconds() - served.arrived_at
     if isinstance(outcome, ChainFailed):
         served.refused = outcome.reason
         served.refused_after = took
         return
-    served.staged = took
+    served.stage_seconds = took
     clock.callLater(read_after, chain.release)
 
 
--- a/pollenstile/bench/crashes.py
+++ b/pollenstile/bench/crashes.py
@@ -79,15 +79,15 @@
     world = CrashWorld(hosts, _UPSTREAMS, domains)
     fleet = world.fleet
     FAULTS[fault](fleet)
-    fleet.pass_by(_LOOKED)
-    calm_bytes, calm_calls = _costs(fleet, lambda: fleet.pass_by(_LOOKED))
+    fleet.advance(_LOOKED)
+    calm_bytes, calm_calls = _costs(fleet, lambda: fleet.advance(_LOOKED))
     # One failure domain after the other.
     names = sorted((host.name for host in fleet.running()), key=_number)
-    world.repeat([DEADLY], _PAUSE, _COMES, names)
+    world.schedule_requests([DEADLY], _PAUSE, _COMES, names)
     unknown_at = [0.0]
 
     def look():
-        ends = world.ends_of(DEADLY)
+        ends = world.crash_times(DEADLY)
         holding = [
             bool(host.core.quarantine.verdicts.all_held())
             for host in fleet.running()
@@ -95,8 +95,8 @@
         if len(ends) >= _FREE and not all(holding):
             unknown_at.append(fleet.clock.seconds())
 
-    sent, calls = _costs(fleet, lambda: fleet.pass_by(_LOOKED, look))
-    ends = world.ends_of(DEADLY)
+    sent, calls = _costs(fleet, lambda: fleet.advance(_LOOKED, look))
+    ends = world.crash_times(DEADLY)
     known = max(0.0, unknown_at[-1] - ends[_FREE - 1])
     return Spread(
         hosts,
@@ -104,7 +104,7 @@
         fault,
         len(ends),
         round(known * _MS),
-        len(world.arrivals_after_third(DEADLY, known)),
+        len(world.arrivals_after_third_crash(DEADLY, known)),
         calm_bytes,
         sent,
         calm_calls,
@@ -117,13 +117,13 @@
     return int(name[1:])
 
 
-def _costs(fleet, pass_by):
+def _costs(fleet, advance):
     """Return bytes for each host and calls of the store in some time."""
     hosts = fleet.running()
     hubs = [host.daemon.parts.hub for host in hosts]
     before = sum(hub.bytes_sent() for hub in hubs)
     calls = fleet.calls()
-    pass_by()
+    advance()
     sent = sum(hub.bytes_sent() for hub in hubs) - before
     return round(sent / len(hosts)), fleet.calls() - calls
 
--- a/pollenstile/bench/fleet.py
+++ b/pollenstile/bench/fleet.py
@@ -20,7 +20,7 @@
 from pollenstile.bench.fleetworld import (
     changed_text,
     fleet_manifest,
-    started_world,
+    start_world,
 )
 from pollenstile.ops.exits import GOOD
 
@@ -187,7 +187,7 @@
 
 def _measured(hosts, upstreams, seed, domains=_DOMAINS):
     manifest = fleet_manifest(domains, upstreams)
-    world = started_world(manifest, hosts, seed, keep_events=False)
+    world = start_world(manifest, hosts, seed, keep_events=False)
     world.run(_IDLE_SECONDS)
     case = Case(hosts, upstreams)
     _measure_idle(world, case)
@@ -263,7 +263,7 @@
 
 
 def _is_left(world, name):
-    return not world.givers(name)
+    return not world.dispatching_hosts(name)
 
 
 def _time_until(world, condition):
@@ -289,7 +289,7 @@
     ):
         manifest = fleet_manifest(_DOMAINS, upstreams)
         tracemalloc.start()
-        world = started_world(manifest, hosts, seed, keep_events=False)
+        world = start_world(manifest, hosts, seed, keep_events=False)
         world.run(1.0)
         traced = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
--- a/pollenstile/bench/fleetworld.py
+++ b/pollenstile/bench/fleetworld.py
@@ -166,7 +166,7 @@
         'key',
         'list',
         'manifest',
-        'places',
+        'host_locations',
         'random',
         'seeds',
         'starts',
@@ -183,7 +183,7 @@
         self.keep_events = keep_events
         self.key = 'shared'
         self.hosts = {}
-        self.places = {}
+        self.host_locations = {}
         self.starts = 0
         self.cut_platform = set()
         self.cut_pairs = set()
@@ -198,11 +198,13 @@
         domains = list(manifest.domains)
         for number in range(hosts):
             domain = domains[number % len(domains)]
-            self.places[f'{domain}-{number}'] = (
+            self.host_locations[f'{domain}-{number}'] = (
                 domain,
                 f'10.0.{number // 250}.{number % 250 + 1}:82',
             )
-        self.seeds = [place[1] for place in self.places.values()][:_SEEDS]
+        self.seeds = [place[1] for place in self.host_locations.values()][
+            :_SEEDS
+        ]
 
     def put(self, text, if_version=None):
         """Write a configuration; return a Deferred of the outcome."""
@@ -213,7 +215,7 @@
 
     def start(self, name, key=None, boot=None):
         """Start a host as a new process; return it."""
-        domain, address = self.places[name]
+        domain, address = self.host_locations[name]
         self.starts += 1
         host = FleetHost(name, domain, address)
         random = Random(f'{name}/{self.starts}/{self.random.random()}')
@@ -278,7 +280,7 @@
         """Return whether every running host has a version in force."""
         return set(self.versions().values()) == {version}
 
-    def givers(self, upstream):
+    def dispatching_hosts(self, upstream):
         """Return the hosts that would give an upstream new work."""
         now = self.clock.seconds()
         found = []
@@ -339,11 +341,11 @@
         return pair in self.cut_pairs
 
 
-def started_world(manifest, hosts, seed=1, **options):
+def start_world(manifest, hosts, seed=1, **options):
     """Return a world whose hosts all have the first version in force."""
     world = FleetWorld(manifest, hosts, seed, **options)
     world.put(text_from_manifest(manifest), 0)
-    for name in world.places:
+    for name in world.host_locations:
         world.start(name)
     world.run(_SETTLING)
     return world
--- a/pollenstile/bench/lag.py
+++ b/pollenstile/bench/lag.py
@@ -156,7 +156,7 @@
     calls_host_s: float
 
 
-def lag_of(hosts, fault, **bounds):
+def measure_lag(hosts, fault, **bounds):
     """Return the :class:`Lag` of a domain under a fault.
 
     Parameters
@@ -176,14 +176,16 @@
     refusing = []
 
     def look():
-        ages.extend(host.configuration.age() for host in world.in_touch())
+        ages.extend(
+            host.configuration.age() for host in world.hosts_in_contact()
+        )
         refusing.extend(
             host.name
             for host in world.running()
             if not host.configuration.is_current()
         )
 
-    world.pass_by(_PLAYED, look)
+    world.advance(_PLAYED, look)
     calls = world.calls() - calls
     return Lag(
         hosts,
@@ -198,7 +200,7 @@
 def _news_ms(world, fault):
     """Return how long each of three changes takes to the last host."""
     FAULTS[fault](world)
-    world.pass_by(_CHANGED_AFTER)
+    world.advance(_CHANGED_AFTER)
     acked = []
     for write in _WRITES:
         write(world)
@@ -208,10 +210,10 @@
     def look():
         now = world.clock.seconds()
         for number, knows in enumerate(_KNOWS):
-            if not all(knows(host) for host in world.in_touch()):
+            if not all(knows(host) for host in world.hosts_in_contact()):
                 lags[number] = now - acked[number]
 
-    world.pass_by(_PLAYED, look)
+    world.advance(_PLAYED, look)
     return [round(lag * _MS) for lag in lags]
 
 
@@ -234,7 +236,7 @@
     """Print a line for each domain and fault."""
     for hosts in arguments.hosts.split(','):
         for fault in FAULTS:
-            found = lag_of(
+            found = measure_lag(
                 int(hosts),
                 fault,
                 apply_seconds=arguments.bound,
--- a/pollenstile/bench/shared.py
+++ b/pollenstile/bench/shared.py
@@ -115,9 +115,9 @@
             entry = {'service': 's', 'address': f'10.0.0.{number}:8000'}
             _done(self.store.put(_KIND, f'i-{number}', entry))
         self.hosts = [_Host(self, f'h{number}') for number in range(hosts)]
-        self.pass_by(4.0)
+        self.advance(4.0)
 
-    def pass_by(self, seconds):
+    def advance(self, seconds):
         """Let virtual time pass."""
         for _ in range(round(seconds / _STEP)):
             self.clock.advance(_STEP)
@@ -129,7 +129,7 @@
     calls = sum(fleet.store.calls.values())
     sent = sum(host.hub.bytes_sent() for host in fleet.hosts)
     began = time.process_time()
-    fleet.pass_by(seconds)
+    fleet.advance(seconds)
     used = time.process_time() - began
     now_sent = sum(host.hub.bytes_sent() for host in fleet.hosts)
     now_calls = sum(fleet.store.calls.values())
@@ -155,7 +155,7 @@
         )
         asker.submit(group, None).addCallback(ended.append)
         fleet.clock.advance(_STEP)
-    fleet.pass_by(2.0)
+    fleet.advance(2.0)
     used = time.process_time() - began
     return {
         'groups': len(ended),
--- a/pollenstile/bench/stages.py
+++ b/pollenstile/bench/stages.py
@@ -130,7 +130,7 @@
 _WAY = 0.0015
 
 
-def played(load, seconds=30.0, seed=1, owners=1, desk=REPAIR):
+def simulate_load(load, seconds=30.0, seed=1, owners=1, desk=REPAIR):
     """Play a load and return its requests.
 
     Parameters
@@ -160,7 +160,7 @@
     return requests
 
 
-def played_by_hosts(load, hosts, seconds=20.0, seed=1, *, owners_die=False):
+def simulate_hosts(load, hosts, seconds=20.0, seed=1, *, owners_die=False):
     """Play a load over hosts with real hubs; return its requests.
 
     Parameters
@@ -177,7 +177,7 @@
     return _played_over(fleet, load, seconds, seed)
 
 
-def played_with_losses(load, hosts, share, after, away, seed=1):
+def simulate_power_losses(load, hosts, share, after, away, seed=1):
     """Play a load over hosts of which many lose power; return its requests.
 
     Parameters
@@ -230,12 +230,16 @@
     )
 
 
-def summed(requests):
+def summarize(requests):
     """Return figures of a played load, as a document."""
     chained = [one for one in requests if one.kind not in _SINGLE]
-    through = [one for one in chained if (one.staged or _TAIL) <= IN_TIME]
+    through = [
+        one for one in chained if (one.stage_seconds or _TAIL) <= IN_TIME
+    ]
     in_aim = [
-        one for one in requests if (one.staged or _TAIL) + one.read <= one.aim
+        one
+        for one in requests
+        if (one.stage_seconds or _TAIL) + one.read <= one.aim
     ]
     refused = [one for one in requests if one.refused]
     at_once = [one for one in refused if one.refused_after <= one.aim / 8]
@@ -278,8 +282,8 @@
         args = (float(load), arguments.seconds, arguments.seed)
         desk = DESKS[arguments.desk]
         rows[load] = {
-            'one_queue': summed(played(*args, desk=desk)),
-            'hosts_alone': summed(played(*args, _HOSTS, desk)),
+            'one_queue': summarize(simulate_load(*args, desk=desk)),
+            'hosts_alone': summarize(simulate_load(*args, _HOSTS, desk)),
         }
     print(json.dumps(rows, indent=2))
     return 0
@@ -291,8 +295,8 @@
         for hosts in arguments.hosts.split(','):
             args = (float(load), int(hosts), arguments.seconds, arguments.seed)
             rows[f'load {load}, {hosts} hosts'] = {
-                'calm': summed(played_by_hosts(*args)),
-                'owners_die': summed(played_by_hosts(*args, owners_die=True)),
+                'calm': summarize(simulate_hosts(*args)),
+                'owners_die': summarize(simulate_hosts(*args, owners_die=True)),
             }
     print(json.dumps(rows, indent=2))
     return 0
--- a/spec/trace.py
+++ b/spec/trace.py
@@ -54,7 +54,7 @@
     action: str
     host: str = ''
     shard: str = ''
-    place: int = 0
+    position: int = 0
     append: str = ''
     request: str = ''
     key: str = ''
@@ -128,8 +128,8 @@
         verdicts[plain] = _Replay(plain).first_departure()
     if verdicts[plain] is None:
         return None
-    place, reason = verdicts[plain]
-    number, event = part[place]
+    position, reason = verdicts[plain]
+    number, event = part[position]
     return Departure(key, number, event, reason)
 
 
@@ -166,13 +166,15 @@
 def _appends_of(opened, requests):
     """Return the appends that bear on a key, and where they were tried."""
     spots = {
-        (event.shard, event.place)
+        (event.shard, event.position)
         for event in opened
         if requests.intersection(event.claims + event.frees)
     }
     # What is put where one of them was to stand bears on the key too.
     return {
-        event.append for event in opened if (event.shard, event.place) in spots
+        event.append
+        for event in opened
+        if (event.shard, event.position) in spots
     }
 
 
@@ -193,7 +195,7 @@
     hosts = _numbers(event.host for event in events if event.action != 'crash')
     requests = _numbers(event.request for event in events)
     appends = _numbers(event.append for event in events)
-    places = sorted({event.place for event in events if event.append})
+    places = sorted({event.position for event in events if event.append})
     plain = []
     for event in events:
         plain.append(
@@ -202,7 +204,7 @@
                 hosts.get(event.host, -1),
                 requests.get(event.request, -1),
                 appends.get(event.append, -1),
-                places.index(event.place) if event.append else -1,
+                places.index(event.position) if event.append else -1,
                 tuple(
                     requests[name] for name in event.claims if name in requests
                 ),
@@ -261,19 +263,19 @@
 
     def first_departure(self):
         """Return the place and reason of the first departure, or None."""
-        for place, event in enumerate(self.plain):
+        for position, event in enumerate(self.plain):
             try:
                 self._take(*event)
             except _DepartedError as error:
-                return place, str(error)
+                return position, str(error)
         return None
 
-    def _take(self, action, host, request, append, place, claims, frees):
+    def _take(self, action, host, request, append, position, claims, frees):
         if action == 'crash':
             if host >= 0:
                 self._do(f'crash host={host}')
         elif action == 'open':
-            self._open(host, append, place, claims, frees)
+            self._open(host, append, position, claims, frees)
         elif action == 'apply':
             self._apply(append)
         elif action == 'dispatch':
@@ -283,23 +285,23 @@
             self._do(f'{action} request={request}')
         self._check_properties()
 
-    def _open(self, host, append, place, claims, frees):
+    def _open(self, host, append, position, claims, frees):
         if append in self.opened:
             return
-        self._end_pending(host, place)
-        for earlier in range(place):
+        self._end_pending(host, position)
+        for earlier in range(position):
             self._try(f'read host={host} place={earlier}')
         for request in claims:
             if self.sizes.owner(request) != host:
                 self._try(f'forward request={request} host={host}')
-        self.opened[append] = place
+        self.opened[append] = position
         if not claims and not frees:
             # The append says nothing of this key; only its place counts.
-            self._put_blank(host, append, place)
+            self._put_blank(host, append, position)
             return
         chosen = {('takes', request): True for request in claims}
         chosen.update({('yields', request): True for request in frees})
-        self._do(f'open host={host} append={append} place={place}', chosen)
+        self._do(f'open host={host} append={append} place={position}', chosen)
         self._check_listed('claims', append, claims)
         self._check_listed('frees', append, frees)
 
@@ -311,13 +313,13 @@
                     'whose key is held or which is not queued there',
                 )
 
-    def _put_blank(self, host, append, place):
-        self.opened[append] = place
+    def _put_blank(self, host, append, position):
+        self.opened[append] = position
         blank = {
             ('used', append): True,
             ('flying', append): True,
             ('pending', host, append): True,
-            ('place', append, place): True,
+            ('place', append, position): True,
             ('writer', append, host): True,
         }
         self.state.update(blank)
@@ -331,13 +333,13 @@
         A host that tries the same position again was told that its write was
         not applied, and has not read what stands there.
         """
-        for append, place in self.opened.items():
+        for append, position in self.opened.items():
             if not self.state.pending(host, append):
                 continue
             if append not in self.applied:
                 self._try(f'drop append={append}')
-            spot = f'host={host} append={append} place={place}'
-            if place != wanted and self._reads(spot):
+            spot = f'host={host} append={append} place={position}'
+            if position != wanted and self._reads(spot):
                 continue
             self._do(f'abandon host={host} append={append}')
 
@@ -345,10 +347,10 @@
         return self._try(f'settle {spot}') or self._try(f'supersede {spot}')
 
     def _apply(self, append):
-        place = self.opened.get(append)
-        if place is None:
+        position = self.opened.get(append)
+        if position is None:
             raise _DepartedError(f'append {append} was never opened')
-        self._do(f'apply append={append} place={place}')
+        self._do(f'apply append={append} place={position}')
         for written in self.sizes.places:
             self._try(f'read host={self.observer} place={written}')
 
