--- a/pollenstile/limits/_fairqueue.py
+++ b/pollenstile/limits/_fairqueue.py
@@ -21,9 +21,11 @@
 # Cost by which a team may exceed its share, in average requests of a team of
 # weight 1.
 _MAX_LEAD = 6.0
+# Weight of the latest request in the average cost.
 _SMOOTHING = 0.05
 # Share of all started cost that is reserved for each rank.
 RESERVES = {0: 0.0, 1: 0.05, 2: 0.1}
+# Maximum credit or debt of a rank, as a multiple of its largest first item.
 _MAX_CREDIT = 2.0
 
 
@@ -72,7 +74,8 @@
     reserves : dict
         Share of all started cost that a rank gets while it waits.
     max_lead : float
-        How far a team may exceed its share; infinite for strict priorities.
+        Cost by which a team may exceed its share, in average requests;
+        infinite for strict priorities.
     """
 
     __slots__ = (
@@ -165,7 +168,8 @@
         return item
 
     def _order(self, flow):
-        # Between pipelines of one team, the earliest latest start goes first.
+        # Between pipelines of one team, the request that must start earliest
+        # goes first.
         head = flow.items[0]
         tie_break = (self.tag(flow.team, flow.rank), head.latest)
         if self.is_ahead(flow.team, flow.rank):
@@ -175,29 +179,29 @@
         return (flow.rank, *tie_break)
 
     def _charge(self, flow, cost):
-        waiting = {flow.team: flow.weight}
-        heads = {}
+        weights = {flow.team: flow.weight}
+        head_costs = {}
         for other in self.flows.values():
-            waiting[other.team] = other.weight
+            weights[other.team] = other.weight
             head = other.items[0].cost if other.items else cost
-            heads[other.rank] = max(head, heads.get(other.rank, 0))
+            head_costs[other.rank] = max(head, head_costs.get(other.rank, 0))
         for rank in RANKS.values():
             if rank < flow.rank:
                 continue
             tag = self.tag(flow.team, rank)
             self.tags[flow.team, rank] = tag + cost / flow.weight
-        self.virtual_time += cost / sum(waiting.values())
-        self._credit(heads, flow.rank, cost)
+        self.virtual_time += cost / sum(weights.values())
+        self._credit(head_costs, flow.rank, cost)
 
-    def _credit(self, heads, started, cost):
+    def _credit(self, head_costs, started_rank, cost):
         for rank, share in self.reserves.items():
-            if rank not in heads:
+            if rank not in head_costs:
                 self.credits.pop(rank, None)
                 continue
             credit = self.credits.get(rank, 0) + share * cost
-            if rank == started:
+            if rank == started_rank:
                 credit -= cost
-            limit = _MAX_CREDIT * heads[rank]
+            limit = _MAX_CREDIT * head_costs[rank]
             self.credits[rank] = max(-limit, min(credit, limit))
 
     def _drop_empty(self, key):
--- a/pollenstile/limits/_reservations.py
+++ b/pollenstile/limits/_reservations.py
@@ -2,7 +2,8 @@
 
 # Seconds for which the limit of a pool is cached.
 _CACHE_SECONDS = 0.05
-# Sums of fractions accumulate rounding errors; a smaller rest counts as zero.
+# Sums of fractions accumulate rounding errors; a remainder below this number of
+# calls counts as zero.
 _ROUNDING_ERROR = 1e-6
 
 
@@ -29,9 +30,9 @@
     ===========
 
     A reservation at a pool lasts from the admission of a request to the end of
-    its stage there, but the pool is in use only during the stage itself.
-    Weighting the reservation with the stage's share of that time makes the sum
-    equal to the mean number of calls at the pool (Little's law).
+    its stage there, but the request uses the pool only during the stage itself.
+    Each reservation is weighted with the stage's share of that time, so that
+    their sum is the mean number of calls at the pool (Little's law).
 
     Parameters
     ==========
@@ -80,11 +81,11 @@
     def limit(self, name, pool):
         """Return the current concurrency limit of a pool."""
         now = self.clock.seconds()
-        found = self.cached_limits.get(name)
-        if found is None or now - found[0] > _CACHE_SECONDS:
-            found = (now, self.total(pool))
-            self.cached_limits[name] = found
-        return found[1]
+        cached = self.cached_limits.get(name)
+        if cached is None or now - cached[0] > _CACHE_SECONDS:
+            cached = (now, self.total(pool))
+            self.cached_limits[name] = cached
+        return cached[1]
 
     def has_capacity(self, shares, pools):
         """Return whether every pool of a request has capacity for it.
@@ -113,8 +114,8 @@
         if held is None:
             return
         name, share = held
-        rest = self.reserved[name] - share
-        self.reserved[name] = rest if rest > _ROUNDING_ERROR else 0
+        remaining = self.reserved[name] - share
+        self.reserved[name] = remaining if remaining > _ROUNDING_ERROR else 0
 
     def release(self, reservation):
         """Release what is still reserved."""
--- a/pollenstile/quarantine/_types.py
+++ b/pollenstile/quarantine/_types.py
@@ -80,12 +80,14 @@
     ==========
 
     reports : tuple of Report
+        New reports of crashes.
     alive : tuple of str
         Incarnations that answer requests, so that reports of their crash are
         void.
     cleared : tuple of str
         Fingerprints of requests that ran to completion.
     verdicts : tuple of Verdict
+        New verdicts, or all verdicts of the sender.
     """
 
     reports: tuple[Report, ...] = ()
@@ -95,8 +97,8 @@
 
     def is_empty(self):
         """Return whether the update holds nothing."""
-        held = self.reports or self.alive or self.cleared or self.verdicts
-        return not held
+        entries = self.reports or self.alive or self.cleared or self.verdicts
+        return not entries
 
 
 def merge_updates(updates):
--- a/pollenstile/routing/_decayed.py
+++ b/pollenstile/routing/_decayed.py
@@ -7,6 +7,7 @@
 _BUCKET_RATIO = 1.08
 _LOG_BUCKET_RATIO = math.log(_BUCKET_RATIO)
 _BUCKETS = 210
+# Weight of a new measurement above which all weights are scaled down.
 _MAX_WEIGHT = 1e9
 
 
@@ -21,7 +22,7 @@
     grow with time instead of old ones being scaled down (Cormode et al.,
     *Forward decay*, 2009). Quantiles are exact to 4%. HdrHistogram is not used
     because its counts do not decay: it would need rotating windows, and each
-    read iterates over thousands of counts.
+    read of it iterates over thousands of counts.
 
     Parameters
     ==========
@@ -81,11 +82,11 @@
 
     def quantile(self, percent):
         """Return a quantile in seconds."""
-        found = self.cached_quantiles.get(percent)
-        if found is None:
-            found = self._quantile(percent)
-            self.cached_quantiles[percent] = found
-        return found
+        cached = self.cached_quantiles.get(percent)
+        if cached is None:
+            cached = self._quantile(percent)
+            self.cached_quantiles[percent] = cached
+        return cached
 
     def _quantile(self, percent):
         remaining = self.total * percent / 100
