--- a/features/builders/relay.py
+++ b/features/builders/relay.py
@@ -116,7 +116,7 @@
     Attributes
     ==========
 
-    parted : bool
+    is_partitioned : bool
         Whether the host can't reach the store.
     frozen : bool
         Whether the host answers no requests.
@@ -132,14 +132,16 @@
 
     def __init__(self, fleet, name, store=None):
         self.name = name
-        self.parted = False
+        self.is_partitioned = False
         self.frozen = False
         self.gone = False
         self.upstreams = {}
         self.drained = set()
         clock = fleet.clock
         self.link = Link(clock)
-        reached = PartitionedStore(store or fleet.store, lambda: self.parted)
+        reached = PartitionedStore(
+            store or fleet.store, lambda: self.is_partitioned
+        )
         self.calls = _CountedStore(LinkedStore(reached, self.link))
         self.configuration = Configuration(
             self.calls,
@@ -163,7 +165,7 @@
             ),
             fleet.log,
         )
-        self.follower.word_seconds = _UPDATE_VALIDITY_SECONDS
+        self.follower.update_validity_seconds = _UPDATE_VALIDITY_SECONDS
         self.follower.rank = lambda: list(fleet.hosts).index(name)
         self.configuration.loop.can_skip_reads = self.follower.is_following
         self.configuration.loop.has_followers = self.source.is_followed
--- a/features/steps/drained_steps.py
+++ b/features/steps/drained_steps.py
@@ -164,7 +164,7 @@
 @when('the reader {fault}, and "{domain}" is drained {seconds:g} seconds later')
 def when_reader_fails(context, fault, domain, seconds):
     reader = context.fleet.hosts['r']
-    reader.parted = fault == 'loses the store'
+    reader.is_partitioned = fault == 'loses the store'
     reader.frozen = fault == 'freezes'
     reader.gone = fault == 'is gone'
     context.fleet.advance(seconds)
@@ -175,11 +175,11 @@
 def when_taken_back_unheard(context, domain):
     fleet = context.fleet
     for host in fleet.hosts.values():
-        host.parted = True
+        host.is_partitioned = True
     fleet.remove(DRAINED, domain)
     fleet.store.objects.compact()
     for host in fleet.hosts.values():
-        host.parted = False
+        host.is_partitioned = False
 
 
 @when('the reads of the configuration of "{name}" count as failing')
@@ -198,7 +198,7 @@
     fleet = context.fleet
     before = _called(context)
     for host in fleet.hosts.values():
-        host.parted = True
+        host.is_partitioned = True
     fleet.advance(seconds)
     context.called = {
         name: count - before[name] for name, count in _called(context).items()
@@ -215,7 +215,7 @@
 )
 def when_reached(context, domain, seconds):
     for host in context.fleet.hosts.values():
-        host.parted = False
+        host.is_partitioned = False
     when_store_drained(context, domain, seconds)
 
 
--- a/features/steps/quarantine_stage_steps.py
+++ b/features/steps/quarantine_stage_steps.py
@@ -19,7 +19,7 @@
 
 
 def _group_of(name):
-    return group(name, content=_fingerprint(name))
+    return group(name, fingerprint=_fingerprint(name))
 
 
 def _fingerprint(name):
@@ -30,7 +30,7 @@
     """Crash the worker of a call while it processes all its pieces."""
     worker, pieces, _ = context.queue.calls[index]
     suspects = tuple(
-        Suspect(piece.group.content, 'team', 0.05) for piece in pieces
+        Suspect(piece.group.fingerprint, 'team', 0.05) for piece in pieces
     )
     quarantine = context.queue.owner.quarantine
     quarantine.note_crash(f'{worker.ident}/{index}', SERVICE, suspects)
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -249,15 +249,15 @@
 
 @then('at most {most:d} upstreams have crashed')
 def then_few_crashes(context, most):
-    ends = context.world.upstreams.ends
-    assert len(ends) <= most, ends
+    crashes = context.world.upstreams.crashes
+    assert len(crashes) <= most, crashes
 
 
 @then('each of them has crashed at most {most:d} upstreams')
 def then_few_crashes_each(context, most):
     for body in context.bodies:
-        ends = context.world.crash_times(body)
-        assert len(ends) <= most, (body, ends)
+        crashes = context.world.crash_times(body)
+        assert len(crashes) <= most, (body, crashes)
     for host in _fleet(context).running():
         held = host.core.quarantine.verdicts.all_held()
         assert len(held) == len(context.bodies), (host.name, held)
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -37,7 +37,7 @@
 
 def _fail_reader(context, fault):
     reader = context.fleet.hosts['r']
-    reader.parted = fault == 'loses the store'
+    reader.is_partitioned = fault == 'loses the store'
     reader.frozen = fault == 'freezes'
     reader.gone = fault == 'is gone'
 
@@ -86,14 +86,14 @@
 
 @when('"{name}" loses the store and {seconds:g} seconds of relaying pass')
 def when_parted(context, name, seconds):
-    context.fleet.hosts[name].parted = True
+    context.fleet.hosts[name].is_partitioned = True
     context.fleet.advance(seconds)
 
 
 @when('all lose the store and {seconds:g} seconds of relaying pass')
 def when_all_parted(context, seconds):
     for host in context.fleet.hosts.values():
-        host.parted = True
+        host.is_partitioned = True
     context.fleet.advance(seconds)
 
 
@@ -255,7 +255,7 @@
 )
 def when_regained(context, seconds):
     for host in context.fleet.hosts.values():
-        host.parted = False
+        host.is_partitioned = False
     context.fleet.advance(seconds)
 
 
--- a/pollenstile/bench/_crashworld.py
+++ b/pollenstile/bench/_crashworld.py
@@ -143,7 +143,9 @@
 
     def crash_times(self, body):
         """Return the times at which a request crashed an upstream."""
-        return [crash.at for crash in self.upstreams.ends if crash.body == body]
+        return [
+            crash.at for crash in self.upstreams.crashes if crash.body == body
+        ]
 
     def arrivals_after_third_crash(self, body, seconds):
         """Return the arrivals of a request well after its third crash.
--- a/pollenstile/fleet/_fleet.py
+++ b/pollenstile/fleet/_fleet.py
@@ -44,7 +44,7 @@
         'hosts',
         'hub',
         'in_force',
-        'news',
+        'platform_reader',
         'probe_at',
         'relay',
         'sharing',
@@ -79,7 +79,7 @@
         self.relay = Relay(hub, in_force, log)
         self.census = Census(hub, self._own_status)
         self.watchers = Watchers(self.upstreams, read_load, hub.random)
-        self.news = PlatformReader(
+        self.platform_reader = PlatformReader(
             store,
             read_hosts,
             in_force,
@@ -110,7 +110,7 @@
         """End all loops and close all links."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        self.news.stop()
+        self.platform_reader.stop()
         self.watchers.stop()
         self.sharing.stop()
         self.hub.stop()
@@ -196,8 +196,8 @@
         if self.hosts.live is not self.assigned_live:
             self.assigned_live = self.hosts.live
             self._assign_neighbours()
-        self.upstreams.bar_down()
-        self.news.tick()
+        self.upstreams.eject_unreachable()
+        self.platform_reader.tick()
         if now >= self.probe_at:
             self.probe_at = now + _PROBE_SECONDS
             self.hosts.remove_gone(now)
--- a/pollenstile/fleet/_upstreams.py
+++ b/pollenstile/fleet/_upstreams.py
@@ -209,7 +209,7 @@
             ),
         )
 
-    def bar_down(self):
+    def eject_unreachable(self):
         """Bar the upstreams that several hosts can't reach.
 
         Explanation
--- a/pollenstile/forward/_assembly.py
+++ b/pollenstile/forward/_assembly.py
@@ -212,7 +212,7 @@
         core.log,
     )
     follower.rank = readers.rank
-    follower.word_seconds = update_seconds(settings)
+    follower.update_validity_seconds = update_seconds(settings)
     relayed = RelayStore(
         store,
         clock,
@@ -227,7 +227,9 @@
         is_joining = relayed.is_joining() and age < _JOIN_VERIFIED_SECONDS
         # A valid update of the reader does not always verify the table here:
         # its revision may be older, or one that this host could not decode.
-        is_following = follower.is_following() and age < follower.word_seconds
+        is_following = (
+            follower.is_following() and age < follower.update_validity_seconds
+        )
         return is_following or is_joining
 
     loop = configuration.loop
--- a/pollenstile/forward/_daemon.py
+++ b/pollenstile/forward/_daemon.py
@@ -197,7 +197,9 @@
         core = self.parts.core
         core.configuration.revoke_seconds = settings.revoke_seconds
         core.configuration.apply_seconds = settings.apply_seconds
-        self.parts.relay.follower.word_seconds = update_seconds(settings)
+        self.parts.relay.follower.update_validity_seconds = update_seconds(
+            settings
+        )
         core.budget.ratio = settings.repeat_ratio
         core.budget.slack = settings.repeat_slack
         core.budget.window = settings.repeat_window
--- a/pollenstile/forward/_stagecalls.py
+++ b/pollenstile/forward/_stagecalls.py
@@ -147,7 +147,7 @@
         groups = {piece.group.ident: piece.group for piece in pieces}
         checks = [
             self.crashes.note_broken(
-                incarnation, Suspect(group.content, group.team, ran)
+                incarnation, Suspect(group.fingerprint, group.team, ran)
             )
             for group in groups.values()
         ]
--- a/pollenstile/relay/_follower.py
+++ b/pollenstile/relay/_follower.py
@@ -92,7 +92,7 @@
         Returns the rank of this host in the domain's order.
     needs_full_config : bool
         Whether the next request is for the full configuration.
-    word_seconds : float
+    update_validity_seconds : float
         Seconds after its verification for which a reader's update is valid.
     expires_at : float
         Time, on the suspend clock, at which the last update expires.
@@ -127,7 +127,7 @@
         'skipped',
         'source',
         'suspend_clock',
-        'word_seconds',
+        'update_validity_seconds',
     )
 
     def __init__(
@@ -157,7 +157,7 @@
         self.read_turn_at = 0.0
         self.rank = _first_rank
         self.needs_full_config = False
-        self.word_seconds = _UPDATE_VALIDITY_SECONDS
+        self.update_validity_seconds = _UPDATE_VALIDITY_SECONDS
         self.expires_at = 0.0
         self.expiry_timer = None
         self.running = True
@@ -279,9 +279,9 @@
         if update is None:
             return ''
         is_accepted = self.configuration.apply_update(update, began)
-        if is_accepted and update.aged < self.word_seconds:
+        if is_accepted and update.aged < self.update_validity_seconds:
             self._apply_update(host, update)
-            self._set_expiry(began - update.aged + self.word_seconds)
+            self._set_expiry(began - update.aged + self.update_validity_seconds)
             return ''
         return _EXPIRED if is_accepted else 'configuration not told'
 
--- a/pollenstile/stagework/_batching.py
+++ b/pollenstile/stagework/_batching.py
@@ -29,9 +29,11 @@
     if not pieces:
         return []
     first = pieces[0].group
-    if is_suspect(first.content):
+    if is_suspect(first.fingerprint):
         return [piece for piece in pieces if piece.group is first]
-    return [piece for piece in pieces if not is_suspect(piece.group.content)]
+    return [
+        piece for piece in pieces if not is_suspect(piece.group.fingerprint)
+    ]
 
 
 def unreserved_bytes(pieces, started, workers, limits, now):
--- a/pollenstile/stagework/_chain.py
+++ b/pollenstile/stagework/_chain.py
@@ -208,7 +208,7 @@
             near=self._preferred_domains(number, inputs),
             is_first=not self.done,
             later_crowded=self._is_later_crowded(number),
-            content=self.plan.content,
+            fingerprint=self.plan.fingerprint,
             team=self.plan.team,
         )
 
--- a/pollenstile/stagework/_codec.py
+++ b/pollenstile/stagework/_codec.py
@@ -26,7 +26,7 @@
         isLater=not group.is_first,
         laterCrowded=group.later_crowded,
         passedOn=group.is_forwarded,
-        content=bytes.fromhex(group.content),
+        content=bytes.fromhex(group.fingerprint),
         team=group.team,
     ).to_bytes()
 
--- a/pollenstile/stagework/_owner.py
+++ b/pollenstile/stagework/_owner.py
@@ -177,7 +177,7 @@
         if self.limits is None or not self.workers:
             waiter.callback(GroupRefused(NO_WORKERS))
             return waiter
-        if self.quarantine.is_held(group.content):
+        if self.quarantine.is_held(group.fingerprint):
             waiter.callback(GroupRefused(HELD_REASON))
             return waiter
         waited = self.arrivals.seconds_since_first(group, self.clock.seconds())
@@ -218,10 +218,10 @@
             if job.group.request == request:
                 self._refuse(job, 'cancelled')
 
-    def withdraw(self, content):
+    def withdraw(self, fingerprint):
         """Refuse the groups of a request that crashes upstreams."""
         for job in list(self.jobs.values()):
-            if job.group.content == content:
+            if job.group.fingerprint == fingerprint:
                 self._refuse(job, HELD_REASON)
 
     def release(self, handles):
@@ -269,7 +269,7 @@
         self.dispatcher.schedule()
 
     def _may_repeat(self, piece):
-        if not self.quarantine.may_repeat(piece.group.content):
+        if not self.quarantine.may_repeat(piece.group.fingerprint):
             return False
         return piece.sent < _MAX_SENDS and self.spend(self.service, 1)
 
--- a/pollenstile/stagework/_plan.py
+++ b/pollenstile/stagework/_plan.py
@@ -33,7 +33,7 @@
     near : str
         Failure domain in which the last results are read; empty if it is not
         known.
-    content, team : str
+    fingerprint, team : str
         Fingerprint of the request, and the team that sent it.
     """
 
@@ -45,7 +45,7 @@
     deadline: float
     urgency: int
     near: str = ''
-    content: str = ''
+    fingerprint: str = ''
     team: str = ''
 
 
--- a/pollenstile/stagework/_types.py
+++ b/pollenstile/stagework/_types.py
@@ -46,7 +46,7 @@
         Whether a later step's queue is longer than usual.
     is_forwarded : bool
         Whether a host that does not own the queue has forwarded the group.
-    content, team : str
+    fingerprint, team : str
         Fingerprint of the request, and the team that sent it.
     """
 
@@ -64,7 +64,7 @@
     is_first: bool = True
     later_crowded: bool = False
     is_forwarded: bool = False
-    content: str = ''
+    fingerprint: str = ''
     team: str = ''
 
     @property
--- a/pollenstile/standin/crashing.py
+++ b/pollenstile/standin/crashing.py
@@ -124,7 +124,7 @@
         self.work = work
         self.processes = {}
         self.arrivals = []
-        self.ends = []
+        self.crashes = []
         self.started = 0
 
     def start(self, address, domain):
@@ -153,7 +153,7 @@
             return
         self.processes[process.address] = None
         now = self.clock.seconds()
-        self.ends.append(Crash(now, process.ident, body))
+        self.crashes.append(Crash(now, process.ident, body))
         for call in process.calls:
             self.clock.callLater(_LATENCY_SECONDS, call.break_connection)
         call_later = self.clock.callLater
