--- a/features/builders/claims_guards.py
+++ b/features/builders/claims_guards.py
@@ -3,8 +3,7 @@
 from contextlib import ExitStack, contextmanager
 from unittest import mock
 
-from pollenstile.claims import Claims, Held, ShardLog
-from pollenstile.claims import _log, _reader, _truncate
+from pollenstile.claims import Claims, Held, ShardLog, _log, _reader, _truncate
 from pollenstile.outcomes import Answered
 from pollenstile.platform import InDoubt, Written
 
--- a/features/builders/forward.py
+++ b/features/builders/forward.py
@@ -29,7 +29,7 @@
     Team,
 )
 from pollenstile.stagework import GroupDone, GroupRefused
-from pollenstile.standin.exchanges import Head, StubCall, RecordedAnswer
+from pollenstile.standin.exchanges import Head, RecordedAnswer, StubCall
 
 NAMES = HeaderNames()
 SERVICE = 'desk'
--- a/features/builders/placement.py
+++ b/features/builders/placement.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.internet.task import Clock
 
-from pollenstile.entry import build_node, add_placement
+from pollenstile.entry import add_placement, build_node
 from pollenstile.manifest import (
     Domain,
     Manifest,
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -4,7 +4,7 @@
 from twisted.internet.task import Clock
 
 from features.builders.forward import SERVICE, ForwardScenario
-from pollenstile.forward import ColdShares, UpstreamView, Registry, Upstream
+from pollenstile.forward import ColdShares, Registry, Upstream, UpstreamView
 
 _STEP = 0.01
 _SPREAD = 0.003
--- a/features/steps/deciding_steps.py
+++ b/features/steps/deciding_steps.py
@@ -8,23 +8,27 @@
 from features.builders.forward import SERVICE, ForwardScenario, route
 from features.builders.stagework import (
     LIMITS,
-    RecordingClient,
     Queue,
+    RecordingClient,
     group,
     workers,
 )
 from pollenstile.estimates import Fetching, FirstTokens
-from pollenstile.forward import UpstreamView, select_engine, home_engine
-from pollenstile.forward import silence_limits_of
+from pollenstile.forward import (
+    UpstreamView,
+    home_engine,
+    select_engine,
+    silence_limits_of,
+)
 from pollenstile.routes import StageStep
 from pollenstile.stagework import (
     Chain,
     Plan,
-    may_join_queue,
     eligible_pieces,
     expected_wait,
-    seconds_until_free,
     full_seconds,
+    may_join_queue,
+    seconds_until_free,
 )
 
 _MEGABYTE = 1_000_000
--- a/features/steps/docs_steps.py
+++ b/features/steps/docs_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then
 
-from features.builders.docs import CHECKS, all_pages, commands, build_page
+from features.builders.docs import CHECKS, all_pages, build_page, commands
 from tools import capacity, settings
 from tools.events import PAGE, events_page
 
--- a/features/steps/drained_steps.py
+++ b/features/steps/drained_steps.py
@@ -12,8 +12,8 @@
 from pollenstile.ops._draincmd import (
     HostDrain,
     drain_lines,
-    parse_drain,
     exit_code,
+    parse_drain,
     write_drain,
 )
 from pollenstile.platform import Written
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -5,10 +5,10 @@
 from behave import given, then, when
 
 from features.builders.fleet import (
-    start_apply,
     is_connected,
     link_graph,
     next_text,
+    start_apply,
     started_fleet,
 )
 from pollenstile.bench.fleetworld import (
@@ -23,7 +23,7 @@
 )
 from pollenstile.manifest import text_from_manifest
 from pollenstile.ops.logs import silent_log
-from pollenstile.peer import patch_between, apply_patch, schema
+from pollenstile.peer import apply_patch, patch_between, schema
 
 
 @given(
--- a/features/steps/lag_steps.py
+++ b/features/steps/lag_steps.py
@@ -9,8 +9,8 @@
 from pollenstile.bench.lag import measure_lag
 from pollenstile.relay._messages import (
     RelayUpdate,
-    encode_update,
     decode_update,
+    encode_update,
 )
 
 _MS = 1000
--- a/features/steps/large_configuration_steps.py
+++ b/features/steps/large_configuration_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from features.builders.relay import large_config
-from pollenstile.peer import patch_between, apply_patch
+from pollenstile.peer import apply_patch, patch_between
 
 _BYTES_PER_MBIT = 125_000
 _STEP_SECONDS = 0.05
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -7,8 +7,8 @@
 from features.builders.placement import (
     DOMAIN,
     World,
-    set_held_model,
     manifest_of,
+    set_held_model,
     succeed_at_once,
 )
 from pollenstile.manifest import Model
--- a/features/steps/properties_steps.py
+++ b/features/steps/properties_steps.py
@@ -27,10 +27,10 @@
     stream_of,
 )
 from pollenstile.entry._caller import (
+    authenticate_team,
     decode_input,
     parse_deadline,
     parse_idempotency_key,
-    authenticate_team,
 )
 from pollenstile.fleet import Snapshot
 from pollenstile.manifest import (
--- a/pollenstile/bench/_crashworld.py
+++ b/pollenstile/bench/_crashworld.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import Deferred
 
 from pollenstile.bench._domainworld import DomainWorld
-from pollenstile.forward import RouteQuery, Exchange, serve
+from pollenstile.forward import Exchange, RouteQuery, serve
 from pollenstile.routes import Kind, Route, Target
 from pollenstile.standin.crashing import NAMES, CrashingUpstreams
 from pollenstile.standin.exchanges import RecordedAnswer
@@ -15,7 +15,7 @@
 _TEAM = 'team'
 _TARGET = b'/a/x'
 _TIMEOUT_SECONDS = 12.0
-_TARGET_LATENCY = 2.0
+_ANSWER_TARGET_SECONDS = 2.0
 # The body of a request that crashes its upstream begins with this prefix.
 DEADLY = b'deadly'
 # Retries that all hosts may send in a budget window in addition to the ratio.
@@ -31,7 +31,7 @@
         '/a/',
         kind,
         _TIMEOUT_SECONDS,
-        _TARGET_LATENCY,
+        _ANSWER_TARGET_SECONDS,
         targets=targets,
         **fields,
     )
@@ -118,7 +118,7 @@
             RouteQuery('host', '/a/x'),
             _TEAM,
             arrived=now,
-            aim=now + _TARGET_LATENCY,
+            aim=now + _ANSWER_TARGET_SECONDS,
             ends=now + _TIMEOUT_SECONDS,
             service=_SERVICE,
             fingerprint=core.quarantine.fingerprint(_TARGET, body),
--- a/pollenstile/bench/_placementworld.py
+++ b/pollenstile/bench/_placementworld.py
@@ -10,12 +10,12 @@
     DemandCounter,
     DemandExchange,
     Holding,
-    ServingIndex,
-    LeaseManager,
     Lease,
+    LeaseManager,
     LeaseTiming,
     Placement,
     Placer,
+    ServingIndex,
 )
 from pollenstile.standin._slots import Slots
 from pollenstile.standin.objectapi import MemoryStore
--- a/pollenstile/bench/_stageworld.py
+++ b/pollenstile/bench/_stageworld.py
@@ -18,12 +18,12 @@
     CallLost,
     Chain,
     ChainFailed,
-    Result,
     Owner,
+    Result,
     Worker,
+    build_plan,
     crowded_seconds,
     long_wait,
-    build_plan,
     usual_seconds,
 )
 
--- a/pollenstile/bench/crashes.py
+++ b/pollenstile/bench/crashes.py
@@ -11,7 +11,7 @@
 from dataclasses import asdict, dataclass
 
 from pollenstile.bench._crashworld import DEADLY, CrashWorld
-from pollenstile.bench.lag import inject_nothing, end_readers, slow_store
+from pollenstile.bench.lag import end_readers, inject_nothing, slow_store
 
 # Seconds of each measured period, with crashes and before them.
 _PERIOD_SECONDS = 10.0
--- a/pollenstile/bench/shared.py
+++ b/pollenstile/bench/shared.py
@@ -16,7 +16,6 @@
 
 from twisted.internet.defer import Deferred
 
-
 from pollenstile.forward import Configuration
 from pollenstile.ops.logs import silent_log
 from pollenstile.peer import (
@@ -38,8 +37,8 @@
 from pollenstile.routes import RouteTable, StageLimits
 from pollenstile.stagework import (
     Group,
-    Result,
     Owner,
+    Result,
     StageClient,
     StageService,
     Worker,
--- a/pollenstile/claims/_claims.py
+++ b/pollenstile/claims/_claims.py
@@ -8,8 +8,8 @@
     key_digest,
     shard_for_key,
 )
-from pollenstile.claims._outcomecache import OutcomeCache
 from pollenstile.claims._log import ShardLog
+from pollenstile.claims._outcomecache import OutcomeCache
 from pollenstile.claims._pending import Held, NotClaimed
 from pollenstile.claims._records import Record, build_release
 from pollenstile.outcomes import Answered, Refused, Unknown
--- a/pollenstile/claims/_log.py
+++ b/pollenstile/claims/_log.py
@@ -35,8 +35,8 @@
     InDoubt,
     NotApplied,
     Written,
-    paused,
     make_pause,
+    paused,
 )
 
 _MAX_BATCH_RECORDS = 1000
--- a/pollenstile/entry/_admin.py
+++ b/pollenstile/entry/_admin.py
@@ -5,7 +5,6 @@
 
 from pollenstile.ops.http import answer_json, answer_problem
 
-
 _VERSION_QUERY_SECONDS = 2.0
 
 
--- a/pollenstile/fleet/_apply.py
+++ b/pollenstile/fleet/_apply.py
@@ -10,8 +10,8 @@
     Superseded,
     Written,
     field_mark,
-    put_with_readback,
     no_pause,
+    put_with_readback,
 )
 
 MARK_FIELD = 'apply'
--- a/pollenstile/fleet/_relay.py
+++ b/pollenstile/fleet/_relay.py
@@ -8,10 +8,10 @@
     Beat,
     RecentTexts,
     Unanswered,
+    apply_patch,
     decode_struct,
     patch_fields,
     patch_from,
-    apply_patch,
     schema,
     text_digest,
 )
--- a/pollenstile/fleet/_watchers.py
+++ b/pollenstile/fleet/_watchers.py
@@ -4,7 +4,6 @@
 
 from pollenstile.peer import rank_candidates
 
-
 # Hosts that poll one upstream, and seconds between polls of each of them.
 WATCHERS = 2
 POLL_SECONDS = 2.0
--- a/pollenstile/forward/__init__.py
+++ b/pollenstile/forward/__init__.py
@@ -1,14 +1,6 @@
 """Forwards HTTP exchanges to upstreams without changing their content."""
 
 from pollenstile.forward._budget import SharedRetryBudget
-from pollenstile.forward._selection import (
-    UpstreamView,
-    select_engine,
-    select_plain_upstream,
-    home_engine,
-    subject_of,
-    usable,
-)
 from pollenstile.forward._client import HttpClient, ProbeResult
 from pollenstile.forward._cold import ColdShares
 from pollenstile.forward._configuration import Configuration
@@ -24,14 +16,22 @@
 )
 from pollenstile.forward._registry import Registry, Upstream
 from pollenstile.forward._run import serve
+from pollenstile.forward._selection import (
+    UpstreamView,
+    home_engine,
+    select_engine,
+    select_plain_upstream,
+    subject_of,
+    usable,
+)
 from pollenstile.forward._settings import HostSettings
 from pollenstile.forward._types import (
-    RouteQuery,
     BodyEnd,
     Exchange,
     HeaderNames,
     Lost,
     NotRun,
     Refusal,
+    RouteQuery,
 )
 from pollenstile.forward._watched import WatchedSettings
--- a/pollenstile/forward/_parse.py
+++ b/pollenstile/forward/_parse.py
@@ -1,7 +1,7 @@
 """Validates a caller's request and converts it to an ``Exchange``."""
 
 from pollenstile.forward._admission import admit_request
-from pollenstile.forward._types import RouteQuery, Exchange, Refusal
+from pollenstile.forward._types import Exchange, Refusal, RouteQuery
 from pollenstile.ops.numbers import whole_number
 from pollenstile.routes import Kind, pick_service, urgency_of
 
--- a/pollenstile/limits/_admission.py
+++ b/pollenstile/limits/_admission.py
@@ -5,7 +5,6 @@
 from twisted.internet.defer import Deferred
 
 from pollenstile.limits import events
-from pollenstile.limits._cost import silent_count
 from pollenstile.limits._backlog import (
     FlowRates,
     StartedWork,
@@ -13,6 +12,7 @@
     wait_time,
     work_before,
 )
+from pollenstile.limits._cost import silent_count
 from pollenstile.limits._estimates import expected_times, needed_time
 from pollenstile.limits._fairqueue import RANKS, FairQueue
 from pollenstile.limits._reservations import PoolReservations, stage_shares
--- a/pollenstile/manifest/_names.py
+++ b/pollenstile/manifest/_names.py
@@ -10,8 +10,8 @@
 import re
 
 from pollenstile.manifest._mistake import Mistake
-from pollenstile.manifest._types import NAME_PATTERN
 from pollenstile.manifest._traversal import list_stages
+from pollenstile.manifest._types import NAME_PATTERN
 
 _NAME = re.compile(NAME_PATTERN.replace('$', r'\Z'))
 _PROBLEM = 'is not a valid name: use 1 to 63 of a-z, 0-9 and -'
--- a/pollenstile/ops/_draincmd.py
+++ b/pollenstile/ops/_draincmd.py
@@ -20,9 +20,9 @@
 from pollenstile.ops.running import result_of
 from pollenstile.ops.settings import (
     address,
+    format_address,
     identifier,
     parse_argument,
-    format_address,
 )
 from pollenstile.platform import Absent, Found, Written
 
--- a/pollenstile/ops/_entrycmd.py
+++ b/pollenstile/ops/_entrycmd.py
@@ -6,18 +6,18 @@
 
 from pollenstile.entry import (
     Daemon,
+    add_placement,
     build_fleet,
     build_node,
-    add_placement,
 )
 from pollenstile.fleet import http_load_reader
+from pollenstile.ops._stores import hosts_reader, paced_store, ticket_requester
+from pollenstile.ops.clock import boot_clock, use_boot_clock
 from pollenstile.ops.collector import configure_garbage_collector
 from pollenstile.ops.exits import GOOD
 from pollenstile.ops.logs import configure_logs, event_log
 from pollenstile.ops.settings import ENTRY, add_flags, settings_from
-from pollenstile.ops._stores import hosts_reader, paced_store, ticket_requester
 from pollenstile.peer import tcp_connect
-from pollenstile.ops.clock import boot_clock, use_boot_clock
 from pollenstile.placement import http_orders
 from pollenstile.upstream import http_transport
 
--- a/pollenstile/ops/_stores.py
+++ b/pollenstile/ops/_stores.py
@@ -5,9 +5,9 @@
 from pollenstile.placement import http_tickets
 from pollenstile.platform import (
     Budget,
-    ServerClient,
     HttpStore,
     PacedStore,
+    ServerClient,
     read_host_list,
 )
 
--- a/pollenstile/pipeline/_run.py
+++ b/pollenstile/pipeline/_run.py
@@ -5,10 +5,10 @@
 from twisted.internet.defer import CancelledError
 
 from pollenstile.limits import expected_time
+from pollenstile.outcomes import Answered, Failed, Refused, Unknown
 from pollenstile.pipeline import events
 from pollenstile.pipeline._decisions import stage_budget
 from pollenstile.pipeline._stage import StageFailed, StageRun
-from pollenstile.outcomes import Answered, Failed, Refused, Unknown
 
 _UNPROCESSABLE = 422
 _UNAVAILABLE = 503
--- a/pollenstile/placement/_leasemanager.py
+++ b/pollenstile/placement/_leasemanager.py
@@ -16,8 +16,8 @@
     Unavailable,
     Written,
     field_mark,
-    put_with_readback,
     no_pause,
+    put_with_readback,
 )
 
 _MARK = field_mark('mark')
--- a/pollenstile/relay/_follower.py
+++ b/pollenstile/relay/_follower.py
@@ -9,11 +9,11 @@
 from pollenstile.platform import paused
 from pollenstile.relay import events
 from pollenstile.relay._messages import (
-    RelayRequest,
     Cursor,
-    encode_request,
+    RelayRequest,
     decode_config,
     decode_update,
+    encode_request,
 )
 from pollenstile.relay._skipping import SkippedReaders
 from pollenstile.relay._source import RELAY_SUBJECT
--- a/pollenstile/routes/__init__.py
+++ b/pollenstile/routes/__init__.py
@@ -8,6 +8,12 @@
 """
 
 from pollenstile.routes._document import routes_by_host, table_of
+from pollenstile.routes._matching import (
+    pick_service,
+    route_of,
+    team_of,
+    urgency_of,
+)
 from pollenstile.routes._model import (
     Kind,
     Limits,
@@ -19,9 +25,3 @@
     Target,
     Team,
 )
-from pollenstile.routes._matching import (
-    pick_service,
-    route_of,
-    team_of,
-    urgency_of,
-)
--- a/pollenstile/soak/_hosts.py
+++ b/pollenstile/soak/_hosts.py
@@ -14,7 +14,6 @@
 from pollenstile.standin.virtual import UP
 from pollenstile.upstream import Chunk, Reply
 
-
 _STORE_CALLS_PER_SECOND = 200.0
 _POLL_SECONDS = 0.002
 _POLL_TIMEOUT_SECONDS = 1.0
--- a/spec/claims_proof.py
+++ b/spec/claims_proof.py
@@ -5,7 +5,7 @@
 
 import itertools
 
-from spec.claims_state import holders, is_next, same_key_pairs, is_written
+from spec.claims_state import holders, is_next, is_written, same_key_pairs
 from spec.logic import all_of, any_of, conj, disj, implies, neg
 
 ONE_RUN = 'one run for each key'
--- a/spec/lease_proof.py
+++ b/spec/lease_proof.py
@@ -8,8 +8,8 @@
     FASTEST_RATE,
     SLOWEST_RATE,
     TERM,
-    is_order_due,
     in_term,
+    is_order_due,
 )
 from spec.logic import all_of
 
