--- a/features/builders/fleetfaults.py
+++ b/features/builders/fleetfaults.py
@@ -32,13 +32,13 @@
     """
 
     __slots__ = (
+        'disturbed_at',
+        'last_versions',
         'late',
         'left_at',
         'number',
-        'disturbed_at',
         'random',
         'reverted',
-        'last_versions',
         'world',
     )
 
--- a/pollenstile/bench/_stagehosts.py
+++ b/pollenstile/bench/_stagehosts.py
@@ -132,7 +132,7 @@
         :class:`StageLimits` by service name.
     hosts : int
         The number of hosts.
-    way : float
+    latency : float
         One-way latency between two hosts, in seconds.
     count : int
         The number of upstreams of each service.
--- a/pollenstile/bench/_stageworld.py
+++ b/pollenstile/bench/_stageworld.py
@@ -258,7 +258,7 @@
 
     kind : str
         The name of the route.
-    came : float
+    arrived_at : float
         Time on the clock at which the request arrived.
     aim : float
         Target latency in seconds.
@@ -268,7 +268,7 @@
     Attributes
     ==========
 
-    staged : float or None
+    stage_seconds : float or None
         Seconds from the arrival to the last stage result; None if the stages
         have not completed.
     refused : str
--- a/pollenstile/bench/claims.py
+++ b/pollenstile/bench/claims.py
@@ -138,8 +138,8 @@
 
     __slots__ = (
         'clock',
-        'counts',
         'counting',
+        'counts',
         'hosts',
         'pipeline',
         'rng',
--- a/pollenstile/bench/crashes.py
+++ b/pollenstile/bench/crashes.py
@@ -132,7 +132,7 @@
     Parameters
     ==========
 
-    pass_by : function
+    advance : function
         Advances the virtual clock over the period.
     """
     hosts = fleet.running()
--- a/pollenstile/bench/fleetworld.py
+++ b/pollenstile/bench/fleetworld.py
@@ -169,7 +169,7 @@
         Domains that cannot reach the platform.
     cut_pairs : set of frozenset
         Pairs of domains that are partitioned from each other.
-    places : dict
+    host_locations : dict
         Domain and address of each host, by name.
     """
 
@@ -177,12 +177,12 @@
         'clock',
         'cut_pairs',
         'cut_platform',
+        'host_locations',
         'hosts',
         'keep_events',
         'key',
         'list',
         'manifest',
-        'host_locations',
         'random',
         'seeds',
         'starts',
--- a/pollenstile/claims/_claims.py
+++ b/pollenstile/claims/_claims.py
@@ -100,7 +100,7 @@
     Attributes
     ==========
 
-    ask_owner : function
+    query_holder : function
         ``await query_holder(holder)`` requests the outcome of a ``Record``
         from its host; returns the result of :meth:`find_outcome` there, or
         None if that host can't be reached.
--- a/pollenstile/forward/_silence.py
+++ b/pollenstile/forward/_silence.py
@@ -19,7 +19,7 @@
         Seconds of the longest silence between two parts of a body.
     """
 
-    __slots__ = ('clock', 'received_at', 'longest_silence', 'limit', 'timer')
+    __slots__ = ('clock', 'limit', 'longest_silence', 'received_at', 'timer')
 
     def __init__(self, clock, limit):
         self.clock = clock
--- a/pollenstile/ops/linestream.py
+++ b/pollenstile/ops/linestream.py
@@ -51,8 +51,8 @@
         'clock',
         'descriptor',
         'dropped',
-        'max_lines_per_second',
         'lines_this_second',
+        'max_lines_per_second',
         'second',
         'unwritten',
     )
--- a/pollenstile/peer/_link.py
+++ b/pollenstile/peer/_link.py
@@ -32,7 +32,7 @@
     Attributes
     ==========
 
-    heard, beaten : float
+    last_received, last_beat_sent : float
         Times when the last bytes were received and the last heartbeat was
         sent.
     last_used : float
--- a/pollenstile/pipeline/_attempts.py
+++ b/pollenstile/pipeline/_attempts.py
@@ -188,7 +188,7 @@
             The load report that was part of the upstream's answer.
         failed : bool
             Whether it counts as a failure of the upstream.
-        worked : float
+        busy_seconds : float
             Processing time that the upstream reports; 0 if it reports none.
         """
         self.in_flight.pop(attempt.number, None)
--- a/pollenstile/quarantine/_record.py
+++ b/pollenstile/quarantine/_record.py
@@ -50,7 +50,7 @@
         Fingerprints with an entry in the store.
     """
 
-    __slots__ = ('hosts', 'log', 'quarantine', 'stored', 'store')
+    __slots__ = ('hosts', 'log', 'quarantine', 'store', 'stored')
 
     def __init__(self, store, quarantine, hosts, log=silent_log):
         self.store = store
--- a/pollenstile/quarantine/_verdicts.py
+++ b/pollenstile/quarantine/_verdicts.py
@@ -19,7 +19,7 @@
         Seconds.
     """
 
-    __slots__ = ('by_fingerprint', 'clock', 'cached_digest')
+    __slots__ = ('by_fingerprint', 'cached_digest', 'clock')
 
     def __init__(self, clock):
         self.clock = clock
--- a/pollenstile/standin/crashing.py
+++ b/pollenstile/standin/crashing.py
@@ -113,7 +113,7 @@
         Running process by address, or None after a crash.
     arrivals : list of Arrival
         Requests that reached the expected incarnation, in order.
-    ends : list of Crash
+    crashes : list of Crash
         Crashes, in order.
     """
 
--- a/pollenstile/standin/engine.py
+++ b/pollenstile/standin/engine.py
@@ -56,10 +56,10 @@
         'clock',
         'faults',
         'first_token_seconds',
-        'token_gap_seconds',
         'name',
         'runs',
         'slots',
+        'token_gap_seconds',
     )
 
     def __init__(
--- a/pollenstile/standin/orders.py
+++ b/pollenstile/standin/orders.py
@@ -214,9 +214,9 @@
         'engines',
         'hold',
         'latency',
-        'state_reads',
         'lose_answers',
         'lose_requests',
+        'state_reads',
     )
 
     def __init__(self, clock, engines, latency=0.0):
--- a/pollenstile/standin/weightstore.py
+++ b/pollenstile/standin/weightstore.py
@@ -45,9 +45,9 @@
         'burst',
         'clock',
         'down',
-        'refilled_at',
         'issued',
         'rate',
+        'refilled_at',
         'tokens',
     )
 
--- a/pollenstile/upstream/_sse.py
+++ b/pollenstile/upstream/_sse.py
@@ -9,7 +9,7 @@
     Parameters
     ==========
 
-    most : int
+    max_line_bytes : int
         Maximum length of a line in bytes.
 
     Raises
--- a/spec/run.py
+++ b/spec/run.py
@@ -50,7 +50,7 @@
     build : function
         Takes the guard to leave out, empty for none; returns the model to
         search.
-    wide : Model
+    proof_model : Model
         Model whose invariants are proved.
     size : str
         Sizes of both models, for the report.
@@ -58,9 +58,9 @@
         Property that each guard protects.
     depth : int
         Maximum number of steps of counterexamples to the full part.
-    reached : dict
+    reachable : dict
         Predicates of states that must be reachable, by description.
-    small : Model or None
+    reach_model : Model or None
         Model in which these states are searched for; ``build('')`` if None.
     """
 
